--- /dev/null
+++ b/crates/acceptance/tests/contract.rs
@@ -0,0 +1,490 @@
+//! What users, operators and other daemons rely on, compared with files in `golden/`.
+//!
+//! A difference is either a mistake or a change of a public form. `UPDATE_GOLDEN=1` writes the files
+//! anew; the commit that does so says who is affected and how they migrate.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use anyhow::{Context, Result};
+use curlewcleat_acceptance::ready_fleet;
+use curlewcleat_adapter::format::{Daemon, Metadata, Object};
+use curlewcleat_config::{ApplyRecord, ConfigManifest, MANIFEST_KEY};
+use curlewcleat_core::{
+    AttemptEnd, ConfigBundle, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessAsk, Heartbeat,
+    KeptAnswer, KeyAnswer, KeyClaim, KeyDecision, KeyHandOver, KeyOutcome, KeyRecord, LevelRaise,
+    PeerFrame, PeerMessage, PermitAnswer, PermitAsk, PermitDecision, PermitHeld, PermitId,
+    PermitReturn, Refusal, RefusalReason, RetryReason, ServiceAims, SlotHolder, StatePull,
+    StreamTiming, TablePush, TargetChange, TargetEntry, TargetsContent, TargetsPush, Verdict,
+};
+use curlewcleat_keys::{KeyTable, TABLE_KEY};
+use curlewcleat_standins::fleet::{get_json, Fleet};
+use rstest::rstest;
+use serde_json::Value;
+use uuid::Uuid;
+
+/// Crates whose sources hold names that operators rely on.
+const PRODUCT: [&str; 11] = [
+    "crates/core",
+    "crates/config",
+    "crates/sched",
+    "crates/keys",
+    "crates/node",
+    "crates/peers",
+    "crates/targets",
+    "crates/platform",
+    "crates/daemon",
+    "crates/tool",
+    "platform",
+];
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+/// Compares a text with its golden file.
+fn assert_golden(name: &str, text: &str) -> Result<()> {
+    let path = root().join("crates/acceptance/tests/golden").join(name);
+    if std::env::var_os("UPDATE_GOLDEN").is_some() {
+        std::fs::write(&path, text)?;
+    }
+    let golden = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
+    assert_eq!(text, golden, "{name} differs from its golden file");
+    Ok(())
+}
+
+fn request() -> Uuid {
+    Uuid::from_u128(0x0192_0000_0000_7000_8000_0000_0000_0001)
+}
+
+fn daemon() -> DaemonId {
+    DaemonId { vm: "vm-1".to_string(), incarnation: 7 }
+}
+
+fn permit() -> PermitId {
+    PermitId { request: request(), attempt: 1 }
+}
+
+fn permit_request() -> PermitAsk {
+    PermitAsk {
+        permit: permit(),
+        pool: "engines".to_string(),
+        tier: 2,
+        account: "drivers".to_string(),
+        time_left: Duration::from_millis(1_500),
+        aims: ServiceAims {
+            wait_limit: Duration::from_millis(800),
+            forecast_limit: Duration::from_millis(300),
+            first_by: Duration::from_millis(400),
+            pause_limit: Duration::from_millis(200),
+            urgency: 3,
+            length_guessed: true,
+            came_back: false,
+        },
+        prompt_work: 11,
+        output_work: 12,
+        prefix: Some(13),
+        cost: 14,
+        avoid: vec!["e-9".to_string()],
+    }
+}
+
+fn kept_answer() -> KeptAnswer {
+    KeptAnswer { status: 200, content_type: "text/plain".to_string(), body: b"ok".to_vec() }
+}
+
+fn claim() -> KeyClaim {
+    KeyClaim {
+        request: request(),
+        account: "drivers".to_string(),
+        key: "k-1".to_string(),
+        attempt: Some(2),
+    }
+}
+
+fn question() -> FreshnessAsk {
+    FreshnessAsk { incarnation: 7, sent: Duration::from_millis(42) }
+}
+
+fn target() -> DiscoveredTarget {
+    DiscoveredTarget {
+        pool: "engines".to_string(),
+        entry: TargetEntry {
+            id: "e-1".to_string(),
+            address: "10.0.0.1:80".to_string(),
+            vm: "vm-9".to_string(),
+            data_centre: "here".to_string(),
+            slots: 4,
+        },
+        leaving: true,
+    }
+}
+
+/// At least one message of each kind, and each variant of what messages carry.
+fn messages() -> Vec<(&'static str, PeerMessage)> {
+    let refusal = |verdict| Refusal {
+        reason: RefusalReason::TierShed,
+        verdict,
+        retry_after: Some(Duration::from_millis(250)),
+    };
+    let permit_answer = |decision| {
+        PeerMessage::PermitAnswer(PermitAnswer {
+            permit: permit(),
+            pool: "engines".to_string(),
+            decision,
+        })
+    };
+    let permit_return = |end| {
+        PeerMessage::PermitReturn(PermitReturn {
+            permit: permit(),
+            pool: "engines".to_string(),
+            end,
+        })
+    };
+    let key_answer = |decision| PeerMessage::KeyAnswer(KeyAnswer { request: request(), decision });
+    let targets = |content| PeerMessage::TargetsPush(TargetsPush { content, at: 9 });
+    let outcome =
+        |verdict, answer| PeerMessage::KeyOutcome(KeyOutcome { claim: claim(), verdict, answer });
+    let timing = StreamTiming {
+        first: Duration::from_millis(90),
+        rest: Duration::from_millis(800),
+        parts: 5,
+        pause: Duration::from_millis(30),
+    };
+    vec![
+        (
+            "heartbeat",
+            PeerMessage::Heartbeat(Heartbeat {
+                address: "10.0.0.2:8201".to_string(),
+                data_centre: "here".to_string(),
+                generation: 4,
+                table: 5,
+                draining: false,
+                stale: true,
+                capacity: 25,
+                born: 6,
+                answer_wanted: true,
+                known: vec!["10.0.0.3:8201".to_string()],
+            }),
+        ),
+        ("state pull", PeerMessage::StatePull(StatePull { generation: 4, table: 5 })),
+        (
+            "configuration push",
+            PeerMessage::ConfigPush(ConfigBundle {
+                generation: 4,
+                files: BTreeMap::from([("a.ini".to_string(), "[tier a]\nrank = 0\n".to_string())]),
+            }),
+        ),
+        (
+            "table push",
+            PeerMessage::TablePush(TablePush {
+                version: 5,
+                slots: vec![SlotHolder { holder: daemon(), complete_since_ms: 8 }],
+            }),
+        ),
+        ("freshness question", PeerMessage::FreshnessAsk(question())),
+        (
+            "freshness answer",
+            PeerMessage::FreshnessAnswer(FreshnessAnswer {
+                ask: question(),
+                age: Some(Duration::from_millis(70)),
+                generation: 4,
+                targets_at: 9,
+            }),
+        ),
+        ("targets pull", PeerMessage::TargetsPull(9)),
+        ("all targets", targets(TargetsContent::All(vec![target()]))),
+        (
+            "changed targets",
+            targets(TargetsContent::Since(
+                8,
+                vec![TargetChange::Present(target()), TargetChange::Gone("e-2".to_string())],
+            )),
+        ),
+        ("permit request", PeerMessage::PermitAsk(permit_request())),
+        ("permit queued", permit_answer(PermitDecision::Queued)),
+        ("permit granted", permit_answer(PermitDecision::Granted("e-1".to_string()))),
+        ("permit refused", permit_answer(PermitDecision::Refused(refusal(Verdict::NotRun)))),
+        ("permit unused", permit_return(AttemptEnd::Unused)),
+        ("permit of a whole answer", permit_return(AttemptEnd::Whole(Duration::from_millis(60)))),
+        ("permit of a whole stream", permit_return(AttemptEnd::Streamed(timing))),
+        ("permit of a failure", permit_return(AttemptEnd::Failed)),
+        (
+            "permit held",
+            PeerMessage::PermitHeld(PermitHeld {
+                ask: permit_request(),
+                target: "e-1".to_string(),
+            }),
+        ),
+        (
+            "level raise",
+            PeerMessage::LevelRaise(LevelRaise { pool: "engines".to_string(), tier: 2, round: 3 }),
+        ),
+        ("level confirmation", PeerMessage::LevelConfirm("engines".to_string(), 3)),
+        ("key claim", PeerMessage::KeyClaim(claim())),
+        ("key is new", key_answer(KeyDecision::First)),
+        ("key is known", key_answer(KeyDecision::Known(refusal(Verdict::MayHaveRun)))),
+        ("key has an answer", key_answer(KeyDecision::Answer(kept_answer()))),
+        ("key is held elsewhere", key_answer(KeyDecision::NotHolder(5))),
+        ("key outcome", outcome(Verdict::Ran, Some(kept_answer()))),
+        (
+            "key hand-over",
+            PeerMessage::KeyHandOver(KeyHandOver {
+                slot: 1,
+                table: 5,
+                complete_since: Duration::from_secs(1_700_000_000),
+                records: vec![KeyRecord {
+                    key: ("drivers".to_string(), "k-1".to_string()),
+                    request: request(),
+                    verdict: None,
+                    answer: None,
+                    touched: Duration::from_secs(1_700_000_001),
+                }],
+            }),
+        ),
+        ("key hand-over acknowledgement", PeerMessage::KeyHandOverAck(1)),
+    ]
+}
+
+#[test]
+fn peer_messages_keep_their_bytes() -> Result<()> {
+    let mut text = String::new();
+    for (name, message) in messages() {
+        let frame = PeerFrame { from: daemon(), messages: vec![message] };
+        let bytes = postcard::to_allocvec(&frame)?;
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(text, "{name}: {hex}")?;
+        assert_eq!(postcard::from_bytes::<PeerFrame>(&bytes)?, frame, "{name}");
+    }
+    // The codes travel as numbers: their order is part of the form.
+    for reason in RefusalReason::ALL {
+        writeln!(text, "refusal {}: {:?}", reason.code(), postcard::to_allocvec(reason)?)?;
+    }
+    for reason in RetryReason::ALL {
+        writeln!(text, "retry {}: {:?}", reason.code(), postcard::to_allocvec(reason)?)?;
+    }
+    assert_golden("peer-messages.txt", &text)
+}
+
+#[test]
+fn stored_objects_keep_their_form() -> Result<()> {
+    let manifest = ConfigManifest {
+        generation: 2,
+        files: BTreeMap::from([("a.ini".to_string(), "hash".to_string())]),
+        history: vec![ApplyRecord {
+            apply: request(),
+            generation: 2,
+            operator: "amina".to_string(),
+            applied_at: 1_700_000_000,
+            files: vec!["a.ini".to_string()],
+        }],
+    };
+    let table = KeyTable { slots: vec![SlotHolder { holder: daemon(), complete_since_ms: 8 }] };
+    let record = Object {
+        metadata: Metadata { name: "vm-1".to_string(), revision: None },
+        spec: Daemon { address: "10.0.0.2:8201".to_string(), incarnation: 7 },
+    };
+    let text = format!(
+        "{MANIFEST_KEY}: {}\n{TABLE_KEY}: {}\nrecord of a daemon: {}\n",
+        serde_json::to_string(&manifest)?,
+        serde_json::to_string(&table)?,
+        serde_json::to_string(&record)?
+    );
+    assert_golden("stored-objects.txt", &text)
+}
+
+#[rstest]
+#[case::files("files", "")]
+#[case::fleet(
+    "fleet",
+    "kind = fleet\ncall_limit = 1s\n\n[scheduling]\nage_per_work = 1\n\n[keys]\nslots = 1\nretention = 2s\n\
+     limit = 3\n\n[bounds]\nconfig_age_limit = 5s\nconfig_apply_limit = 3s\nleave_limit = 4s\nstop_limit = 9s\n\
+     retry_ratio = 0.2\nretry_saved = 52\nretry_window = 11s\nrate_overshoot = 0.1\nrate_slack = 140000\n\
+     rate_window = 7s\n"
+)]
+#[actix_rt::test]
+async fn checked_settings_keep_their_keys_and_defaults(
+    #[case] kind: &str,
+    #[case] more: &str,
+) -> Result<()> {
+    let text = format!(
+        "[vm]\nname = a\ndata_centre = d\n\n[callers]\naddress = 127.0.0.1:1\n\n[operators]\n\
+         address = 127.0.0.1:2\n\n[peers]\naddress = 127.0.0.1:3\n\n[platform]\naddress = 127.0.0.1:4\n{more}"
+    );
+    let fleet = Fleet::start(&format!("golden-settings-{kind}")).await?;
+    let path = fleet.write_file("daemon.ini", &text)?;
+    let (code, output) = fleet.daemon_program(&["--settings", &path, "--check"])?;
+    assert_eq!(code, 0, "{output}");
+    assert_golden(&format!("settings-{kind}.txt"), &output)
+}
+
+/// Paths of all keys of a value, with `[]` for the members of a list.
+fn key_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(fields) => {
+            for (key, field) in fields {
+                key_paths(field, &format!("{path}.{key}"), paths);
+            }
+        }
+        Value::Array(members) => {
+            for member in members {
+                key_paths(member, &format!("{path}[]"), paths);
+            }
+        }
+        _ => {
+            paths.insert(path.to_string());
+        }
+    }
+}
+
+#[actix_rt::test]
+async fn json_outputs_keep_their_keys() -> Result<()> {
+    let fleet = ready_fleet("golden-json", 1, 1, 2).await?;
+    let mut paths = BTreeSet::new();
+    // The targets of a pool stand in the status of the daemon that schedules it.
+    for daemon in &fleet.daemons {
+        key_paths(&get_json(&daemon.operators, "/status").await?, "/status", &mut paths);
+    }
+    fleet.list_vms(&["vm-1"], &["vm-2"]).await?;
+    for what in ["status", "config", "vms", "targets", "accounts"] {
+        let (_, output) = fleet.tool(&["show", what, "--json"])?;
+        let value = serde_json::from_str(&output).with_context(|| format!("{what}: {output}"))?;
+        key_paths(&value, &format!("show {what}"), &mut paths);
+    }
+    let (_, output) = fleet.tool(&["history", "--json"])?;
+    key_paths(&serde_json::from_str(&output)?, "history", &mut paths);
+    let mut text = paths.into_iter().collect::<Vec<_>>().join("\n");
+    text.push('\n');
+    assert_golden("json-keys.txt", &text)
+}
+
+#[actix_rt::test]
+async fn tool_and_daemon_keep_their_flags() -> Result<()> {
+    let fleet = Fleet::start("golden-flags").await?;
+    let mut text = String::new();
+    let commands =
+        ["", "check", "diff", "apply", "show", "history", "drain", "explain", "completions"];
+    for command in commands {
+        let arguments: Vec<&str> = command.split_whitespace().chain(["--help"]).collect();
+        let (code, output) = fleet.tool(&arguments)?;
+        writeln!(text, "curlewcleat {command}: exit {code}")?;
+        flags(&output, &mut text)?;
+    }
+    let (code, output) = fleet.daemon_program(&["--help"])?;
+    writeln!(text, "curlewcleatd: exit {code}")?;
+    flags(&output, &mut text)?;
+    assert_golden("flags.txt", &text)
+}
+
+/// Flags, arguments and commands of a help text: the lines that are indented by two spaces or six.
+fn flags(help: &str, text: &mut String) -> Result<()> {
+    for line in help.lines() {
+        let Some(name) = line.strip_prefix("  ") else { continue };
+        let name = name.trim_start().split("  ").next().unwrap_or_default();
+        let is_command = name.split(' ').count() == 1 && name.starts_with(char::is_lowercase);
+        if name.starts_with(['-', '<', '[']) || is_command {
+            writeln!(text, "  {name}")?;
+        }
+    }
+    Ok(())
+}
+
+fn sources(folder: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
+    for entry in std::fs::read_dir(folder)? {
+        let path = entry?.path();
+        if path.is_dir() {
+            sources(&path, found)?;
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+    Ok(())
+}
+
+/// Names of the fields of a `kv: { ... }` list, up to its closing brace.
+fn field_names(list: &str) -> BTreeSet<String> {
+    let mut fields = BTreeSet::new();
+    let (mut depth, mut start) = (0, 0);
+    for (index, letter) in list.char_indices() {
+        let closes = letter == '}' && depth == 0;
+        if closes || (letter == ',' && depth == 0) {
+            let field = list[start..index].split('=').next().unwrap_or_default().trim();
+            if !field.is_empty() {
+                fields.insert(field.to_string());
+            }
+            start = index + 1;
+        }
+        match letter {
+            _ if closes => break,
+            '(' | '{' | '[' => depth += 1,
+            ')' | '}' | ']' => depth -= 1,
+            _ => {}
+        }
+    }
+    fields
+}
+
+/// Log events with the fields that any place gives them.
+fn log_events() -> Result<BTreeMap<String, BTreeSet<String>>> {
+    let mut files = Vec::new();
+    for folder in PRODUCT {
+        sources(&root().join(folder).join("src"), &mut files)?;
+    }
+    let mut events: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    for file in files {
+        let text = std::fs::read_to_string(file)?;
+        for (index, level) in ["debug!(", "info!(", "warn!(", "error!("]
+            .into_iter()
+            .flat_map(|level| text.match_indices(level))
+        {
+            let rest = text[index + level.len()..].trim_start();
+            let Some(rest) = rest.strip_prefix('"') else { continue };
+            let Some((event, rest)) = rest.split_once('"') else { continue };
+            let fields = rest.trim_start_matches([',', ' ', '\n']).strip_prefix("kv: {");
+            let fields = fields.map(field_names).unwrap_or_default();
+            events.entry(event.to_string()).or_default().extend(fields);
+        }
+    }
+    Ok(events)
+}
+
+#[test]
+fn log_events_keep_their_fields() -> Result<()> {
+    let mut text = String::new();
+    for (event, fields) in log_events()? {
+        writeln!(text, "{event}: {}", fields.into_iter().collect::<Vec<_>>().join(" "))?;
+    }
+    assert_golden("log-events.txt", &text)
+}
+
+#[test]
+fn metrics_keep_their_names() -> Result<()> {
+    let text = std::fs::read_to_string(root().join("crates/daemon/src/metrics.rs"))?;
+    let names: BTreeSet<&str> = text
+        .split('"')
+        .skip(1)
+        .step_by(2)
+        .filter(|name| name.chars().all(|letter| letter.is_lowercase() || letter == '_'))
+        .collect();
+    assert_golden("metrics.txt", &(names.into_iter().collect::<Vec<_>>().join("\n") + "\n"))
+}
+
+#[test]
+fn deploy_files_and_examples_stay() -> Result<()> {
+    let mut text = String::new();
+    for folder in ["deploy", "examples/atlas", "examples/by-hand", "examples/sahel-volt"] {
+        let mut paths: Vec<PathBuf> = std::fs::read_dir(root().join(folder))?
+            .map(|entry| Ok(entry?.path()))
+            .collect::<Result<_>>()?;
+        paths.sort();
+        for path in paths {
+            let hash = curlewcleat_core::hash_token(&std::fs::read_to_string(&path)?);
+            let hex: String = hash.bytes().iter().map(|byte| format!("{byte:02x}")).collect();
+            let name = path.file_name().unwrap_or_default().to_string_lossy();
+            writeln!(text, "{folder}/{name}: {hex}")?;
+        }
+    }
+    assert_golden("deploy-files.txt", &text)
+}
