--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -23,11 +23,12 @@
 
 use self::reload::SettingsReloader;
 use crate::brain::BrainLoop;
+use crate::config_proof::ConfigProof;
 use crate::context::DaemonContext;
-use crate::gateway::{ConfigProof, Gateway};
 use crate::listen::{listen, ListenOptions};
 use crate::metrics::DaemonMetrics;
 use crate::operators::serve_operator;
+use crate::request::{ProfileProtocol, RequestService};
 use crate::run::{listen_for_peers, node_options, watch_signals};
 
 /// Daemons that are born within this time of each other count as equally old.
@@ -161,8 +162,10 @@
         connection_limit: settings.connection_limit,
     };
     let operators = ListenOptions { idle_limit: Rc::new(|| OPERATOR_IDLE), ..callers.clone() };
-    let gateway = Gateway::new(context.clone(), platform.profile().clone(), Rc::clone(proof));
-    let serve_caller = move |request: Request| Rc::clone(&gateway).serve(request);
+    let profile = platform.profile().clone();
+    let protocol = ProfileProtocol::new(context.clone(), profile, Rc::clone(proof));
+    let service = RequestService::new(context.clone(), Box::new(protocol));
+    let serve_caller = move |request: Request| Rc::clone(&service).serve(request);
     listen("callers", &settings.caller_address, callers, serve_caller).await?;
     let context = context.clone();
     let proof = Rc::clone(proof);
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use actix_http::header::{self, HeaderMap, HeaderName};
+use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
+use spdlog::prelude::*;
 
 /// Time in milliseconds for which the caller waits; finer than `Prefer: wait` (RFC 7240).
 const TIMEOUT_MS: &str = "curlewcleat-timeout-ms";
@@ -37,6 +38,16 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
+/// Sets a header. A value that is no header text is left out.
+pub fn set(headers: &mut HeaderMap, name: HeaderName, text: &str) {
+    match HeaderValue::from_str(text) {
+        Ok(value) => drop(headers.insert(name, value)),
+        Err(error) => {
+            warn!("header_left_out", kv: { header = name.as_str(), error = error.to_string() })
+        }
+    }
+}
+
 /// The bearer token (RFC 6750).
 pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let (scheme, token) = text(headers, "authorization")?.split_once(' ')?;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,24 +1,19 @@
 //! The daemon of curlewcleat. Its decisions are made by `curlewcleat-node`; this crate gives them
 //! HTTP, peers, the platform, clocks, logs and metrics.
 
-mod answer;
-mod answer_stream;
 mod brain;
-mod callers;
+mod config_proof;
 mod context;
-mod exchange;
 mod fleet;
-mod gateway;
 mod headers;
 mod listen;
 mod logging;
 mod metrics;
 mod operators;
 mod platform;
-mod prompt;
 mod reports;
+mod request;
 mod run;
-mod upload;
 
 pub use fleet::run_fleet_daemon;
 pub use logging::start_logging;
--- /dev/null
+++ b/crates/daemon/src/request.rs
@@ -0,0 +1,116 @@
+//! A caller's request, from its arrival to the end of its answer.
+//!
+//! The steps stand in this order, one file each:
+//!
+//! 1. [`protocol`] admits the request: rule, account, tier, pool, deadline ([`admitted`]).
+//! 2. [`body`] reads the body, or as much of it as the estimate of the work needs.
+//! 3. [`run`] waits for a permit of the pool's scheduler and decides after each attempt.
+//! 4. [`attempt`] sends the request to one target, once.
+//! 5. [`pass_on`] passes the answer on ([`answer`]), resumes a cut stream ([`form`]) and ends.
+//!
+//! What differs between the platform kinds is behind [`CallerProtocol`]: [`own`] speaks the interface
+//! of docs/CALLERS.md, [`profile`] the header names of a fleet's platform.
+//!
+//! Owns: the requests in progress on this thread, each in a task of its own. Relies on: the node for
+//! permits ([`DaemonContext::admit`]), `curlewcleat-targets` for exchanges.
+
+mod admitted;
+mod answer;
+mod attempt;
+mod body;
+mod form;
+mod own;
+mod pass_on;
+mod problem;
+mod profile;
+mod progress;
+mod protocol;
+mod run;
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use actix_http::body::BoxBody;
+use actix_http::header::HeaderMap;
+use actix_http::{HttpMessage, Method, Request, Response, Uri};
+use curlewcleat_core::{Refusal, RequestId};
+use tokio::sync::oneshot;
+
+use crate::context::DaemonContext;
+use answer::{AnswerChannel, CallerAnswer};
+use body::RequestBody;
+use run::RequestRun;
+
+pub use own::OwnProtocol;
+pub use profile::ProfileProtocol;
+pub use protocol::CallerProtocol;
+
+/// Serves the requests that arrive on one thread.
+pub struct RequestService {
+    context: DaemonContext,
+    protocol: Box<dyn CallerProtocol>,
+}
+
+/// A request as its caller sent it.
+pub struct CallerRequest {
+    method: Method,
+    uri: Uri,
+    headers: HeaderMap,
+    body: RequestBody,
+}
+
+impl RequestService {
+    /// A service for callers that speak `protocol`.
+    pub fn new(context: DaemonContext, protocol: Box<dyn CallerProtocol>) -> Rc<RequestService> {
+        Rc::new(RequestService { context, protocol })
+    }
+
+    /// Serves one request.
+    pub async fn serve(self: Rc<Self>, mut request: Request) -> Response<BoxBody> {
+        let id = RequestId::now_v7();
+        let arrived = Instant::now();
+        let mut admitted = match self.protocol.admit(id, arrived, &request) {
+            Ok(admitted) => admitted,
+            Err(refusal) => {
+                let attempt = self.protocol.attempt_id(request.headers());
+                run::note_refusal(&self, id, attempt, None, &refusal);
+                return self.protocol.refusal_answer(id, &refusal).into_whole_response();
+            }
+        };
+        self.context.metrics.request(&admitted.tier, &admitted.pool.id);
+        let limit = admitted.rule.body_limit;
+        let options = self.protocol.options().body;
+        let body = match RequestBody::read(&mut request, limit, options).await {
+            Ok(body) => body,
+            Err(fault) => {
+                let refusal = Refusal::not_run(fault.reason(), None);
+                run::note_refusal(&self, id, &admitted.attempt_id, Some(&admitted), &refusal);
+                return self.protocol.refusal_answer(id, &refusal).into_whole_response();
+            }
+        };
+        self.protocol.estimate(&mut admitted, &body);
+        let caller = CallerRequest {
+            method: request.method().clone(),
+            uri: request.uri().clone(),
+            headers: request.headers().clone(),
+            body,
+        };
+        let pending = self.context.admit(admitted.spec());
+        let (begin, begun) = oneshot::channel();
+        let (channel, parts) = AnswerChannel::new(begin);
+        let run = RequestRun::new(self, admitted, caller, pending, channel);
+        let guard = TaskGuard(actix_rt::spawn(run.run()));
+        // The task ends without an answer only where it panicked.
+        let answer = begun.await.unwrap_or_else(|_| CallerAnswer::lost());
+        answer.into_response(parts, guard)
+    }
+}
+
+/// Ends the task of a request when its caller's connection drops the answer.
+struct TaskGuard(actix_rt::task::JoinHandle<()>);
+
+impl Drop for TaskGuard {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/request/answer.rs
@@ -0,0 +1,166 @@
+//! What a caller gets: the head of an answer, and its parts as they come.
+//!
+//! Owns: the channel between a request's task and the body of its answer. Relies on: the caller's
+//! connection dropping that body when it closes.
+
+use std::cell::Cell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use actix_http::body::{BodyStream, BoxBody, SizedStream};
+use actix_http::header::{HeaderName, HeaderValue};
+use actix_http::{Response, StatusCode};
+use bytes::Bytes;
+use futures_util::{Stream, StreamExt};
+use tokio::sync::{mpsc, oneshot};
+
+use super::TaskGuard;
+
+/// Parts that wait for a caller to read them. Chosen, not measured: small, so that a caller that does
+/// not read holds the target's connection back rather than this daemon's memory.
+const PART_QUEUE: usize = 8;
+
+/// What follows the head of an answer.
+pub enum AnswerContent {
+    /// The whole body.
+    Whole(Bytes),
+    /// Parts, with their length in bytes where it is known.
+    Parts(Option<u64>),
+}
+
+/// The beginning of an answer, or all of it.
+pub struct CallerAnswer {
+    /// Status.
+    pub status: StatusCode,
+    /// Headers of the answer itself; those of the connection are added when it is sent.
+    pub headers: Vec<(HeaderName, HeaderValue)>,
+    /// What follows.
+    pub content: AnswerContent,
+    /// Whether the connection closes after it.
+    pub close: bool,
+}
+
+impl CallerAnswer {
+    /// The answer where the task of a request has ended without one.
+    pub fn lost() -> CallerAnswer {
+        CallerAnswer {
+            status: StatusCode::BAD_GATEWAY,
+            headers: Vec::new(),
+            content: AnswerContent::Whole(Bytes::new()),
+            close: true,
+        }
+    }
+
+    /// The answer with its whole body instead of parts.
+    pub fn with_body(self, body: Bytes) -> CallerAnswer {
+        CallerAnswer { content: AnswerContent::Whole(body), ..self }
+    }
+
+    /// The response for an answer that has no parts.
+    pub fn into_whole_response(self) -> Response<BoxBody> {
+        let body = match &self.content {
+            AnswerContent::Whole(body) => body.clone(),
+            AnswerContent::Parts(_) => Bytes::new(),
+        };
+        self.head().set_body(body).map_into_boxed_body()
+    }
+
+    /// The response. Its body ends the task of its request when it is dropped.
+    pub(super) fn into_response(self, parts: AnswerParts, guard: TaskGuard) -> Response<BoxBody> {
+        let AnswerContent::Parts(length) = self.content else { return self.into_whole_response() };
+        let stream = parts.map(move |part| {
+            let _ = &guard;
+            part
+        });
+        match length {
+            Some(length) => {
+                self.head().set_body(SizedStream::new(length, stream)).map_into_boxed_body()
+            }
+            None => self.head().set_body(BodyStream::new(stream)).map_into_boxed_body(),
+        }
+    }
+
+    fn head(self) -> Response<()> {
+        let mut builder = Response::build(self.status);
+        for (name, value) in self.headers {
+            builder.append_header((name, value));
+        }
+        if self.close {
+            builder.force_close();
+        }
+        builder.finish().set_body(())
+    }
+}
+
+/// The answer ended before it was whole; the caller's connection is cut too.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("answer: cut before its end")]
+pub struct AnswerCut;
+
+/// The sending end of an answer. An answer that is dropped before [`finish`](AnswerChannel::finish)
+/// ends with [`AnswerCut`], so that no caller takes a part for the whole.
+pub struct AnswerChannel {
+    begin: Option<oneshot::Sender<CallerAnswer>>,
+    parts: mpsc::Sender<Bytes>,
+    whole: Rc<Cell<bool>>,
+}
+
+/// The receiving end: the body of the answer.
+pub struct AnswerParts {
+    parts: mpsc::Receiver<Bytes>,
+    whole: Rc<Cell<bool>>,
+    ended: bool,
+}
+
+impl AnswerChannel {
+    /// Both ends; the head of the answer goes into `begin`.
+    pub fn new(begin: oneshot::Sender<CallerAnswer>) -> (AnswerChannel, AnswerParts) {
+        let (sender, receiver) = mpsc::channel(PART_QUEUE);
+        let whole = Rc::new(Cell::new(false));
+        let channel = AnswerChannel { begin: Some(begin), parts: sender, whole: Rc::clone(&whole) };
+        (channel, AnswerParts { parts: receiver, whole, ended: false })
+    }
+
+    /// Whether the head has left.
+    pub fn has_begun(&self) -> bool {
+        self.begin.is_none()
+    }
+
+    /// Sends the head; a second one is ignored.
+    pub fn begin(&mut self, answer: CallerAnswer) {
+        if let Some(begin) = self.begin.take() {
+            // A caller that has gone ends the task of its request by itself.
+            let _ = begin.send(answer);
+        }
+    }
+
+    /// Sends a part; waits while the caller does not read.
+    pub async fn send(&self, part: Bytes) {
+        // A caller that has gone ends the task of its request by itself.
+        let _ = self.parts.send(part).await;
+    }
+
+    /// The parts sent so far are the whole answer.
+    pub fn finish(&self) {
+        self.whole.set(true);
+    }
+}
+
+impl Stream for AnswerParts {
+    type Item = Result<Bytes, AnswerCut>;
+
+    fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
+        if self.ended {
+            return Poll::Ready(None);
+        }
+        match self.parts.poll_recv(context) {
+            Poll::Pending => Poll::Pending,
+            Poll::Ready(Some(part)) => Poll::Ready(Some(Ok(part))),
+            Poll::Ready(None) => {
+                self.ended = true;
+                Poll::Ready((!self.whole.get()).then_some(Err(AnswerCut)))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/request/attempt.rs
@@ -0,0 +1,53 @@
+//! One attempt: a request is sent to one target, once.
+//!
+//! Owns: the exchange up to the head of the answer. Relies on: [`CallerProtocol`] for the head and its
+//! limits, `curlewcleat-targets` for what may have been written.
+//!
+//! [`CallerProtocol`]: super::CallerProtocol
+
+use curlewcleat_core::{RefusalReason, RetryReason, TargetEntry};
+use curlewcleat_targets::{Error, TargetAnswer};
+use spdlog::prelude::*;
+
+use super::protocol::{CallerProtocol, HeadVerdict, TargetAttempt};
+
+/// How an attempt began.
+pub enum AttemptStart {
+    /// The target answers.
+    Answer(Box<TargetAnswer>),
+    /// Provably nothing ran.
+    NotRun(RetryReason),
+    /// It may have run and there is no answer.
+    Failed(RefusalReason),
+}
+
+/// Sends a request to its target and waits for the head of the answer.
+pub async fn send(protocol: &dyn CallerProtocol, attempt: TargetAttempt<'_>) -> AttemptStart {
+    let request = attempt.request;
+    let limits = protocol.limits(request);
+    let connections = protocol.connections(&request.pool);
+    let connected = connections.connect(&attempt.target.address, limits.connect).await;
+    // Nothing is written before the connection stands.
+    let Ok(connection) = connected else { return AttemptStart::NotRun(RetryReason::ConnectFailed) };
+    let head = protocol.target_head(&attempt);
+    let options = protocol.exchange_options(request);
+    let exchange = connection.exchange_with(head, attempt.caller.body.sending(), &options);
+    let mut answer = match tokio::time::timeout(limits.head, exchange).await {
+        Ok(Ok(answer)) => answer,
+        Ok(Err(error)) => return AttemptStart::Failed(exchange_failed(attempt.target, &error)),
+        Err(_) => return AttemptStart::Failed(RefusalReason::FirstByteTimeout),
+    };
+    match protocol.judge_head(request, &mut answer) {
+        HeadVerdict::Accepted => AttemptStart::Answer(Box::new(answer)),
+        HeadVerdict::NotRun => AttemptStart::NotRun(RetryReason::TargetNotStarted),
+        HeadVerdict::Foreign => AttemptStart::Failed(RefusalReason::TargetProtocol),
+    }
+}
+
+fn exchange_failed(target: &TargetEntry, error: &Error) -> RefusalReason {
+    debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
+    match error {
+        Error::Protocol(_) => RefusalReason::TargetProtocol,
+        _ => RefusalReason::TargetClosed,
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/request/own.rs
@@ -0,0 +1,250 @@
+//! The product's own interface towards callers and targets, as docs/CALLERS.md tells it.
+//!
+//! Owns: the connections of this thread to the targets of each pool. Relies on: files applied by
+//! operators for rules, pools and targets.
+
+mod prompt;
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use actix_http::body::BodySize;
+use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
+use actix_http::{HttpMessage, Request, RequestHead, ResponseHead, StatusCode};
+use curlewcleat_core::{
+    hash_token, PoolId, Refusal, RefusalReason, RequestId, ServiceAims, TargetPool,
+};
+use curlewcleat_targets::{ConnectionOptions, ConnectionPool, ExchangeOptions, TargetAnswer};
+
+use super::admitted::{AdmittedRequest, WorkEstimate};
+use super::answer::{AnswerContent, CallerAnswer};
+use super::body::{BodyOptions, RequestBody};
+use super::form::{AnswerForm, ByteForm};
+use super::problem::{problem_answer, REQUEST_ID};
+use super::protocol::{AttemptLimits, CallerProtocol, HeadVerdict, ProtocolOptions, TargetAttempt};
+use crate::context::DaemonContext;
+use crate::headers;
+
+/// Header with the urgency of a request (RFC 9218).
+const PRIORITY: HeaderName = HeaderName::from_static("priority");
+/// Lowest urgency that the header can tell (RFC 9218).
+const LOWEST_URGENCY: u8 = 7;
+
+/// Chosen, not measured: 64 KiB hold the whole of all but the longest prompts; the rest streams. One
+/// second is the least that `Retry-After` can tell in whole seconds.
+const OPTIONS: ProtocolOptions = ProtocolOptions {
+    body: BodyOptions { peek_limit: 64 << 10, empty: BodySize::None },
+    retry_after: Duration::from_secs(1),
+    cuts_at_deadline: false,
+};
+
+/// Callers and targets that speak the product's own interface.
+pub struct OwnProtocol {
+    context: DaemonContext,
+    /// Connections by pool and whether they are used again. Pools share none, so that no request
+    /// waits behind one of another pool.
+    connections: RefCell<BTreeMap<(PoolId, bool), ConnectionPool>>,
+}
+
+impl OwnProtocol {
+    /// The protocol for one thread.
+    pub fn new(context: DaemonContext) -> OwnProtocol {
+        OwnProtocol { context, connections: RefCell::default() }
+    }
+}
+
+impl CallerProtocol for OwnProtocol {
+    fn options(&self) -> &ProtocolOptions {
+        &OPTIONS
+    }
+
+    fn admit(
+        &self,
+        id: RequestId,
+        arrived: Instant,
+        request: &Request,
+    ) -> Result<AdmittedRequest, Refusal> {
+        let config = self.context.config();
+        if config.generation == 0 {
+            let retry_after = Some(OPTIONS.retry_after);
+            return Err(Refusal::not_run(RefusalReason::NoConfiguration, retry_after));
+        }
+        let not_run = |reason| Refusal::not_run(reason, None);
+        let head = request.headers();
+        let token = headers::bearer_token(head).ok_or(not_run(RefusalReason::Unauthorized))?;
+        let account =
+            config.account_of(&hash_token(token)).ok_or(not_run(RefusalReason::Unauthorized))?;
+        let lookup = |name: &str| headers::text(head, name);
+        let rule = config
+            .rule_for(request.method().as_str(), request.path(), &account.id, lookup)
+            .ok_or(not_run(RefusalReason::NoRule))?;
+        let tier = config.tiers.get(&rule.tier).ok_or(not_run(RefusalReason::NoRule))?;
+        let pool = config.pools.get(&rule.pool).ok_or(not_run(RefusalReason::NoRule))?;
+        let bad_header = |_| not_run(RefusalReason::BadHeader);
+        let time = headers::timeout(head).map_err(bad_header)?.unwrap_or(tier.deadline);
+        let key = headers::idempotency(head).map_err(bad_header)?.filter(|_| !rule.repeatable);
+        Ok(AdmittedRequest {
+            id,
+            attempt_id: String::new(),
+            arrived,
+            deadline: arrived + time,
+            account: Some(account.id.clone()),
+            rule: rule.clone(),
+            tier: tier.id.clone(),
+            rank: tier.rank,
+            pool: pool.clone(),
+            aims: ServiceAims::default(),
+            attempt_limit: None,
+            cost: 1,
+            work: WorkEstimate::default(),
+            key,
+        })
+    }
+
+    fn attempt_id<'r>(&self, _: &'r HeaderMap) -> &'r str {
+        ""
+    }
+
+    fn estimate(&self, request: &mut AdmittedRequest, body: &RequestBody) {
+        request.work = prompt::estimate(&request.pool, body);
+    }
+
+    fn check_sendable(&self, request: &AdmittedRequest) -> Result<(), RefusalReason> {
+        match request.time_left().is_zero() {
+            true => Err(RefusalReason::DeadlinePassed),
+            false => Ok(()),
+        }
+    }
+
+    fn connections(&self, pool: &TargetPool) -> ConnectionPool {
+        let defaults = ConnectionOptions::default();
+        let idle_count = if pool.reuse_connections { defaults.idle_count } else { 0 };
+        let options = ConnectionOptions { idle_count, ..defaults };
+        let key = (pool.id.clone(), pool.reuse_connections);
+        let mut connections = self.connections.borrow_mut();
+        connections.entry(key).or_insert_with(|| ConnectionPool::new(options)).clone()
+    }
+
+    fn limits(&self, request: &AdmittedRequest) -> AttemptLimits {
+        let limits = &request.pool.limits;
+        AttemptLimits {
+            connect: limits.connect,
+            head: limits.first_byte,
+            between_parts: limits.between_bytes,
+        }
+    }
+
+    fn target_head(&self, attempt: &TargetAttempt<'_>) -> RequestHead {
+        let mut head = RequestHead::default();
+        head.method = attempt.caller.method.clone();
+        head.uri = attempt.caller.uri.clone();
+        for (name, value) in attempt.caller.headers.iter() {
+            if headers::passes_to_target(name) {
+                head.headers.append(name.clone(), value.clone());
+            }
+        }
+        headers::set(&mut head.headers, REQUEST_ID, &attempt.request.id.to_string());
+        let urgency = attempt.request.rank.min(LOWEST_URGENCY);
+        headers::set(&mut head.headers, PRIORITY, &format!("u={urgency}"));
+        head
+    }
+
+    fn exchange_options(&self, _: &AdmittedRequest) -> ExchangeOptions {
+        ExchangeOptions::default()
+    }
+
+    fn judge_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
+        let named = headers::text(&answer.head.headers, REQUEST_ID.as_str());
+        if named.is_some_and(|named| named != request.id.to_string()) {
+            return HeadVerdict::Foreign;
+        }
+        match Some(answer.head.status.as_u16()) == request.pool.not_started_status {
+            true => HeadVerdict::NotRun,
+            false => HeadVerdict::Accepted,
+        }
+    }
+
+    /// A cut answer is resumed by the target that runs it; nothing is sent a second time.
+    fn may_repeat(&self, _: &AdmittedRequest) -> bool {
+        false
+    }
+
+    fn holds_answer(&self, _: &AdmittedRequest, _: StatusCode) -> bool {
+        false
+    }
+
+    fn answer_form(&self, request: &AdmittedRequest) -> Box<dyn AnswerForm> {
+        Box::new(ByteForm::new(&request.pool, request.key.is_some()))
+    }
+
+    fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer {
+        let length = headers::text(&head.headers, "content-length");
+        let passing = head.headers.iter().filter(|(name, _)| headers::passes_to_caller(name));
+        let mut answer = CallerAnswer {
+            status: head.status,
+            headers: passing.map(|(name, value)| (name.clone(), value.clone())).collect(),
+            content: AnswerContent::Parts(length.and_then(|text| text.parse().ok())),
+            close: false,
+        };
+        add_request_id(&mut answer, id);
+        answer
+    }
+
+    fn refusal_answer(&self, id: RequestId, refusal: &Refusal) -> CallerAnswer {
+        let mut answer = problem_answer(id, status_of(refusal.reason), refusal);
+        add_request_id(&mut answer, id);
+        if let Some(wait) = refusal.retry_after {
+            // The header counts whole seconds; rounding up never calls the caller back too early.
+            let seconds = wait.as_millis().div_ceil(1_000).max(1) as u64;
+            answer.headers.push((header::RETRY_AFTER, HeaderValue::from(seconds)));
+        }
+        answer.close |= refusal.reason == RefusalReason::Draining;
+        answer
+    }
+
+    fn config_age(&self) -> Option<Duration> {
+        None
+    }
+}
+
+fn add_request_id(answer: &mut CallerAnswer, id: RequestId) {
+    if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
+        answer.headers.push((REQUEST_ID, value));
+    }
+}
+
+fn status_of(reason: RefusalReason) -> StatusCode {
+    match reason {
+        RefusalReason::Unauthorized => StatusCode::UNAUTHORIZED,
+        RefusalReason::NoRule => StatusCode::NOT_FOUND,
+        RefusalReason::BadHeader | RefusalReason::BodyIncomplete => StatusCode::BAD_REQUEST,
+        RefusalReason::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        RefusalReason::AccountRate | RefusalReason::AccountQueue => StatusCode::TOO_MANY_REQUESTS,
+        RefusalReason::KeyInProgress
+        | RefusalReason::KeyMayHaveRun
+        | RefusalReason::KeyRan
+        | RefusalReason::KeyHistoryLost
+        | RefusalReason::KeyExpired => StatusCode::CONFLICT,
+        RefusalReason::ConnectFailed
+        | RefusalReason::TargetClosed
+        | RefusalReason::TargetProtocol => StatusCode::BAD_GATEWAY,
+        RefusalReason::FirstByteTimeout | RefusalReason::DeadlinePassed => {
+            StatusCode::GATEWAY_TIMEOUT
+        }
+        RefusalReason::NoConfiguration
+        | RefusalReason::RateUnknown
+        | RefusalReason::ConfigurationStale
+        | RefusalReason::Draining
+        | RefusalReason::EntryFull
+        | RefusalReason::QueueFull
+        | RefusalReason::ShedForHigherTier
+        | RefusalReason::TierShed
+        | RefusalReason::DeadlineUnreachable
+        | RefusalReason::WaitTooLong
+        | RefusalReason::NoTarget
+        | RefusalReason::KeyHomeUnreachable
+        | RefusalReason::KeyStoreFull
+        | RefusalReason::TargetNotStarted => StatusCode::SERVICE_UNAVAILABLE,
+    }
+}
--- a/crates/daemon/src/prompt.rs
+++ b/crates/daemon/src/request/own/prompt.rs
@@ -1,30 +1,24 @@
 //! What the scheduling reads out of a request's body: prompt size, prefix, asked output.
+//!
+//! Owns: the estimate for callers that send no token counts. Relies on: the pool's costs of a token.
 
 use std::borrow::Cow;
 use std::hash::Hasher;
 
-use curlewcleat_core::{PoolKind, TargetPool, WorkMicros};
+use curlewcleat_core::{PoolKind, TargetPool};
 use serde::Deserialize;
 use siphasher::sip::SipHasher13;
 
-/// Bytes of a prompt that count as one token.
+use crate::request::admitted::WorkEstimate;
+use crate::request::body::RequestBody;
+
+/// Bytes of a prompt that count as one token. Chosen: the usual rule of thumb for English text.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes of a prompt that make its prefix; shorter prompts have none.
+/// Bytes of a prompt that make its prefix; shorter prompts have none. Chosen, not measured.
 const PREFIX_BYTES: usize = 1_024;
-/// Tokens assumed where the request does not ask for a number.
+/// Tokens assumed where the request does not ask for a number. Chosen, not measured.
 const DEFAULT_OUTPUT: u64 = 256;
 
-/// Work of a request as estimated before it runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkEstimate {
-    /// Prompt work.
-    pub prompt: WorkMicros,
-    /// Other work.
-    pub output: WorkMicros,
-    /// Hash of the prompt's beginning.
-    pub prefix: Option<u64>,
-}
-
 #[derive(Deserialize)]
 struct PromptFields<'a> {
     #[serde(borrow, default)]
@@ -33,24 +27,23 @@
     max_tokens: Option<u64>,
 }
 
-/// Estimates the work of a request. `peeked` is the beginning of its body, `length` the whole
-/// body's length where it is known.
-pub fn estimate(
-    pool: &TargetPool,
-    peeked: &[u8],
-    whole: bool,
-    length: Option<u64>,
-) -> WorkEstimate {
+/// Estimates the work of a request from as much of its body as has been read.
+pub fn estimate(pool: &TargetPool, body: &RequestBody) -> WorkEstimate {
     if pool.kind == PoolKind::Service {
         return WorkEstimate { prompt: 0, output: pool.base_us, prefix: None };
     }
-    let fields = if whole { serde_json::from_slice::<PromptFields<'_>>(peeked).ok() } else { None };
+    let beginning: &[u8] = body.beginning();
+    // A body that is no such document is estimated by its length.
+    let fields = match body.is_whole() {
+        true => serde_json::from_slice::<PromptFields<'_>>(beginning).ok(),
+        false => None,
+    };
     let output_tokens =
         fields.as_ref().and_then(|fields| fields.max_tokens).unwrap_or(DEFAULT_OUTPUT);
     let prompt = fields.as_ref().and_then(|fields| fields.prompt.as_deref());
-    let text = prompt.map_or(peeked, str::as_bytes);
-    let bytes =
-        if prompt.is_some() { text.len() as u64 } else { length.unwrap_or(text.len() as u64) };
+    let text = prompt.map_or(beginning, str::as_bytes);
+    let length = body.length().filter(|_| prompt.is_none());
+    let bytes = length.unwrap_or(text.len() as u64);
     WorkEstimate {
         prompt: bytes / BYTES_PER_TOKEN * pool.prompt_token_us,
         output: pool.base_us + output_tokens * pool.output_token_us,
--- /dev/null
+++ b/crates/daemon/src/request/pass_on.rs
@@ -0,0 +1,162 @@
+//! The answer of a target on its way to the caller.
+//!
+//! Owns: the choice between passing parts on as they come and holding an answer until it is whole, and
+//! what a break in it means. Relies on: [`AnswerForm`](super::form::AnswerForm) for the position.
+
+use std::time::{Duration, Instant};
+
+use bytes::{Bytes, BytesMut};
+use curlewcleat_core::{AttemptEnd, RefusalReason, RetryReason, TargetEntry, Verdict};
+use curlewcleat_targets::{AnswerBody, TargetAnswer};
+use futures_util::StreamExt;
+
+use super::run::{AttemptVerdict, RequestRun};
+
+/// Longest answer in bytes that is held back until it is whole. Chosen, not measured: the platform's
+/// values have a megabyte at most.
+const WHOLE_LIMIT: usize = 1 << 20;
+/// Time to connect for a resumption. Chosen, not measured.
+const RESUME_CONNECT_LIMIT: Duration = Duration::from_secs(1);
+
+impl RequestRun {
+    /// Passes an answer on; it was sent for then.
+    pub(super) async fn pass_on(
+        &mut self,
+        answer: TargetAnswer,
+        target: &TargetEntry,
+        sent: Instant,
+    ) -> AttemptVerdict {
+        match self.protocol().holds_answer(&self.request, answer.head.status) {
+            true => self.pass_whole(answer, sent).await,
+            false => self.pass_parts(answer, target, sent).await,
+        }
+    }
+
+    /// Passes an answer on once it is whole; one that says that the target failed is kept as a
+    /// fallback where a further attempt may do better.
+    async fn pass_whole(&mut self, answer: TargetAnswer, sent: Instant) -> AttemptVerdict {
+        let TargetAnswer { head, body } = answer;
+        let Some(bytes) = collect(body).await else {
+            return self.broken(RefusalReason::TargetClosed);
+        };
+        if self.answer.has_begun() {
+            // The answer has begun at another target and cannot become this one.
+            return self.broken(RefusalReason::TargetProtocol);
+        }
+        let whole = self.protocol().caller_answer(self.request.id, &head).with_body(bytes);
+        if head.status.is_server_error() && self.protocol().may_repeat(&self.request) {
+            self.fallback = Some(whole);
+            return AttemptVerdict::Again(RetryReason::TargetFailed);
+        }
+        self.note_began();
+        self.answer.begin(whole);
+        self.verdict = Verdict::Ran;
+        AttemptVerdict::Served(AttemptEnd::Whole(sent.elapsed()))
+    }
+
+    /// Passes parts on as they come.
+    async fn pass_parts(
+        &mut self,
+        answer: TargetAnswer,
+        target: &TargetEntry,
+        sent: Instant,
+    ) -> AttemptVerdict {
+        let TargetAnswer { head, mut body } = answer;
+        self.form.begin(&head);
+        if !self.form.holds_head() {
+            self.begin_answer(&head);
+        }
+        let mut limit = self.part_limit();
+        loop {
+            let part = match tokio::time::timeout(limit, body.next()).await {
+                Ok(Some(Ok(part))) => self.form.push(part),
+                Ok(None) if self.form.is_whole() => break,
+                _ => match self.resume(target, limit).await {
+                    Some(rest) => {
+                        body = rest;
+                        continue;
+                    }
+                    None => return self.broken(RefusalReason::TargetClosed),
+                },
+            };
+            if part.is_empty() {
+                continue;
+            }
+            if !self.answer.has_begun() {
+                self.begin_answer(&head);
+                limit = self.part_limit();
+            }
+            if !self.pass(part).await {
+                return AttemptVerdict::Stalled;
+            }
+        }
+        // An answer without a single part begins here.
+        self.begin_answer(&head);
+        let rest = self.form.rest();
+        if !rest.is_empty() && !self.pass(rest).await {
+            return AttemptVerdict::Stalled;
+        }
+        self.answer.finish();
+        self.verdict = Verdict::Ran;
+        match self.form.is_paced() {
+            true => AttemptVerdict::Served(self.progress.stream_end(sent)),
+            false => AttemptVerdict::Served(AttemptEnd::Whole(sent.elapsed())),
+        }
+    }
+
+    fn begin_answer(&mut self, head: &actix_http::ResponseHead) {
+        if self.answer.has_begun() {
+            return;
+        }
+        self.note_began();
+        let answer = self.protocol().caller_answer(self.request.id, head);
+        self.answer.begin(answer);
+    }
+
+    /// Passes a part on; `false` where the caller has not read for too long.
+    async fn pass(&mut self, part: Bytes) -> bool {
+        self.progress.note_part(part.len());
+        let limit = self.service.context.settings.stall_limit;
+        tokio::time::timeout(limit, self.answer.send(part)).await.is_ok()
+    }
+
+    /// Asks the target for the rest of a cut answer; nothing runs again.
+    async fn resume(&mut self, target: &TargetEntry, limit: Duration) -> Option<AnswerBody> {
+        let connections = self.protocol().connections(&self.request.pool);
+        while let Some(head) = self.form.resumption() {
+            self.service.context.metrics.retry(RetryReason::StreamResumed);
+            let exchange = async {
+                let connection = connections.connect(&target.address, RESUME_CONNECT_LIMIT).await;
+                connection?.exchange(head, ()).await
+            };
+            match tokio::time::timeout(limit, exchange).await {
+                Ok(Ok(answer)) if answer.head.status.is_success() => return Some(answer.body),
+                // Each failure uses one of the resumptions up.
+                _ => {}
+            }
+        }
+        None
+    }
+
+    fn part_limit(&self) -> Duration {
+        self.protocol().limits(&self.request).between_parts
+    }
+
+    fn note_began(&self) {
+        let began = self.request.arrived.elapsed().as_secs_f64();
+        let metrics = &self.service.context.metrics;
+        metrics.began(began, &self.request.tier, &self.request.pool.id);
+    }
+}
+
+/// Reads an answer whole, `None` where it is cut or too long.
+async fn collect(mut body: AnswerBody) -> Option<Bytes> {
+    let mut bytes = BytesMut::new();
+    while let Some(part) = body.next().await {
+        bytes.extend_from_slice(&part.ok()?);
+        if bytes.len() > WHOLE_LIMIT {
+            return None;
+        }
+    }
+    Some(bytes.freeze())
+}
--- /dev/null
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -0,0 +1,56 @@
+//! How long may a request wait for a target? Its latency objectives, out of its rule and its headers.
+//!
+//! Inputs: the rule's objective (time to the first part that counts as in time), the time that the
+//! caller gives, the longest that callers of the rule have given, the time until the deadline; all are
+//! durations.
+//!
+//! The rule: a request may wait for [`WAIT_OBJECTIVES`] objectives, but for no more than
+//! [`WAIT_PERCENT`] of its time. A new request is refused at once where its forecast wait is above
+//! [`FORECAST_PERCENT`] of the objective, so that its caller can come back in time; one that has come
+//! back (it gives less time than others, [`RETRY_TIME_PERCENT`]) is refused only where the forecast is
+//! above the whole wait. A rule without an objective lets requests wait until their deadline.
+//!
+//! Owns: nothing; a pure function. Relies on: callers that give less time when they come back.
+
+use std::time::Duration;
+
+use curlewcleat_core::{AdmissionRule, ServiceAims, TierRank};
+
+/// Objectives for which a request may wait for a target. Callers of streams soon give up after that.
+/// From days of the users' bench; its own figure was not recorded.
+const WAIT_OBJECTIVES: u32 = 2;
+/// Part of its time for which a request may wait, in percent; a longer wait only keeps its caller from
+/// a better use of the time. From days of the users' bench; its own figure was not recorded.
+const WAIT_PERCENT: u32 = 40;
+/// Forecast wait above which a new request is refused at once, in percent of its objective. From days
+/// of the users' bench; its own figure was not recorded.
+const FORECAST_PERCENT: u32 = 60;
+/// A caller that gives less than this part of the longest time, in percent, has come back after a
+/// refusal. Chosen, not measured: callers that come back have lost at least the advised wait.
+const RETRY_TIME_PERCENT: u32 = 95;
+
+/// The objectives and limits of a request.
+pub fn objectives(
+    rule: &AdmissionRule,
+    asked: Option<Duration>,
+    longest: Duration,
+    time: Duration,
+    urgency: TierRank,
+) -> ServiceAims {
+    let aims = ServiceAims {
+        urgency,
+        length_guessed: true,
+        pause_limit: rule.service.pause_limit.unwrap_or(Duration::MAX),
+        ..ServiceAims::default()
+    };
+    let (Some(objective), Some(asked)) = (rule.service.objective, asked) else {
+        return ServiceAims { wait_limit: time, ..aims };
+    };
+    let wait_limit = (objective * WAIT_OBJECTIVES).min(time / 100 * WAIT_PERCENT);
+    let came_back = asked * 100 < longest * RETRY_TIME_PERCENT;
+    let forecast_limit = match came_back {
+        true => wait_limit,
+        false => (objective * FORECAST_PERCENT / 100).min(wait_limit),
+    };
+    ServiceAims { wait_limit, forecast_limit, first_by: objective, came_back, ..aims }
+}
--- /dev/null
+++ b/crates/daemon/src/request/profile/work.rs
@@ -0,0 +1,79 @@
+//! What does a request cost? Its work and its units of an account's rate, out of its headers.
+//!
+//! Owns: nothing; pure functions. Relies on: callers that tell the tokens of a request. What they do
+//! not tell, or tell unreadably, counts as none for the work and as the account's plain cost for the
+//! rate.
+
+use std::hash::Hasher;
+
+use actix_http::header::HeaderMap;
+use curlewcleat_core::{ClientAccount, PoolKind, RateUnit, TargetPool};
+use curlewcleat_platform::WireProfile;
+use siphasher::sip::SipHasher13;
+
+use crate::headers;
+use crate::request::admitted::WorkEstimate;
+
+/// The shared parts of a prompt make its prefix where they are at least one part in this many of it.
+/// Chosen, not measured: a smaller prefix saves less than a busier target costs.
+const PREFIX_DIVISOR: u64 = 2;
+
+/// Tokens of a request as its caller tells them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TokenCounts {
+    /// Of the prompt.
+    pub prompt: u64,
+    /// Of the answer at most.
+    pub output: u64,
+}
+
+/// The token counts that a header tells, `None` where it is missing or unreadable.
+pub fn token_counts(head: &HeaderMap, name: &str) -> Option<TokenCounts> {
+    let (prompt, output) = headers::text(head, name)?.split_once(',')?;
+    Some(TokenCounts { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
+}
+
+/// Units that a request counts against its account's shared rate.
+pub fn cost(account: &ClientAccount, tokens: Option<TokenCounts>) -> u64 {
+    match account.shared_rate.map(|rate| rate.unit) {
+        Some(RateUnit::Tokens(plain)) => {
+            tokens.map_or(plain, |tokens| tokens.prompt.saturating_add(tokens.output))
+        }
+        _ => 1,
+    }
+}
+
+/// Work of a request.
+pub fn estimate(
+    profile: &WireProfile,
+    pool: &TargetPool,
+    head: &HeaderMap,
+    tokens: Option<TokenCounts>,
+) -> WorkEstimate {
+    if pool.kind == PoolKind::Service {
+        return WorkEstimate { prompt: 0, output: pool.base_us, prefix: None };
+    }
+    let tokens = tokens.unwrap_or(TokenCounts { prompt: 0, output: 0 });
+    let hint = headers::text(head, profile.length_hint);
+    let hint = hint.and_then(|text| text.trim().parse::<f64>().ok()).map(|hint| hint as u64);
+    let parts = headers::text(head, profile.prompt_parts);
+    WorkEstimate {
+        prompt: tokens.prompt * pool.prompt_token_us,
+        output: pool.base_us + hint.unwrap_or(tokens.output) * pool.output_token_us,
+        prefix: parts.and_then(|parts| shared_prefix(parts, tokens.prompt)),
+    }
+}
+
+/// Hash of a prompt's shared parts, where they are a large part of it.
+fn shared_prefix(parts: &str, prompt: u64) -> Option<u64> {
+    let (shared, _) = parts.rsplit_once(',')?;
+    let sizes =
+        shared.split(',').filter_map(|part| part.rsplit_once(':')?.1.trim().parse::<u64>().ok());
+    let size: u64 = sizes.sum();
+    if size * PREFIX_DIVISOR < prompt {
+        return None;
+    }
+    let mut hasher = SipHasher13::new();
+    hasher.write(shared.as_bytes());
+    Some(hasher.finish())
+}
--- /dev/null
+++ b/crates/daemon/src/request/progress.rs
@@ -0,0 +1,75 @@
+//! What was seen of a request on its way, for its log line and for the scheduler's view of the target.
+//!
+//! Owns: times of the attempts and parts of one request.
+
+use std::time::{Duration, Instant};
+
+use curlewcleat_core::{AttemptEnd, StreamTiming};
+
+/// What was seen of a request.
+#[derive(Default)]
+pub struct RequestProgress {
+    /// Attempts sent.
+    pub attempts: u32,
+    /// When the latest attempt was sent.
+    pub sent: Option<Instant>,
+    /// When the first part of the answer came.
+    pub first: Option<Instant>,
+    /// Longest time between two parts.
+    pub longest_pause: Duration,
+    /// Parts passed on.
+    pub parts: u64,
+    /// Bytes passed on.
+    pub bytes: u64,
+    latest: Option<Instant>,
+    attempt: AttemptProgress,
+}
+
+/// What was seen of the latest attempt.
+#[derive(Default)]
+struct AttemptProgress {
+    first: Option<Instant>,
+    parts: u32,
+    pause: Duration,
+}
+
+impl RequestProgress {
+    /// An attempt is sent.
+    pub fn note_sent(&mut self) {
+        self.attempts += 1;
+        self.sent = Some(Instant::now());
+        self.attempt = AttemptProgress::default();
+    }
+
+    /// A part of the answer is passed on.
+    pub fn note_part(&mut self, bytes: usize) {
+        let now = Instant::now();
+        if let Some(latest) = self.latest {
+            let pause = now - latest;
+            self.longest_pause = self.longest_pause.max(pause);
+            if self.attempt.parts > 0 {
+                self.attempt.pause = self.attempt.pause.max(pause);
+            }
+        }
+        self.attempt.first.get_or_insert(now);
+        self.attempt.parts += 1;
+        self.first.get_or_insert(now);
+        self.latest = Some(now);
+        self.parts += 1;
+        self.bytes += bytes as u64;
+    }
+
+    /// What the target's scheduler learns of the latest attempt, which was sent then and is whole.
+    pub fn stream_end(&self, sent: Instant) -> AttemptEnd {
+        let attempt = &self.attempt;
+        let (Some(first), Some(latest)) = (attempt.first, self.latest) else {
+            return AttemptEnd::Whole(sent.elapsed());
+        };
+        AttemptEnd::Streamed(StreamTiming {
+            first: first.duration_since(sent),
+            rest: latest.duration_since(first),
+            parts: attempt.parts,
+            pause: attempt.pause,
+        })
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/request/run.rs
@@ -0,0 +1,327 @@
+//! The decisions about one request: it waits for a permit, is sent, is sent again or is given up.
+//!
+//! Owns: the request until its end. It alone sends it, and a further attempt is made only after proof
+//! that the earlier one did not run, or where the rule lets requests run more than once.
+//! Relies on: the node, which grants permits and counts attempts ([`PendingRequest`]).
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use actix_http::header::{self, HeaderName, HeaderValue};
+use actix_http::StatusCode;
+use bytes::Bytes;
+use curlewcleat_core::{
+    AttemptEnd, KeptAnswer, Refusal, RefusalReason, RequestId, RetryReason, TargetEntry, Verdict,
+};
+use curlewcleat_node::{CallerDecision, NodeEvent};
+use spdlog::prelude::*;
+
+use super::admitted::AdmittedRequest;
+use super::answer::{AnswerChannel, AnswerContent, CallerAnswer};
+use super::attempt::{send, AttemptStart};
+use super::form::AnswerForm;
+use super::problem::REQUEST_ID;
+use super::progress::RequestProgress;
+use super::protocol::{CallerProtocol, TargetAttempt};
+use super::{CallerRequest, RequestService};
+use crate::context::PendingRequest;
+
+/// Header that marks an answer which an earlier attempt with the same idempotency key got.
+const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
+
+/// How an attempt ended for its request.
+pub enum AttemptVerdict {
+    /// The request has its answer.
+    Served(AttemptEnd),
+    /// It goes to a further target, if the node has one.
+    Again(RetryReason),
+    /// It was not sent and is given up.
+    NotSent(RefusalReason),
+    /// It was sent and is given up.
+    Failed(AttemptEnd, RefusalReason),
+    /// The caller no longer reads its answer.
+    Stalled,
+}
+
+/// What the node decided.
+enum PermitOutcome {
+    /// The request may be sent to this target.
+    Granted(TargetEntry),
+    /// The node refuses it.
+    Refused(Refusal),
+    /// An earlier attempt with the same idempotency key got this answer.
+    Replayed(KeptAnswer),
+}
+
+/// One request on its way.
+pub struct RequestRun {
+    pub(super) service: Rc<RequestService>,
+    pub(super) request: AdmittedRequest,
+    caller: CallerRequest,
+    /// `None` once the node knows the end.
+    pending: Option<PendingRequest>,
+    pub(super) answer: AnswerChannel,
+    pub(super) form: Box<dyn AnswerForm>,
+    /// Whether any attempt may have run.
+    pub(super) verdict: Verdict,
+    /// A target's answer that the caller gets if no later attempt has a better one.
+    pub(super) fallback: Option<CallerAnswer>,
+    pub(super) progress: RequestProgress,
+}
+
+impl RequestRun {
+    /// A run of an admitted request.
+    pub(super) fn new(
+        service: Rc<RequestService>,
+        request: AdmittedRequest,
+        caller: CallerRequest,
+        pending: PendingRequest,
+        answer: AnswerChannel,
+    ) -> RequestRun {
+        let form = service.protocol.answer_form(&request);
+        RequestRun {
+            service,
+            request,
+            caller,
+            pending: Some(pending),
+            answer,
+            form,
+            verdict: Verdict::NotRun,
+            fallback: None,
+            progress: RequestProgress::default(),
+        }
+    }
+
+    /// Runs until the caller has its whole answer, or a final refusal.
+    pub async fn run(mut self) {
+        if !self.protocol().options().cuts_at_deadline {
+            return self.follow().await;
+        }
+        let deadline = tokio::time::Instant::from_std(self.request.deadline);
+        if tokio::time::timeout_at(deadline, self.follow()).await.is_err() {
+            self.end(AttemptEnd::Unused);
+            self.refuse(RefusalReason::DeadlinePassed);
+        }
+    }
+
+    pub(super) fn protocol(&self) -> &dyn CallerProtocol {
+        self.service.protocol.as_ref()
+    }
+
+    async fn follow(&mut self) {
+        loop {
+            let target = match self.wait_for_permit().await {
+                PermitOutcome::Granted(target) => target,
+                PermitOutcome::Refused(refusal) => {
+                    self.forget();
+                    return self.refuse_with(refusal);
+                }
+                PermitOutcome::Replayed(answer) => {
+                    self.forget();
+                    return self.answer.begin(replayed_answer(self.request.id, answer));
+                }
+            };
+            match self.attempt(&target).await {
+                AttemptVerdict::Served(end) => {
+                    self.log_served(&target);
+                    return self.end(end);
+                }
+                AttemptVerdict::Again(reason) => self.again(&target, reason),
+                AttemptVerdict::NotSent(reason) => {
+                    self.end(AttemptEnd::Unused);
+                    return self.refuse(reason);
+                }
+                AttemptVerdict::Failed(end, reason) => {
+                    self.log_attempt(&target, reason.code());
+                    self.log_cut(&target);
+                    self.end(end);
+                    return self.refuse(reason);
+                }
+                AttemptVerdict::Stalled => return self.give_up_caller(),
+            }
+        }
+    }
+
+    async fn wait_for_permit(&mut self) -> PermitOutcome {
+        let decision = match &mut self.pending {
+            Some(pending) => pending.decision().await,
+            None => None,
+        };
+        match decision {
+            Some(CallerDecision::Dispatch(_, target)) => PermitOutcome::Granted(target),
+            Some(CallerDecision::Refuse(refusal)) => PermitOutcome::Refused(refusal),
+            Some(CallerDecision::Replay(answer)) => PermitOutcome::Replayed(answer),
+            None => {
+                let retry_after = self.protocol().options().retry_after;
+                PermitOutcome::Refused(Refusal::not_run(RefusalReason::Draining, Some(retry_after)))
+            }
+        }
+    }
+
+    async fn attempt(&mut self, target: &TargetEntry) -> AttemptVerdict {
+        if let Err(reason) = self.protocol().check_sendable(&self.request) {
+            return AttemptVerdict::NotSent(reason);
+        }
+        let waited = self.request.arrived.elapsed().as_secs_f64();
+        let metrics = &self.service.context.metrics;
+        metrics.waited(waited, &self.request.tier, &self.request.pool.id);
+        let sent = Instant::now();
+        self.progress.note_sent();
+        // Whatever ends the wait from here on, the request may have run until its target says otherwise.
+        let before = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
+        let attempt = TargetAttempt {
+            request: &self.request,
+            caller: &self.caller,
+            target,
+            last_event: self.form.last_event(),
+        };
+        match send(self.service.protocol.as_ref(), attempt).await {
+            AttemptStart::Answer(answer) => self.pass_on(*answer, target, sent).await,
+            AttemptStart::Failed(reason) => self.broken(reason),
+            AttemptStart::NotRun(reason) => {
+                self.verdict = before;
+                if !self.caller.body.is_intact() {
+                    return AttemptVerdict::Failed(AttemptEnd::Failed, reason.final_refusal());
+                }
+                AttemptVerdict::Again(reason)
+            }
+        }
+    }
+
+    /// The attempt may have run and has no whole answer.
+    pub(super) fn broken(&mut self, reason: RefusalReason) -> AttemptVerdict {
+        self.form.restart();
+        if let Some(fault) = self.caller.body.fault() {
+            // The target is not to blame for what the caller sent.
+            return AttemptVerdict::Failed(AttemptEnd::Unused, fault.reason());
+        }
+        if self.protocol().may_repeat(&self.request) {
+            return AttemptVerdict::Again(RetryReason::StreamResumed);
+        }
+        AttemptVerdict::Failed(AttemptEnd::Failed, reason)
+    }
+
+    fn again(&mut self, target: &TargetEntry, reason: RetryReason) {
+        self.log_attempt(target, reason.code());
+        if let Some(pending) = &self.pending {
+            pending.not_run(AttemptEnd::Failed, reason);
+        }
+    }
+
+    /// The node decided the end itself.
+    fn forget(&mut self) {
+        if let Some(pending) = self.pending.take() {
+            pending.close();
+        }
+    }
+
+    /// Tells the node how the request ended.
+    fn end(&mut self, end: AttemptEnd) {
+        let Some(pending) = self.pending.take() else { return };
+        let request = &self.request;
+        self.service.context.metrics.end(self.verdict, &request.tier, &request.pool.id);
+        let kept = match self.verdict {
+            Verdict::Ran => self.form.kept_answer(),
+            Verdict::NotRun | Verdict::MayHaveRun => None,
+        };
+        pending.finish(NodeEvent::Finished(request.id, self.verdict, end, kept));
+    }
+
+    /// The caller does not read: dropping the request cancels it at the node and cuts its answer.
+    fn give_up_caller(&mut self) {
+        warn!("caller_stalled", kv: {
+            request = self.request.id.to_string(), offset = self.progress.bytes
+        });
+        self.service.context.metrics.caller_stalled();
+        self.pending = None;
+    }
+
+    fn refuse(&mut self, reason: RefusalReason) {
+        let retry_after = Some(self.protocol().options().retry_after);
+        self.refuse_with(Refusal { reason, verdict: self.verdict, retry_after });
+    }
+
+    /// Gives the caller its final answer, which is true about what ran. An answer that has begun is
+    /// cut, which dropping its channel does.
+    fn refuse_with(&mut self, mut refusal: Refusal) {
+        refusal.verdict = refusal.verdict.join(self.verdict);
+        let request = &self.request;
+        note_refusal(&self.service, request.id, &request.attempt_id, Some(request), &refusal);
+        if !self.answer.has_begun() {
+            let fallback = self.fallback.take();
+            let answer =
+                fallback.unwrap_or_else(|| self.protocol().refusal_answer(request.id, &refusal));
+            self.answer.begin(answer);
+        }
+    }
+
+    fn log_served(&self, target: &TargetEntry) {
+        let (request, progress) = (&self.request, &self.progress);
+        let since = |then: Option<Instant>| {
+            then.map_or(-1, |then| then.duration_since(request.arrived).as_millis() as i64)
+        };
+        info!("request_served", kv: {
+            request = request.id.to_string(), attempt = request.attempt_id.as_str(),
+            account = request.account.as_deref().unwrap_or_default(),
+            cost = request.cost, rule = request.rule.id.as_str(),
+            pool = request.pool.id.as_str(),
+            target = target.id.as_str(), attempts = progress.attempts,
+            prompt_work = request.work.prompt, output_work = request.work.output,
+            sent_ms = since(progress.sent), first_ms = since(progress.first),
+            end_ms = request.arrived.elapsed().as_millis() as i64, parts = progress.parts,
+            longest_pause_ms = progress.longest_pause.as_millis() as i64
+        });
+    }
+
+    fn log_attempt(&self, target: &TargetEntry, reason: &str) {
+        info!("attempt_failed", kv: {
+            request = self.request.id.to_string(), attempt = self.request.attempt_id.as_str(),
+            target = target.id.as_str(), reason
+        });
+    }
+
+    fn log_cut(&self, target: &TargetEntry) {
+        if !self.answer.has_begun() {
+            return;
+        }
+        warn!("answer_cut", kv: {
+            request = self.request.id.to_string(), target = target.id.as_str(),
+            offset = self.progress.bytes
+        });
+    }
+}
+
+/// Counts and logs a refusal.
+pub fn note_refusal(
+    service: &RequestService,
+    id: RequestId,
+    attempt: &str,
+    request: Option<&AdmittedRequest>,
+    refusal: &Refusal,
+) {
+    let tier = request.map_or("", |request| request.tier.as_str());
+    let pool = request.map_or("", |request| request.pool.id.as_str());
+    let account = request.and_then(|request| request.account.as_deref()).unwrap_or_default();
+    let config_age = service.protocol.config_age();
+    service.context.metrics.refusal(refusal.reason, tier, pool);
+    info!("request_refused", kv: {
+        request = id.to_string(), attempt, account,
+        cost = request.map_or(0, |request| request.cost),
+        reason = refusal.reason.code(), tier, pool,
+        may_have_run = refusal.verdict.may_have_run(),
+        held_ms = request.map_or(0, |request| request.arrived.elapsed().as_millis() as i64),
+        config_age_ms = config_age.map_or(-1, |age| age.as_millis() as i64)
+    });
+}
+
+/// The answer that an earlier attempt with the same idempotency key got.
+fn replayed_answer(id: RequestId, kept: KeptAnswer) -> CallerAnswer {
+    // Both were taken from a target's answer; what the daemon that kept them sent amiss is left out.
+    let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
+    let content_type = HeaderValue::from_str(&kept.content_type).ok();
+    let mut headers = vec![(REPLAYED, HeaderValue::from_static("true"))];
+    headers.extend(content_type.map(|value| (header::CONTENT_TYPE, value)));
+    headers.extend(HeaderValue::from_str(&id.to_string()).ok().map(|value| (REQUEST_ID, value)));
+    let content = AnswerContent::Whole(Bytes::from(kept.body));
+    CallerAnswer { status, headers, content, close: false }
+}
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -20,13 +20,12 @@
 use tokio::sync::mpsc;
 
 use crate::brain::BrainLoop;
-use crate::callers::serve_caller;
 use crate::context::{BrainMessage, DaemonContext};
-use crate::exchange::TargetClients;
 use crate::metrics::DaemonMetrics;
 use crate::operators::serve_operator;
 use crate::platform::follow_platform;
 use crate::reports::follow_targets;
+use crate::request::{OwnProtocol, RequestService};
 
 /// Time for which an unreachable platform may delay a planned stop.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(30);
@@ -132,12 +131,13 @@
     let server = builder
         .bind("callers", settings.caller_address.as_str(), move || {
             let context = caller_context.clone();
-            let clients = TargetClients::default();
+            let protocol = Box::new(OwnProtocol::new(context.clone()));
+            let service = RequestService::new(context, protocol);
             HttpService::build()
                 .client_request_timeout(head_limit)
                 .h1_allow_half_closed(false)
                 .h1(move |request| {
-                    let answer = serve_caller(context.clone(), clients.clone(), request);
+                    let answer = Rc::clone(&service).serve(request);
                     async move { Ok::<_, Infallible>(answer.await) }
                 })
                 .tcp()
