--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -10,7 +10,6 @@
 
 use anyhow::{Context, Result};
 use curlewcleat_acceptance::ready_fleet;
-use curlewcleat_adapter::format::{Daemon, Metadata, Object};
 use curlewcleat_config::{ApplyRecord, ConfigManifest, MANIFEST_KEY};
 use curlewcleat_core::{
     AttemptEnd, ConfigBundle, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessAsk, Heartbeat,
@@ -20,6 +19,7 @@
     StreamTiming, TablePush, TargetChange, TargetEntry, TargetsContent, TargetsPush, Verdict,
 };
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
+use curlewcleat_platform::format::{Daemon, Metadata, Object};
 use curlewcleat_standins::fleet::{get_json, Fleet};
 use rstest::rstest;
 use serde_json::Value;
@@ -34,7 +34,7 @@
     "crates/node",
     "crates/peers",
     "crates/targets",
-    "crates/platform",
+    "crates/store",
     "crates/daemon",
     "crates/tool",
     "platform",
--- a/crates/acceptance/tests/native.rs
+++ b/crates/acceptance/tests/native.rs
@@ -7,8 +7,8 @@
 use actix_http::{Method, RequestHead};
 use anyhow::Result;
 use bytes::Bytes;
-use curlewcleat_adapter::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST};
-use curlewcleat_adapter::names::{SEAL, SERVERS, WIRE_PROFILE};
+use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST};
+use curlewcleat_platform::names::{SEAL, SERVERS, WIRE_PROFILE};
 use curlewcleat_standins::fleet::{get_text, wait_until};
 use curlewcleat_standins::native::{EngineStep, NativeEngine, NativeFleet, StoreOutage};
 use curlewcleat_targets::{AnswerBody, ConnectionPool};
@@ -235,14 +235,16 @@
 }
 
 #[rstest]
-#[case::closed("closed", EngineStep::Close, 502)]
-#[case::failed("failed", EngineStep::Fail(500), 500)]
-#[case::silent("silent", EngineStep::Silent, 504)]
+#[case::closed("closed", EngineStep::Close, 502, "target_closed")]
+#[case::unnamed("unnamed", EngineStep::Unnamed, 502, "target_protocol")]
+#[case::failed("failed", EngineStep::Fail(500), 500, "failed")]
+#[case::silent("silent", EngineStep::Silent, 504, "first_byte_timeout")]
 #[actix_rt::test]
 async fn record_that_may_not_be_repeated_runs_once(
     #[case] name: &str,
     #[case] step: EngineStep,
     #[case] status: u16,
+    #[case] text: &str,
 ) -> Result<()> {
     let fleet = ready(&format!("once-{name}"), 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
@@ -251,6 +253,7 @@
     let begun = Instant::now();
     let answer = call.send(entry).await?;
     assert_eq!(answer.status, status);
+    assert!(answer.text.contains(text), "{}", answer.text);
     assert_eq!(answer.retry_after, None, "a promise that nothing ran");
     assert!(begun.elapsed() < Duration::from_millis(1_500));
     assert_eq!(runs(&fleet, "t"), 1);
--- a/crates/daemon/src/brain.rs
+++ b/crates/daemon/src/brain.rs
@@ -8,7 +8,7 @@
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_node::{CallerDecision, Node, NodeAction, NodeEvent, NodeNote, TableWrite};
 use curlewcleat_peers::PeerTransport;
-use curlewcleat_platform::{ObjectStore, PutOutcome};
+use curlewcleat_store::{ObjectStore, PutOutcome};
 use spdlog::prelude::*;
 use tokio::sync::mpsc;
 
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -16,8 +16,8 @@
 use curlewcleat_core::{DaemonId, Incarnation, WallTime};
 use curlewcleat_node::{FreshnessLimits, Node, NodeOptions, ReadDuty};
 use curlewcleat_peers::TransportCounts;
-use curlewcleat_platform::{DaemonRecord, FleetPlatform};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RateMargin, RetryLimits};
+use curlewcleat_store::{DaemonRecord, FleetPlatform};
 use spdlog::prelude::*;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -10,7 +10,7 @@
 
 use curlewcleat_core::{Generation, ObjectVersion};
 use curlewcleat_node::{FreshnessLimits, NodeEvent, ReadDuty};
-use curlewcleat_platform::{ConfigRead, DaemonRecord, Error, FleetPlatform, TargetWatch};
+use curlewcleat_store::{ConfigRead, DaemonRecord, Error, FleetPlatform, TargetWatch};
 use rand::Rng;
 use spdlog::prelude::*;
 use tokio::sync::{watch, Notify};
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{Context, Result};
 use clap::Parser;
-use curlewcleat_adapter::NativePlatform;
 use curlewcleat_config::{check_settings, PlatformKind};
+use curlewcleat_platform::FleetClient;
 
 /// Request scheduler for unlike engines.
 #[derive(Parser)]
@@ -50,7 +50,7 @@
     match settings.platform_kind {
         PlatformKind::Files => curlewcleatd::run_daemon(settings)?,
         PlatformKind::Fleet => {
-            let platform = NativePlatform::new(&settings.platform_address, settings.platform_limit);
+            let platform = FleetClient::new(&settings.platform_address, settings.platform_limit);
             curlewcleatd::run_fleet_daemon(settings, &arguments.settings, Box::new(platform))?;
         }
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -8,7 +8,7 @@
 use curlewcleat_core::ConfigBundle;
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_node::{ListedVm, NodeEvent};
-use curlewcleat_platform::{ObjectStore, Result, StoredObject, VmState};
+use curlewcleat_store::{ObjectStore, Result, StoredObject, VmState};
 use spdlog::prelude::*;
 
 use crate::context::DaemonContext;
@@ -86,9 +86,8 @@
             continue;
         }
         let object = store.get(&content_key(hash)).await?;
-        let object = object.ok_or(curlewcleat_platform::Error::Unclear(format!(
-            "content {hash} is not there yet"
-        )))?;
+        let object = object
+            .ok_or(curlewcleat_store::Error::Unclear(format!("content {hash} is not there yet")))?;
         let text = String::from_utf8(object.bytes).ok().filter(|text| content_hash(text) == *hash);
         let text = text.ok_or_else(|| unreadable(format!("content {hash} has another hash")))?;
         contents.insert(hash.clone(), text);
@@ -131,8 +130,8 @@
     Ok(())
 }
 
-fn unreadable(error: impl std::fmt::Display) -> curlewcleat_platform::Error {
-    curlewcleat_platform::Error::Protocol(error.to_string())
+fn unreadable(error: impl std::fmt::Display) -> curlewcleat_store::Error {
+    curlewcleat_store::Error::Protocol(error.to_string())
 }
 
 async fn follow_vms(store: Rc<dyn ObjectStore>, context: DaemonContext) {
@@ -167,7 +166,7 @@
     async fn failed(
         &mut self,
         call: &str,
-        error: &curlewcleat_platform::Error,
+        error: &curlewcleat_store::Error,
         context: &DaemonContext,
     ) {
         context.metrics.platform_error(call);
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -16,7 +16,7 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Request, RequestHead, ResponseHead, StatusCode};
 use curlewcleat_core::{Refusal, RefusalReason, RequestId, TargetPool, Verdict};
-use curlewcleat_platform::WireProfile;
+use curlewcleat_store::WireProfile;
 use curlewcleat_targets::{ConnectionOptions, ConnectionPool, ExchangeOptions, TargetAnswer};
 
 use super::admitted::AdmittedRequest;
--- a/crates/daemon/src/request/profile/work.rs
+++ b/crates/daemon/src/request/profile/work.rs
@@ -8,7 +8,7 @@
 
 use actix_http::header::HeaderMap;
 use curlewcleat_core::{ClientAccount, PoolKind, RateUnit, TargetPool};
-use curlewcleat_platform::WireProfile;
+use curlewcleat_store::WireProfile;
 use siphasher::sip::SipHasher13;
 
 use crate::headers;
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use curlewcleat_adapter::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY};
+use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY};
 use curlewcleat_standins::native::{EngineRun, NativeEngine};
 
 use crate::callers::{body_of, CallKind, CallOutcome, CallRecord};
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result};
-use curlewcleat_adapter::example::{example_config, DRIVERS_SECOND_KEY};
-use curlewcleat_adapter::format::{Config, Server};
-use curlewcleat_adapter::names::{CONFIG_KIND, CONFIG_NAME, DRAINING, READY, SERVERS};
+use curlewcleat_platform::example::{example_config, DRIVERS_SECOND_KEY};
+use curlewcleat_platform::format::{Config, Server};
+use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, DRAINING, READY, SERVERS};
 use curlewcleat_standins::fleet::{
     free_address, get_text, program_folder, spawn, wait_listening, wait_until, FleetProcess,
 };
--- a/crates/standins/src/native/engine.rs
+++ b/crates/standins/src/native/engine.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use curlewcleat_adapter::names::{SEAL, WIRE_PROFILE};
+use curlewcleat_platform::names::{SEAL, WIRE_PROFILE};
 
 use crate::http::{AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest};
 
@@ -28,6 +28,8 @@
     Twice,
     /// Answers whole without a length, and closes the connection.
     Unframed,
+    /// Runs it and answers without saying which request it answers.
+    Unnamed,
 }
 
 /// One request that reached an engine.
@@ -126,6 +128,7 @@
         match step {
             EngineStep::Fail(status) => connection.answer(status, &sealed, b"failed").await?,
             EngineStep::Close => return Ok(AfterAnswer::Close),
+            EngineStep::Unnamed => connection.answer(200, &[], b"anonymous").await?,
             EngineStep::Silent => {
                 connection.closed().await;
                 self.runs.borrow_mut()[place].left = true;
--- a/crates/standins/src/native/fleet.rs
+++ b/crates/standins/src/native/fleet.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use curlewcleat_adapter::example::example_config;
-use curlewcleat_adapter::format::{Config, Server};
-use curlewcleat_adapter::names::{CONFIG_KIND, CONFIG_NAME, READY, SERVERS};
+use curlewcleat_platform::example::example_config;
+use curlewcleat_platform::format::{Config, Server};
+use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, READY, SERVERS};
 use serde_json::to_value;
 
 use super::{NativeEngine, NativeStore};
--- a/crates/standins/src/native/store.rs
+++ b/crates/standins/src/native/store.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewcleat_adapter::names::OBJECTS;
+use curlewcleat_platform::names::OBJECTS;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 
--- /dev/null
+++ b/crates/store/src/http.rs
@@ -0,0 +1,114 @@
+//! The product's own object API (docs/PLATFORM.md).
+//!
+//! Owns: nothing but its client. Relies on: [`StoreClient`] for the exchange; versions travel as ETags.
+
+use std::time::Duration;
+
+use actix_http::header::{self, HeaderMap};
+use actix_http::{Method, StatusCode};
+use curlewcleat_core::ObjectVersion;
+use serde::de::DeserializeOwned;
+
+use crate::client::{refusal, StoreClient, StoreReply, StoreRequest};
+use crate::store::{Error, ObjectStore, PutOutcome, Result, StoreFuture, StoredObject, VmRecord};
+
+/// Client of the object API.
+pub struct HttpStore {
+    client: StoreClient,
+}
+
+impl HttpStore {
+    /// A client for `ip:port`; each call is given up after `limit`.
+    pub fn new(address: &str, limit: Duration) -> HttpStore {
+        HttpStore { client: StoreClient::new(address, limit) }
+    }
+
+    async fn read(&self, key: &str) -> Result<Option<StoredObject>> {
+        object(self.client.call(StoreRequest::get(format!("/objects/{key}"))).await?)
+    }
+
+    async fn wait(
+        &self,
+        key: &str,
+        known: ObjectVersion,
+        limit: Duration,
+    ) -> Result<Option<StoredObject>> {
+        let path = format!("/objects/{key}?after={known}&wait_ms={}", limit.as_millis());
+        object(self.client.watch(StoreRequest::get(path), limit).await?)
+    }
+
+    async fn read_json<T: DeserializeOwned>(&self, path: String) -> Result<T> {
+        self.client.call(StoreRequest::get(path)).await?.success()?.json()
+    }
+
+    async fn write(
+        &self,
+        key: &str,
+        expected: ObjectVersion,
+        bytes: Vec<u8>,
+    ) -> Result<PutOutcome> {
+        let request = StoreRequest::write(Method::PUT, format!("/objects/{key}"), bytes);
+        let request = match expected {
+            0 => request.header(header::IF_NONE_MATCH, "*".to_string()),
+            version => request.header(header::IF_MATCH, format!("\"{version}\"")),
+        };
+        let reply = self.client.call(request).await?;
+        if reply.status == StatusCode::PRECONDITION_FAILED {
+            return Ok(PutOutcome::Conflict);
+        }
+        let version = version(&reply.success()?.headers);
+        let version = version.ok_or_else(|| Error::Protocol("a write without ETag".to_string()))?;
+        Ok(PutOutcome::Stored(version))
+    }
+}
+
+impl ObjectStore for HttpStore {
+    fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<StoredObject>> {
+        Box::pin(self.read(key))
+    }
+
+    fn put<'a>(
+        &'a self,
+        key: &'a str,
+        expected: ObjectVersion,
+        bytes: Vec<u8>,
+    ) -> StoreFuture<'a, PutOutcome> {
+        Box::pin(self.write(key, expected, bytes))
+    }
+
+    fn watch<'a>(
+        &'a self,
+        key: &'a str,
+        known: ObjectVersion,
+        limit: Duration,
+    ) -> StoreFuture<'a, Option<StoredObject>> {
+        Box::pin(self.wait(key, known, limit))
+    }
+
+    fn list<'a>(&'a self, prefix: &'a str) -> StoreFuture<'a, Vec<String>> {
+        Box::pin(self.read_json(format!("/objects?prefix={prefix}")))
+    }
+
+    fn vms(&self) -> StoreFuture<'_, Vec<VmRecord>> {
+        Box::pin(self.read_json("/vms".to_string()))
+    }
+}
+
+/// The object of an answer, `None` where there is none, or none that is newer.
+fn object(reply: StoreReply) -> Result<Option<StoredObject>> {
+    match reply.status {
+        StatusCode::OK => {
+            let version = version(&reply.headers);
+            let version =
+                version.ok_or_else(|| Error::Protocol("an object without ETag".to_string()))?;
+            Ok(Some(StoredObject { version, bytes: reply.body }))
+        }
+        StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
+        status => Err(refusal(status)),
+    }
+}
+
+fn version(headers: &HeaderMap) -> Option<ObjectVersion> {
+    let tag = headers.get(header::ETAG)?.to_str().ok()?;
+    tag.trim_matches('"').parse().ok()
+}
--- a/crates/tool/src/apply.rs
+++ b/crates/tool/src/apply.rs
@@ -7,7 +7,7 @@
     check_files, content_hash, content_key, parse_manifest, ApplyOptions, ApplyResult,
     ConfigManifest, FileTexts, MANIFEST_KEY,
 };
-use curlewcleat_platform::{run_apply, HttpStore, ObjectStore};
+use curlewcleat_store::{run_apply, HttpStore, ObjectStore};
 
 use crate::arguments::{ApplyArguments, Arguments, FileArguments};
 use crate::{daemons, files, ToolExit};
--- a/crates/tool/src/show.rs
+++ b/crates/tool/src/show.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, Result};
 use curlewcleat_config::check_files;
-use curlewcleat_platform::{ObjectStore, VmState};
+use curlewcleat_store::{ObjectStore, VmState};
 use serde_json::{json, Value};
 
 use crate::apply::{manifest, store, texts};
