--- /dev/null
+++ b/crates/daemon/src/assembly.rs
@@ -0,0 +1,83 @@
+//! Puts a daemon together and runs it until its planned stop is complete.
+//!
+//! Owns: the order of start and stop. Relies on: [`PlatformParts`] for what the platform kind adds.
+
+use std::sync::Arc;
+
+use anyhow::{anyhow, Context, Result};
+use curlewcleat_config::DaemonSettings;
+use curlewcleat_core::{DaemonId, Incarnation};
+use curlewcleat_node::{Node, NodeEvent};
+use curlewcleat_peers::{NngTransport, PeerTransport, TransportCounts};
+use spdlog::prelude::*;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::sync::mpsc;
+
+use crate::context::{DaemonContext, NodeMessage};
+use crate::metrics::DaemonMetrics;
+use crate::node_loop::NodeLoop;
+use crate::parts::PlatformParts;
+
+/// Runs a daemon.
+///
+/// # Errors
+/// Where an address cannot be bound.
+pub fn run_daemon(settings: DaemonSettings, parts: Box<dyn PlatformParts>) -> Result<()> {
+    actix_rt::System::new().block_on(run(settings, parts))
+}
+
+async fn run(settings: DaemonSettings, mut parts: Box<dyn PlatformParts>) -> Result<()> {
+    let incarnation: Incarnation = rand::random();
+    let me = DaemonId { vm: settings.vm.clone(), incarnation };
+    let counts = Arc::new(TransportCounts::default());
+    let metrics = Arc::new(DaemonMetrics::new(Arc::clone(&counts)).context("metrics")?);
+    let (sender, messages) = mpsc::unbounded_channel();
+    let context = DaemonContext::new(settings.clone(), metrics, sender.clone());
+
+    // The peer address is bound first: a process that has it knows that no earlier one lives here.
+    let transport = listen_for_peers(&settings, counts, sender)?;
+    let node = Node::new(parts.node_options(&settings, me.clone(), context.wall()));
+    let server = parts.serve(&context).await?;
+    parts.follow(&context, me)?;
+    watch_signals(context.clone())?;
+    info!("started", kv: { vm = settings.vm.as_str(), incarnation });
+
+    NodeLoop::new(node, context, transport, parts).run(messages).await;
+    server.close().await;
+    info!("ended", kv: { vm = settings.vm.as_str() });
+    Ok(())
+}
+
+fn listen_for_peers(
+    settings: &DaemonSettings,
+    counts: Arc<TransportCounts>,
+    sender: mpsc::UnboundedSender<NodeMessage>,
+) -> Result<Box<dyn PeerTransport>> {
+    let (frames, mut received) = mpsc::unbounded_channel();
+    let transport = NngTransport::listen(&settings.peer_address, frames, counts)
+        .map_err(|error| anyhow!("peers: bind {}: {error}", settings.peer_address))?;
+    actix_rt::spawn(async move {
+        while let Some(frame) = received.recv().await {
+            if sender.send(NodeMessage::Event(NodeEvent::Peer(frame))).is_err() {
+                return;
+            }
+        }
+    });
+    Ok(Box::new(transport))
+}
+
+/// A termination signal begins the planned stop.
+fn watch_signals(context: DaemonContext) -> Result<()> {
+    let mut terminate = signal(SignalKind::terminate()).context("signals")?;
+    let mut interrupt = signal(SignalKind::interrupt()).context("signals")?;
+    actix_rt::spawn(async move {
+        loop {
+            tokio::select! {
+                _ = terminate.recv() => {}
+                _ = interrupt.recv() => {}
+            }
+            context.tell(NodeEvent::Drain);
+        }
+    });
+    Ok(())
+}
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -13,7 +13,7 @@
 use crate::metrics::DaemonMetrics;
 
 /// What reaches the thread of the node.
-pub enum BrainMessage {
+pub enum NodeMessage {
     /// An event for the node.
     Event(NodeEvent),
     /// A caller's request; its decisions go into the sender.
@@ -35,25 +35,25 @@
     pub metrics: Arc<DaemonMetrics>,
     /// Configuration in force.
     config: Arc<RwLock<Arc<ActiveConfig>>>,
-    brain: mpsc::UnboundedSender<BrainMessage>,
+    node: mpsc::UnboundedSender<NodeMessage>,
     draining: Arc<AtomicBool>,
     bounds: Arc<RwLock<FleetBounds>>,
     born: Instant,
 }
 
 impl DaemonContext {
-    /// A context whose messages go into `brain`.
+    /// A context whose messages go into `node`.
     pub fn new(
         settings: DaemonSettings,
         metrics: Arc<DaemonMetrics>,
-        brain: mpsc::UnboundedSender<BrainMessage>,
+        node: mpsc::UnboundedSender<NodeMessage>,
     ) -> DaemonContext {
         DaemonContext {
             bounds: Arc::new(RwLock::new(settings.bounds.clone())),
             settings: Arc::new(settings),
             metrics,
             config: Arc::default(),
-            brain,
+            node,
             draining: Arc::default(),
             born: Instant::now(),
         }
@@ -124,7 +124,7 @@
     /// Offers a configuration to the node and waits until it is in force, or a newer one.
     pub async fn apply(&self, bundle: curlewcleat_core::ConfigBundle) {
         let (sender, receiver) = oneshot::channel();
-        if self.brain.send(BrainMessage::Apply(bundle, sender)).is_ok() {
+        if self.node.send(NodeMessage::Apply(bundle, sender)).is_ok() {
             let _ = receiver.await;
         }
     }
@@ -132,28 +132,28 @@
     /// Tells the node something.
     pub fn tell(&self, event: NodeEvent) {
         // The node's thread ends last, so a closed channel means that the process is ending.
-        let _ = self.brain.send(BrainMessage::Event(event));
+        let _ = self.node.send(NodeMessage::Event(event));
     }
 
     /// Hands a request to the node.
     pub fn admit(&self, spec: RequestSpec) -> PendingRequest {
         let (sender, decisions) = mpsc::unbounded_channel();
         let request = spec.request;
-        let _ = self.brain.send(BrainMessage::Admit(Box::new(spec), sender));
+        let _ = self.node.send(NodeMessage::Admit(Box::new(spec), sender));
         PendingRequest { request, decisions, context: self.clone(), open: true }
     }
 
     /// The node's status, `None` while the process ends.
     pub async fn status(&self) -> Option<NodeStatus> {
         let (sender, receiver) = oneshot::channel();
-        self.brain.send(BrainMessage::Status(sender)).ok()?;
+        self.node.send(NodeMessage::Status(sender)).ok()?;
         receiver.await.ok()
     }
 
     /// Texts of the configuration in force.
     pub async fn config_bundle(&self) -> Option<curlewcleat_core::ConfigBundle> {
         let (sender, receiver) = oneshot::channel();
-        self.brain.send(BrainMessage::Config(sender)).ok()?;
+        self.node.send(NodeMessage::Config(sender)).ok()?;
         receiver.await.ok()?
     }
 }
--- /dev/null
+++ b/crates/daemon/src/files.rs
@@ -0,0 +1,165 @@
+//! A daemon on the product's own object API, with files that operators apply.
+//!
+//! Owns: the server with a thread for each of `[callers] workers`, the calls for the key table. Relies
+//! on: [`ObjectStore`] for objects and the list of VMs.
+
+mod follow;
+
+use std::convert::Infallible;
+use std::rc::Rc;
+
+use actix_http::HttpService;
+use actix_server::{Server, ServerHandle};
+use anyhow::{Context, Result};
+use curlewcleat_config::DaemonSettings;
+use curlewcleat_core::{DaemonId, ObjectVersion, WallTime};
+use curlewcleat_keys::{KeyTable, TABLE_KEY};
+use curlewcleat_node::{NodeEvent, NodeOptions, PlatformCall, TableWrite};
+use curlewcleat_store::{Error, ObjectStore, PutOutcome, Result as StoreResult};
+use spdlog::prelude::*;
+
+use crate::context::DaemonContext;
+use crate::operators::serve_operator;
+use crate::parts::{node_options, CallerServer, LocalFuture, PlatformParts};
+use crate::reports::follow_targets;
+use crate::request::{OwnProtocol, RequestService};
+
+/// Seconds for the last bytes of answers to leave after the node has ended. Chosen, not measured.
+const FLUSH_LIMIT: u64 = 3;
+
+/// The parts of a daemon on the object API.
+pub struct FilesParts {
+    store: Rc<dyn ObjectStore>,
+}
+
+impl FilesParts {
+    /// Parts that use a store.
+    pub fn new(store: Rc<dyn ObjectStore>) -> FilesParts {
+        FilesParts { store }
+    }
+}
+
+impl PlatformParts for FilesParts {
+    fn node_options(&self, settings: &DaemonSettings, me: DaemonId, _: WallTime) -> NodeOptions {
+        node_options(settings, me)
+    }
+
+    fn serve<'a>(
+        &'a self,
+        context: &'a DaemonContext,
+    ) -> LocalFuture<'a, Result<Box<dyn CallerServer>>> {
+        Box::pin(async move {
+            let server = bind(context)?;
+            let handle = server.handle();
+            let task = actix_rt::spawn(server);
+            Ok(Box::new(ThreadedServer { handle, task }) as Box<dyn CallerServer>)
+        })
+    }
+
+    fn follow(&mut self, context: &DaemonContext, _: DaemonId) -> Result<()> {
+        follow::follow_platform(Rc::clone(&self.store), context.clone());
+        follow_targets(context.clone());
+        Ok(())
+    }
+
+    fn call(&self, context: &DaemonContext, call: PlatformCall) {
+        let (store, context) = (Rc::clone(&self.store), context.clone());
+        match call {
+            PlatformCall::ProposeTable(expected, table) => {
+                actix_rt::spawn(async move {
+                    let write = propose_table(store.as_ref(), &context, expected, table).await;
+                    context.tell(NodeEvent::TableWritten(write));
+                });
+            }
+            PlatformCall::ReadTable => {
+                actix_rt::spawn(async move { follow::read_table(store.as_ref(), &context).await });
+            }
+            // Each daemon reads the object API for itself.
+            PlatformCall::ConfigProved(_) | PlatformCall::Read(_) => {}
+        }
+    }
+}
+
+/// Stores a key table if the version is still `expected`.
+async fn propose_table(
+    store: &dyn ObjectStore,
+    context: &DaemonContext,
+    expected: ObjectVersion,
+    table: KeyTable,
+) -> TableWrite {
+    match put_table(store, expected, &table).await {
+        Ok(PutOutcome::Stored(version)) => TableWrite::Stored(version, table),
+        Ok(PutOutcome::Conflict) => TableWrite::ReadAgain,
+        Err(error) => {
+            context.metrics.platform_error("put_table");
+            warn!("key_table_write_unclear", kv: { error = error.to_string() });
+            TableWrite::ReadAgain
+        }
+    }
+}
+
+async fn put_table(
+    store: &dyn ObjectStore,
+    expected: ObjectVersion,
+    table: &KeyTable,
+) -> StoreResult<PutOutcome> {
+    let bytes = serde_json::to_vec(table).map_err(|error| Error::Protocol(error.to_string()))?;
+    store.put(TABLE_KEY, expected, bytes).await
+}
+
+/// Binds the callers' and the operators' addresses.
+fn bind(context: &DaemonContext) -> Result<Server> {
+    let settings = &context.settings;
+    let head_limit = settings.head_limit;
+    let caller_context = context.clone();
+    let operator_context = context.clone();
+    let builder = Server::build()
+        .workers(settings.workers)
+        .max_concurrent_connections(settings.connection_limit)
+        .shutdown_timeout(FLUSH_LIMIT)
+        .disable_signals();
+    let server = builder
+        .bind("callers", settings.caller_address.as_str(), move || {
+            let context = caller_context.clone();
+            let protocol = Box::new(OwnProtocol::new(context.clone()));
+            let service = RequestService::new(context, protocol);
+            HttpService::build()
+                .client_request_timeout(head_limit)
+                .h1_allow_half_closed(false)
+                .h1(move |request| {
+                    let answer = Rc::clone(&service).serve(request);
+                    async move { Ok::<_, Infallible>(answer.await) }
+                })
+                .tcp()
+        })
+        .with_context(|| format!("callers: bind {}", settings.caller_address))?
+        .bind("operators", settings.operator_address.as_str(), move || {
+            let context = operator_context.clone();
+            HttpService::build()
+                .client_request_timeout(head_limit)
+                .h1(move |request| {
+                    let answer = serve_operator(context.clone(), request);
+                    async move { Ok::<_, Infallible>(answer.await) }
+                })
+                .tcp()
+        })
+        .with_context(|| format!("operators: bind {}", settings.operator_address))?;
+    Ok(server.run())
+}
+
+/// A server with threads of its own.
+struct ThreadedServer {
+    handle: ServerHandle,
+    task: actix_rt::task::JoinHandle<std::io::Result<()>>,
+}
+
+impl CallerServer for ThreadedServer {
+    fn close(self: Box<Self>) -> LocalFuture<'static, ()> {
+        Box::pin(async move {
+            self.handle.stop(true).await;
+            if let Ok(Err(error)) = self.task.await {
+                error!("server_failed", kv: { error = error.to_string() });
+            }
+        })
+    }
+}
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,35 +1,34 @@
-//! The daemon on a platform that keeps the configuration itself and on which targets announce
+//! A daemon on a platform that keeps the configuration itself and on which targets announce
 //! themselves.
+//!
+//! Owns: what the node and the tasks that follow the platform tell each other ([`FleetLink`]), the
+//! options by which the daemons of a fleet share readers, rates and one scheduler. Relies on:
+//! [`FleetPlatform`] for calls.
 
 mod follow;
 mod reload;
 
 use std::path::Path;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response, StatusCode};
-use anyhow::{Context, Result};
+use anyhow::Result;
 use curlewcleat_config::DaemonSettings;
-use curlewcleat_core::{DaemonId, Incarnation, WallTime};
-use curlewcleat_node::{FreshnessLimits, Node, NodeOptions, ReadDuty};
-use curlewcleat_peers::TransportCounts;
+use curlewcleat_core::{DaemonId, WallTime};
+use curlewcleat_node::{FreshnessLimits, NodeOptions, PlatformCall, ReadDuty};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RateMargin, RetryLimits};
 use curlewcleat_store::{DaemonRecord, FleetPlatform};
-use spdlog::prelude::*;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 
 use self::reload::SettingsReloader;
-use crate::brain::BrainLoop;
 use crate::config_proof::ConfigProof;
 use crate::context::DaemonContext;
 use crate::listen::{listen, ListenOptions};
-use crate::metrics::DaemonMetrics;
 use crate::operators::serve_operator;
+use crate::parts::{node_options, CallerServer, LocalFuture, PlatformParts};
 use crate::request::{ProfileProtocol, RequestService};
-use crate::run::{listen_for_peers, node_options, watch_signals};
 
 /// Daemons that are born within this time of each other count as equally old.
 const BORN_TOGETHER: Duration = Duration::from_secs(4);
@@ -68,51 +67,85 @@
     }
 }
 
-/// Runs a daemon of a fleet.
-///
-/// # Errors
-/// Where an address cannot be bound.
-pub fn run_fleet_daemon(
-    settings: DaemonSettings,
-    settings_path: &Path,
-    platform: Box<dyn FleetPlatform>,
-) -> Result<()> {
-    let reloader = SettingsReloader::new(settings.clone(), settings_path);
-    actix_rt::System::new().block_on(run(settings, reloader, Rc::from(platform)))
+/// The parts of a daemon of a fleet.
+pub struct FleetParts {
+    platform: Rc<dyn FleetPlatform>,
+    link: Rc<FleetLink>,
+    /// `None` once it watches the settings file.
+    reloader: Option<SettingsReloader>,
 }
 
-async fn run(
-    settings: DaemonSettings,
-    reloader: SettingsReloader,
-    platform: Rc<dyn FleetPlatform>,
-) -> Result<()> {
-    let incarnation: Incarnation = rand::random();
-    let counts = Arc::new(TransportCounts::default());
-    let metrics = Arc::new(DaemonMetrics::new(Arc::clone(&counts)).context("metrics")?);
-    let (brain, messages) = mpsc::unbounded_channel();
-    let context = DaemonContext::new(settings.clone(), metrics, brain.clone());
-    let link = Rc::new(FleetLink::default());
-    let transport = listen_for_peers(&settings, counts, brain)?;
-    let node = Node::new(fleet_options(&settings, incarnation, context.wall()));
-    serve(&settings, &context, &platform, &link.proof).await?;
-    let me = DaemonId { vm: settings.vm.clone(), incarnation };
-    let record = DaemonRecord { daemon: me, address: settings.advertised_address.clone() };
-    let limits = freshness_limits(&settings);
-    follow::follow_fleet(platform, context.clone(), Rc::clone(&link), limits, record);
-    watch_signals(context.clone())?;
-    reloader.follow(context.clone())?;
-    info!("started", kv: { vm = settings.vm.as_str(), incarnation });
-
-    BrainLoop::new(node, context, transport, None, Some(link)).run(messages).await;
-    tokio::time::sleep(FLUSH_TIME).await;
-    info!("ended", kv: { vm = settings.vm.as_str() });
-    Ok(())
+impl FleetParts {
+    /// Parts that use a platform; `path` names the file from which the settings were read.
+    pub fn new(
+        platform: Rc<dyn FleetPlatform>,
+        settings: DaemonSettings,
+        path: &Path,
+    ) -> FleetParts {
+        let reloader = Some(SettingsReloader::new(settings, path));
+        FleetParts { platform, link: Rc::default(), reloader }
+    }
 }
 
+impl PlatformParts for FleetParts {
+    fn node_options(
+        &self,
+        settings: &DaemonSettings,
+        me: DaemonId,
+        started: WallTime,
+    ) -> NodeOptions {
+        fleet_options(settings, node_options(settings, me), started)
+    }
+
+    fn serve<'a>(
+        &'a self,
+        context: &'a DaemonContext,
+    ) -> LocalFuture<'a, Result<Box<dyn CallerServer>>> {
+        Box::pin(async move {
+            serve(context, self.platform.as_ref(), &self.link.proof).await?;
+            Ok(Box::new(LocalServer) as Box<dyn CallerServer>)
+        })
+    }
+
+    fn follow(&mut self, context: &DaemonContext, me: DaemonId) -> Result<()> {
+        let settings = &context.settings;
+        let record = DaemonRecord { daemon: me, address: settings.advertised_address.clone() };
+        let limits = freshness_limits(settings);
+        let (platform, link) = (Rc::clone(&self.platform), Rc::clone(&self.link));
+        follow::follow_fleet(platform, context.clone(), link, limits, record);
+        match self.reloader.take() {
+            Some(reloader) => reloader.follow(context.clone()),
+            None => Ok(()),
+        }
+    }
+
+    fn call(&self, context: &DaemonContext, call: PlatformCall) {
+        match call {
+            PlatformCall::ConfigProved(at) => {
+                self.link.proof.prove_by_peer(context.moment_of(at));
+            }
+            PlatformCall::Read(duty) => self.link.set_duty(duty),
+            // Requests carry their own ids, so a fleet has no key table.
+            PlatformCall::ProposeTable(..) | PlatformCall::ReadTable => {}
+        }
+    }
+}
+
+/// A server on the daemon's own thread; its listeners end with the process.
+struct LocalServer;
+
+impl CallerServer for LocalServer {
+    fn close(self: Box<Self>) -> LocalFuture<'static, ()> {
+        Box::pin(tokio::time::sleep(FLUSH_TIME))
+    }
+}
+
+/// Options of a node of a fleet. Requests carry their own ids and each meets one daemon, so there are
+/// no keys to keep.
 fn fleet_options(
     settings: &DaemonSettings,
-    incarnation: Incarnation,
-    born: WallTime,
+    options: NodeOptions,
+    started: WallTime,
 ) -> NodeOptions {
     let retries = RetryLimits {
         percent: settings.bounds.retry_percent,
@@ -120,16 +153,14 @@
         shared: true,
         window: settings.bounds.retry_window,
     };
-    let options = node_options(settings, incarnation);
     let entry = EntryOptions { retries, ..options.entry };
-    // Requests carry their own ids and each meets one daemon, so there are no keys to keep.
     // The other half of what may be exceeded is kept for the moments in which two daemons schedule.
     let rate_margin = RateMargin {
         percent: settings.bounds.rate_percent / 2,
         units: settings.bounds.rate_slack / 2,
         window: settings.bounds.rate_window,
     };
-    let born = born.as_secs() / BORN_TOGETHER.as_secs();
+    let born = started.as_secs() / BORN_TOGETHER.as_secs();
     let members = MemberOptions { mesh_limit: MESH_LIMIT, born, ..options.members };
     NodeOptions {
         entry,
@@ -150,11 +181,11 @@
 
 /// Binds the callers' and the operators' addresses.
 async fn serve(
-    settings: &DaemonSettings,
     context: &DaemonContext,
-    platform: &Rc<dyn FleetPlatform>,
+    platform: &dyn FleetPlatform,
     proof: &Rc<ConfigProof>,
 ) -> Result<()> {
+    let settings = &context.settings;
     let caller_context = context.clone();
     let callers = ListenOptions {
         head_limit: settings.head_limit,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,20 +1,23 @@
 //! The daemon of curlewcleat. Its decisions are made by `curlewcleat-node`; this crate gives them
 //! HTTP, peers, the platform, clocks, logs and metrics.
 
-mod brain;
+mod assembly;
 mod config_proof;
 mod context;
+mod files;
 mod fleet;
 mod headers;
 mod listen;
 mod logging;
 mod metrics;
+mod node_loop;
 mod operators;
-mod platform;
+mod parts;
 mod reports;
 mod request;
-mod run;
 
-pub use fleet::run_fleet_daemon;
+pub use assembly::run_daemon;
+pub use files::FilesParts;
+pub use fleet::FleetParts;
 pub use logging::start_logging;
-pub use run::run_daemon;
+pub use parts::PlatformParts;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -2,11 +2,14 @@
 
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::rc::Rc;
 
 use anyhow::{Context, Result};
 use clap::Parser;
 use curlewcleat_config::{check_settings, PlatformKind};
 use curlewcleat_platform::FleetClient;
+use curlewcleat_store::HttpStore;
+use curlewcleatd::{FilesParts, FleetParts, PlatformParts};
 
 /// Request scheduler for unlike engines.
 #[derive(Parser)]
@@ -47,12 +50,14 @@
         return Ok(ExitCode::SUCCESS);
     }
     curlewcleatd::start_logging(&settings.log_level)?;
-    match settings.platform_kind {
-        PlatformKind::Files => curlewcleatd::run_daemon(settings)?,
+    let (address, limit) = (&settings.platform_address, settings.platform_limit);
+    let parts: Box<dyn PlatformParts> = match settings.platform_kind {
+        PlatformKind::Files => Box::new(FilesParts::new(Rc::new(HttpStore::new(address, limit)))),
         PlatformKind::Fleet => {
-            let platform = FleetClient::new(&settings.platform_address, settings.platform_limit);
-            curlewcleatd::run_fleet_daemon(settings, &arguments.settings, Box::new(platform))?;
+            let platform = Rc::new(FleetClient::new(address, limit));
+            Box::new(FleetParts::new(platform, settings.clone(), &arguments.settings))
         }
-    }
+    };
+    curlewcleatd::run_daemon(settings, parts)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/daemon/src/brain.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -1,56 +1,51 @@
-//! The thread of the node: feeds it events and performs its actions.
+//! Drives the node: feeds it events on one thread and performs its actions.
+//!
+//! Owns: the node, and the senders into which the decisions about requests go. Relies on:
+//! [`PlatformParts`] for calls of the platform, the transport for frames to peers.
 
 use std::collections::BTreeMap;
-use std::rc::Rc;
 use std::time::Duration;
 
 use curlewcleat_core::{PeerFrame, RequestId};
-use curlewcleat_keys::{KeyTable, TABLE_KEY};
-use curlewcleat_node::{CallerDecision, Node, NodeAction, NodeEvent, NodeNote, TableWrite};
+use curlewcleat_node::{CallerDecision, Node, NodeAction, NodeEvent, NodeNote};
 use curlewcleat_peers::PeerTransport;
-use curlewcleat_store::{ObjectStore, PutOutcome};
 use spdlog::prelude::*;
 use tokio::sync::mpsc;
 
-use crate::context::{BrainMessage, DaemonContext};
-use crate::fleet::FleetLink;
-use crate::platform::read_table;
+use crate::context::{DaemonContext, NodeMessage};
+use crate::parts::PlatformParts;
 
-/// Time between looks at the clock.
+/// Time between looks at the clock. Chosen: a fifth of the least objective of the users' requests.
 const TICK: Duration = Duration::from_millis(20);
-/// Messages taken before the clock is looked at again.
+/// Messages taken before the clock is looked at again. Chosen, not measured.
 const BATCH: usize = 256;
 
 /// Owns the node and performs its actions.
-pub struct BrainLoop {
+pub struct NodeLoop {
     node: Node,
     context: DaemonContext,
     transport: Box<dyn PeerTransport>,
-    /// Where the key table is, if there is one.
-    store: Option<Rc<dyn ObjectStore>>,
-    /// What the tasks that follow a fleet's platform are told.
-    fleet: Option<Rc<FleetLink>>,
+    /// Makes the calls of the platform that the node wants made.
+    parts: Box<dyn PlatformParts>,
     callers: BTreeMap<RequestId, mpsc::UnboundedSender<CallerDecision>>,
     /// Frames by address; those of one batch go out as one.
     outgoing: BTreeMap<String, PeerFrame>,
     ended: bool,
 }
 
-impl BrainLoop {
+impl NodeLoop {
     /// A loop around a node.
     pub fn new(
         node: Node,
         context: DaemonContext,
         transport: Box<dyn PeerTransport>,
-        store: Option<Rc<dyn ObjectStore>>,
-        fleet: Option<Rc<FleetLink>>,
-    ) -> BrainLoop {
-        BrainLoop {
+        parts: Box<dyn PlatformParts>,
+    ) -> NodeLoop {
+        NodeLoop {
             node,
             context,
             transport,
-            store,
-            fleet,
+            parts,
             callers: BTreeMap::new(),
             outgoing: BTreeMap::new(),
             ended: false,
@@ -58,7 +53,7 @@
     }
 
     /// Runs until the planned stop is complete.
-    pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<BrainMessage>) {
+    pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<NodeMessage>) {
         let mut clock = tokio::time::interval(TICK);
         clock.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while !self.ended {
@@ -79,7 +74,7 @@
         self.transport.close();
     }
 
-    fn drain_batch(&mut self, messages: &mut mpsc::UnboundedReceiver<BrainMessage>) {
+    fn drain_batch(&mut self, messages: &mut mpsc::UnboundedReceiver<NodeMessage>) {
         for _ in 0..BATCH {
             match messages.try_recv() {
                 Ok(message) => self.message(message),
@@ -88,25 +83,25 @@
         }
     }
 
-    fn message(&mut self, message: BrainMessage) {
+    fn message(&mut self, message: NodeMessage) {
         match message {
-            BrainMessage::Event(event) => {
+            NodeMessage::Event(event) => {
                 if let NodeEvent::Finished(id, ..) | NodeEvent::Cancelled(id) = &event {
                     self.callers.remove(id);
                 }
                 self.event(event);
             }
-            BrainMessage::Admit(spec, sender) => {
+            NodeMessage::Admit(spec, sender) => {
                 self.callers.insert(spec.request, sender);
                 self.event(NodeEvent::Admit(spec));
             }
-            BrainMessage::Apply(bundle, sender) => {
+            NodeMessage::Apply(bundle, sender) => {
                 self.event(NodeEvent::ConfigRead(bundle));
                 let _ = sender.send(());
             }
             // An asker that has gone is no fault.
-            BrainMessage::Status(sender) => drop(sender.send(self.node.status())),
-            BrainMessage::Config(sender) => drop(sender.send(self.node.config_bundle().cloned())),
+            NodeMessage::Status(sender) => drop(sender.send(self.node.status())),
+            NodeMessage::Config(sender) => drop(sender.send(self.node.config_bundle().cloned())),
         }
     }
 
@@ -121,22 +116,11 @@
         match action {
             NodeAction::Send(address, frame) => self.queue_frame(address, frame),
             NodeAction::Decide(id, decision) => self.decide(id, decision),
-            NodeAction::ProposeTable(expected, table) => self.propose_table(expected, table),
-            NodeAction::ReadTable => self.read_table(),
+            NodeAction::Platform(call) => self.parts.call(&self.context, call),
             NodeAction::ConfigChanged => {
                 self.context.set_config(self.node.config());
                 self.transport.keep_only(&self.node.peer_addresses());
             }
-            NodeAction::ConfigProved(at) => {
-                if let Some(fleet) = &self.fleet {
-                    fleet.proof.prove_by_peer(self.context.moment_of(at));
-                }
-            }
-            NodeAction::ReadPlatform(duty) => {
-                if let Some(fleet) = &self.fleet {
-                    fleet.set_duty(duty);
-                }
-            }
             NodeAction::Count(reason) => self.context.metrics.retry(reason),
             NodeAction::Note(note) => {
                 if note == NodeNote::DrainBegun {
@@ -173,30 +157,6 @@
             self.context.tell(NodeEvent::Cancelled(id));
         }
     }
-
-    fn propose_table(&self, expected: u64, table: KeyTable) {
-        let Some(store) = self.store.clone() else { return };
-        let context = self.context.clone();
-        actix_rt::spawn(async move {
-            let bytes = serde_json::to_vec(&table).unwrap_or_default();
-            let write = match store.put(TABLE_KEY, expected, bytes).await {
-                Ok(PutOutcome::Stored(version)) => TableWrite::Stored(version, table),
-                Ok(PutOutcome::Conflict) => TableWrite::ReadAgain,
-                Err(error) => {
-                    context.metrics.platform_error("put_table");
-                    warn!("key_table_write_unclear", kv: { error = error.to_string() });
-                    TableWrite::ReadAgain
-                }
-            };
-            context.tell(NodeEvent::TableWritten(write));
-        });
-    }
-
-    fn read_table(&self) {
-        let Some(store) = self.store.clone() else { return };
-        let context = self.context.clone();
-        actix_rt::spawn(async move { read_table(store.as_ref(), &context).await });
-    }
 }
 
 fn log_note(note: &NodeNote) {
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -92,6 +92,19 @@
     Replay(KeptAnswer),
 }
 
+/// What a node wants of its platform.
+#[derive(Clone, Debug)]
+pub enum PlatformCall {
+    /// Store a key table if the version is still this one.
+    ProposeTable(ObjectVersion, KeyTable),
+    /// Read the key table.
+    ReadTable,
+    /// The configuration in force was the newest then, as a peer's read has shown.
+    ConfigProved(Uptime),
+    /// Read the platform from now on, or no longer.
+    Read(ReadDuty),
+}
+
 /// What a node wants done.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
@@ -99,16 +112,10 @@
     Send(String, PeerFrame),
     /// Answer a caller.
     Decide(RequestId, CallerDecision),
-    /// Store a key table if the version is still this one.
-    ProposeTable(ObjectVersion, KeyTable),
-    /// Read the key table.
-    ReadTable,
+    /// Make a call of the platform, or take note of what is said about them.
+    Platform(PlatformCall),
     /// A new configuration is in force.
     ConfigChanged,
-    /// The configuration in force was the newest then.
-    ConfigProved(Uptime),
-    /// Read the platform from now on, or no longer.
-    ReadPlatform(ReadDuty),
     /// Count a retry.
     Count(RetryReason),
     /// Tell the operators.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,7 +10,9 @@
 mod vms;
 mod wiring;
 
-pub use event::{CallerDecision, ListedVm, NodeAction, NodeEvent, NodeNote, TableWrite};
+pub use event::{
+    CallerDecision, ListedVm, NodeAction, NodeEvent, NodeNote, PlatformCall, TableWrite,
+};
 pub use freshness::{FreshnessLimits, PlatformFreshness, ReadDuty};
 pub use node::{Node, NodeOptions};
 pub use status::{NodeStatus, PoolStatus, TargetStatus};
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -7,7 +7,7 @@
 use curlewcleat_sched::DrainPhase;
 
 use super::Node;
-use crate::event::{NodeAction, NodeNote, TableWrite};
+use crate::event::{NodeAction, NodeNote, PlatformCall, TableWrite};
 
 /// Subject by which the daemon is chosen that proposes key tables.
 const TABLE_SUBJECT: &str = "key table";
@@ -38,7 +38,9 @@
                 self.proposing = false;
                 self.table_known(version, table);
             }
-            TableWrite::ReadAgain => self.actions.push(NodeAction::ReadTable),
+            TableWrite::ReadAgain => {
+                self.actions.push(NodeAction::Platform(PlatformCall::ReadTable))
+            }
         }
     }
 
@@ -56,7 +58,8 @@
         };
         if let Some(table) = proposal {
             self.proposing = true;
-            self.actions.push(NodeAction::ProposeTable(self.home.version(), table));
+            self.actions
+                .push(NodeAction::Platform(PlatformCall::ProposeTable(self.home.version(), table)));
         }
     }
 
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -10,7 +10,7 @@
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
 
 use super::{order_of, Node};
-use crate::event::{NodeAction, NodeNote};
+use crate::event::{NodeAction, NodeNote, PlatformCall};
 
 /// Time between pulls of peers' state.
 const PULL_PAUSE: Duration = Duration::from_millis(100);
@@ -173,7 +173,7 @@
     pub(super) fn key_answered(&mut self, answer: KeyAnswer) {
         if matches!(answer.decision, KeyDecision::NotHolder(version) if version > self.home.version())
         {
-            self.actions.push(NodeAction::ReadTable);
+            self.actions.push(NodeAction::Platform(PlatformCall::ReadTable));
         }
         let orders = &self.orders;
         let members = &self.members;
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -6,7 +6,7 @@
 };
 
 use super::Node;
-use crate::event::NodeAction;
+use crate::event::{NodeAction, PlatformCall};
 use crate::target_view::ViewUpdate;
 
 impl Node {
@@ -14,7 +14,7 @@
     pub(super) fn platform_read(&mut self, sent: Uptime) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         freshness.read(self.now, sent);
-        self.actions.push(NodeAction::ConfigProved(sent));
+        self.actions.push(NodeAction::Platform(PlatformCall::ConfigProved(sent)));
         self.review_freshness();
     }
 
@@ -43,7 +43,7 @@
         } else {
             // What is in force here is at least as new as what the peer's read showed.
             freshness.prove(self.now, read);
-            self.actions.push(NodeAction::ConfigProved(read));
+            self.actions.push(NodeAction::Platform(PlatformCall::ConfigProved(read)));
         }
         if answer.targets_at > self.targets.at() {
             self.post(&from.vm, PeerMessage::TargetsPull(self.targets.at()));
@@ -109,7 +109,7 @@
         let duty = freshness.duty(self.now, me, &self.order);
         if self.duty != duty {
             self.duty = duty;
-            self.actions.push(NodeAction::ReadPlatform(duty));
+            self.actions.push(NodeAction::Platform(PlatformCall::Read(duty)));
         }
         if !freshness.is_doubtful(self.now) && self.targets.settle() {
             self.renew_discovered();
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -11,7 +11,8 @@
 };
 use curlewcleat_keys::KeyHomeOptions;
 use curlewcleat_node::{
-    CallerDecision, FreshnessLimits, Node, NodeAction, NodeEvent, NodeOptions, ReadDuty,
+    CallerDecision, FreshnessLimits, Node, NodeAction, NodeEvent, NodeOptions, PlatformCall,
+    ReadDuty,
 };
 use curlewcleat_sched::{EntryOptions, MemberOptions, RequestSpec};
 
@@ -84,8 +85,10 @@
                         events.extend(self.delivery(index, &to, frame));
                     }
                     NodeAction::Decide(id, decision) => self.decisions.push((id, decision)),
-                    NodeAction::ReadPlatform(duty) => self.daemons[index].duty = duty,
-                    NodeAction::ConfigProved(at) => {
+                    NodeAction::Platform(PlatformCall::Read(duty)) => {
+                        self.daemons[index].duty = duty
+                    }
+                    NodeAction::Platform(PlatformCall::ConfigProved(at)) => {
                         let proved = &mut self.daemons[index].proved;
                         *proved = (*proved).max(Some(at));
                     }
