--- a/crates/sched/src/account.rs
+++ b/crates/sched/src/admission/account.rs
@@ -1,11 +1,14 @@
 //! Limits of one client account in one pool.
+//!
+//! Inputs: the account's rate in requests a second and its queue limit in requests, both from its
+//! section in the configuration. The rule: a request takes one token of a bucket that holds one second's
+//! worth of requests; where there is none, it is refused with the time until the next one.
 
 use std::time::Duration;
 
 use curlewcleat_core::Uptime;
 
-/// Millionths of a request, the unit of the bucket.
-const REQUEST: u64 = 1_000_000;
+use super::token_bucket::{TokenBucket, SCALE};
 
 /// What an account may do in a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -24,17 +27,16 @@
     }
 }
 
-/// A token bucket that holds one second's worth of requests.
+/// The rate of one account in one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RateBucket {
-    level: u64,
-    filled_at: Uptime,
+    tokens: TokenBucket,
 }
 
 impl RateBucket {
     /// A full bucket.
     pub fn new(rate_per_s: u32, now: Uptime) -> RateBucket {
-        RateBucket { level: capacity(rate_per_s), filled_at: now }
+        RateBucket { tokens: TokenBucket::new(capacity(rate_per_s), now) }
     }
 
     /// Takes one request out, or says how long it takes until one is there.
@@ -42,18 +44,18 @@
     /// # Errors
     /// The time until the next request fits.
     pub fn take(&mut self, rate_per_s: u32, now: Uptime) -> Result<(), Duration> {
-        let elapsed = now.saturating_sub(self.filled_at).as_micros() as u64;
-        self.filled_at = now;
-        self.level =
-            (self.level + elapsed.saturating_mul(u64::from(rate_per_s))).min(capacity(rate_per_s));
-        if self.level >= REQUEST {
-            self.level -= REQUEST;
+        self.tokens.refill(now, i128::from(rate_per_s), capacity(rate_per_s));
+        let missing = SCALE - self.tokens.level();
+        if missing <= 0 {
+            self.tokens.take(1);
             return Ok(());
         }
-        Err(Duration::from_micros((REQUEST - self.level) / u64::from(rate_per_s.max(1)) + 1))
+        let micros = missing / i128::from(rate_per_s.max(1)) + 1;
+        Err(Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX)))
     }
 }
 
-fn capacity(rate_per_s: u32) -> u64 {
-    u64::from(rate_per_s.max(1)) * REQUEST
+/// Scaled tokens of one second.
+fn capacity(rate_per_s: u32) -> i128 {
+    i128::from(rate_per_s.max(1)) * SCALE
 }
--- a/crates/sched/src/shed.rs
+++ b/crates/sched/src/admission/overload.rs
@@ -1,10 +1,13 @@
-//! The overload level of a pool: which tiers it refuses outright.
+//! Is a tier shed? The overload level of a pool: which tiers it refuses outright.
+//!
+//! The rule: when a tier is refused for want of capacity, every tier below it is refused outright; after
+//! [`LEVEL_HOLD`] without such a refusal the level falls by one tier. Model `levels`.
 
 use std::time::Duration;
 
 use curlewcleat_core::{TierRank, Uptime};
 
-/// Time without a capacity refusal after which the level falls by one tier.
+/// Time without a capacity refusal after which the level falls by one tier. Chosen, not measured.
 pub const LEVEL_HOLD: Duration = Duration::from_secs(1);
 
 /// Refuses every tier below a rank. It rises when a tier is refused for want of capacity, so that
--- a/crates/sched/src/rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -1,4 +1,10 @@
-//! Rates of client accounts that hold over all daemons together.
+//! Has an account room in its rate? Rates that hold over all daemons together.
+//!
+//! Inputs: the account's rate in units a second and its burst in units (configuration), the cost of the
+//! request in units, what the platform tolerates beyond (settings `[bounds] rate_*`), the daemons that
+//! this one reaches, whose turn it is. The rule: a request passes while the bucket is above zero and may
+//! take it below; otherwise it is refused with the time until the bucket, less what was promised to
+//! others before, is above zero again.
 //!
 //! The daemon that schedules keeps them, since every request asks it. Where daemons cannot reach each
 //! other, several may schedule at once; each then gives out only the part of the rate that belongs to
@@ -9,16 +15,15 @@
 
 use curlewcleat_core::{AccountId, SharedRate, Uptime};
 
-/// Shortest advice when to come back.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
-/// Longest advice when to come back.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// A daemon that is asked out of turn saves at most this part of a second's units, one in so many.
+use super::token_bucket::{TokenBucket, SCALE};
+use crate::advice::{LEAST_ADVICE, MOST_ADVICE};
+
+/// Divides a second's units into what a daemon that is asked out of turn may save. Chosen, not measured:
+/// little, since the daemon whose turn it is may have given the burst out.
 const OUT_OF_TURN_DIVISOR: i128 = 4;
-/// Windows in which the reserve of a deputy fills.
+/// Windows in which the reserve of a deputy fills. Chosen so that what is saved and what fills up within
+/// one window are the reserve together; model `rates`.
 const RESERVE_WINDOWS: i128 = 2;
-/// Scale of the units in a bucket, so that small rates do not round to nothing.
-const SCALE: i128 = 1_000_000;
 
 /// Whose turn it is to give out the rates, as a daemon sees itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -64,13 +69,12 @@
     }
 }
 
+/// The rate of one account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct UnitBucket {
-    /// Scaled units that may be given out now; below zero after a large request.
-    level: i128,
-    filled: Uptime,
+struct SharedBucket {
+    units: TokenBucket,
     /// Scaled units of requests that were told to come back and are expected before a newer one.
-    told: i128,
+    promised: i128,
 }
 
 /// What a bucket gains and holds.
@@ -86,7 +90,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AccountRates {
     margin: RateMargin,
-    buckets: BTreeMap<AccountId, UnitBucket>,
+    buckets: BTreeMap<AccountId, SharedBucket>,
     since: Uptime,
 }
 
@@ -116,26 +120,22 @@
     ) -> Result<(), Duration> {
         let flow = self.flow(rate, part);
         let since = self.since;
-        let bucket = self.buckets.entry(account.clone()).or_insert(UnitBucket {
-            level: 0,
-            filled: since,
-            told: 0,
-        });
-        let elapsed = now.saturating_sub(bucket.filled).as_micros() as i128;
-        bucket.filled = now;
-        let gained = elapsed * flow.per_s * SCALE / 1_000_000;
-        bucket.level = (bucket.level + gained).min(flow.limit);
-        bucket.told = (bucket.told - gained).max(0);
-        if bucket.level > 0 {
-            bucket.level -= i128::from(cost) * SCALE;
+        let bucket = self
+            .buckets
+            .entry(account.clone())
+            .or_insert_with(|| SharedBucket { units: TokenBucket::new(0, since), promised: 0 });
+        let gained = bucket.units.refill(now, flow.per_s, flow.limit);
+        bucket.promised = (bucket.promised - gained).max(0);
+        if bucket.units.level() > 0 {
+            bucket.units.take(cost);
             return Ok(());
         }
         // Those that were refused before are told to come back first.
-        let missing = (1 - bucket.level + bucket.told) / SCALE + 1;
-        bucket.told += i128::from(cost) * SCALE;
+        let missing = (1 - bucket.units.level() + bucket.promised) / SCALE + 1;
+        bucket.promised += i128::from(cost) * SCALE;
         let millis = missing * 1_000 / flow.per_s.max(1) + 1;
         let wait = Duration::from_millis(u64::try_from(millis).unwrap_or(u64::MAX));
-        Err(wait.clamp(SHORTEST_WAIT, LONGEST_WAIT))
+        Err(wait.clamp(LEAST_ADVICE, MOST_ADVICE))
     }
 
     /// What a bucket gains and holds.
@@ -165,7 +165,7 @@
     /// Gives units back that were taken for a request that is refused.
     pub fn give_back(&mut self, account: &AccountId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
-            bucket.level += i128::from(cost) * SCALE;
+            bucket.units.give_back(cost);
         }
     }
 }
--- /dev/null
+++ b/crates/sched/src/advice.rs
@@ -0,0 +1,41 @@
+//! What is a caller told that is refused? When to come back.
+//!
+//! Inputs: the estimated wait and the time left until the deadline, both durations, and the permit, whose
+//! random id spreads the advice. The rule: not before the wait is over; spread over [`SPREAD_PERCENT`] of
+//! the time left, so that those who are refused together do not come back together; never later than
+//! [`ADVICE_PERCENT`] of the time left, after which coming back is no use. Where nothing is known of the
+//! cause, [`DEFAULT_ADVICE`].
+//!
+//! Owns: every bound of an advice in this crate; no state.
+
+use std::time::Duration;
+
+use curlewcleat_core::PermitId;
+
+/// Shortest advice. Chosen, not measured: a few round trips.
+pub const LEAST_ADVICE: Duration = Duration::from_millis(100);
+/// Longest advice. Chosen, not measured.
+pub const MOST_ADVICE: Duration = Duration::from_secs(60);
+/// Advice where nothing better is known, and the least for a pool without room. Chosen, not measured.
+pub const DEFAULT_ADVICE: Duration = Duration::from_secs(1);
+/// Part of the time left over which returns are spread, in percent. From docs/MEASUREMENTS.md, row
+/// "forecasts shed no tier, returns spread"; the figure itself is chosen.
+const SPREAD_PERCENT: u32 = 25;
+/// Part of the time left after which there is no use in coming back, in percent. Chosen; all of the time
+/// left was worse (docs/MEASUREMENTS.md, "advice as long as all the time left").
+const ADVICE_PERCENT: u32 = 30;
+/// Steps in which returns are spread. Chosen: finer than a millisecond for the users' deadlines.
+const SPREAD_STEPS: u32 = 1_024;
+
+/// Advice when to come back: not before `wait`, and spread over a part of the time that is left.
+pub fn spread_advice(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
+    let drawn = (permit.request.as_u128() % u128::from(SPREAD_STEPS)) as u32;
+    let spread = time_left / 100 * SPREAD_PERCENT / SPREAD_STEPS * drawn;
+    let most = (time_left / 100 * ADVICE_PERCENT).max(LEAST_ADVICE);
+    (wait + spread).clamp(LEAST_ADVICE, most)
+}
+
+/// Advice for a pool that needs so long to take in what waits.
+pub fn capacity_advice(drain_time: Duration) -> Duration {
+    drain_time.clamp(DEFAULT_ADVICE, MOST_ADVICE)
+}
--- /dev/null
+++ b/crates/sched/src/election/order.rs
@@ -0,0 +1,79 @@
+//! Which daemon schedules a pool, and who follows it?
+//!
+//! Inputs: the reachable daemons that are not draining, and of each whether its view of the platform is
+//! stale, the processor of its VM in percent of a core, when it started. The rule: the first of the
+//! daemons with a fresh view, then on the strongest VM, since whoever schedules has a part in every
+//! request, then the longest running, so that a daemon that comes back takes no role away, then by
+//! rendezvous hashing. Every daemon works the order out for itself.
+//! docs/MEASUREMENTS.md, "the strongest VMs schedule" and "the oldest schedules".
+//!
+//! Owns: nothing; the state is [`MemberView`]'s.
+
+use std::cmp::Reverse;
+use std::hash::Hasher;
+
+use curlewcleat_core::DaemonId;
+use siphasher::sip::SipHasher13;
+
+use super::membership::MemberView;
+
+/// Place of a daemon in the order; the least goes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CandidateRank {
+    stale: bool,
+    capacity: Reverse<u32>,
+    started: u64,
+    weight: Reverse<u64>,
+}
+
+impl MemberView {
+    /// Reachable daemons that take roles, this one among them.
+    pub fn role_takers(&self) -> Vec<DaemonId> {
+        let peers = self.peers.iter().filter(|(_, peer)| peer.live && !peer.draining);
+        let mut takers: Vec<DaemonId> = peers
+            .map(|(vm, peer)| DaemonId { vm: vm.clone(), incarnation: peer.incarnation })
+            .collect();
+        if !self.draining {
+            takers.push(self.me.clone());
+        }
+        takers.sort();
+        takers
+    }
+
+    /// Daemons to ask for permits of a pool, best first; this one alone if nobody takes roles.
+    pub fn scheduler_order(&self, pool: &str) -> Vec<DaemonId> {
+        let mut takers = self.role_takers();
+        takers.sort_by_cached_key(|taker| self.rank_of(taker, pool));
+        if takers.is_empty() {
+            takers.push(self.me.clone());
+        }
+        takers
+    }
+
+    fn rank_of(&self, taker: &DaemonId, pool: &str) -> CandidateRank {
+        let weight = Reverse(hash_of_pair(pool, &taker.vm));
+        match self.peers.get(&taker.vm) {
+            Some(peer) => CandidateRank {
+                stale: peer.stale,
+                capacity: Reverse(peer.capacity),
+                started: peer.born,
+                weight,
+            },
+            None => CandidateRank {
+                stale: self.stale,
+                capacity: Reverse(self.options.capacity),
+                started: self.options.born,
+                weight,
+            },
+        }
+    }
+}
+
+/// Hash of two texts; the same on every daemon.
+pub(super) fn hash_of_pair(first: &str, second: &str) -> u64 {
+    let mut hasher = SipHasher13::new();
+    hasher.write(first.as_bytes());
+    hasher.write_u8(0);
+    hasher.write(second.as_bytes());
+    hasher.finish()
+}
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -4,11 +4,11 @@
 //! target. A request leaves the waiting phase exactly once per attempt, and a further attempt is
 //! made only after proof that the earlier one did not run.
 
+mod action;
+mod options;
 mod request;
-mod surface;
 
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 use curlewcleat_core::{
     AttemptEnd, DaemonId, KeptAnswer, KeyAnswer, KeyDecision, PermitAnswer, PermitDecision,
@@ -16,9 +16,13 @@
     TargetId, Uptime, Verdict, VmId,
 };
 
+pub use self::action::EntryAction;
+pub use self::options::{EntryOptions, RequestSpec};
 use self::request::{EntryRequest, RequestPhase};
-pub use self::surface::{EntryAction, EntryOptions, RequestSpec};
-use crate::budget::RetryBudget;
+use crate::advice::DEFAULT_ADVICE;
+use crate::election::unresponsive::UnresponsiveSchedulers;
+use crate::retry::budget::RetryBudget;
+use crate::retry::{decide_retry, RetryDecision, RetryInput};
 
 /// The requests that an entry owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -28,25 +32,22 @@
     /// Daemons that share the budgets.
     daemons: u64,
     requests: BTreeMap<RequestId, EntryRequest>,
-    /// Schedulers that were silent, and since when.
-    silent: BTreeMap<VmId, Uptime>,
+    unresponsive: UnresponsiveSchedulers,
 }
 
-/// A silent scheduler is passed over for at least so many times the time that it was waited for.
-const SILENCE_TIMES: u32 = 4;
-
 /// Daemons to ask for permits of a pool, best first.
 type SchedulerOrder<'a> = &'a dyn Fn(&str) -> Vec<DaemonId>;
 
 impl EntryRequests {
     /// An entry without requests.
     pub fn new(options: EntryOptions) -> EntryRequests {
+        let waited = options.ask_limit * options.ask_tries;
         EntryRequests {
+            unresponsive: UnresponsiveSchedulers::new(options.avoid_for, waited),
             options,
             budgets: BTreeMap::new(),
             daemons: 1,
             requests: BTreeMap::new(),
-            silent: BTreeMap::new(),
         }
     }
 
@@ -133,7 +134,7 @@
         from: &VmId,
         answer: PermitAnswer,
     ) -> Vec<EntryAction> {
-        self.silent.remove(from);
+        self.unresponsive.answered(from);
         match answer.decision {
             PermitDecision::Queued => self.queued(now, from, answer.permit),
             PermitDecision::Granted(target) => {
@@ -180,31 +181,28 @@
             request.avoid.push(target.clone());
         }
         request.attempt += 1;
-        if retry == RetryReason::TargetUnknown {
-            // Nothing was sent, so it counts as no attempt.
-            request.unsent += 1;
-            actions.push(EntryAction::Count(retry));
-            actions.extend(self.ask(now, id, order));
-            return actions;
-        }
-        request.failed = Some(retry);
-        // It was offered in time; from here on only its deadline counts.
-        request.wait_until = request.deadline;
-        let in_time = now < request.deadline;
-        let attempt_limit = request.spec.attempt_limit.unwrap_or(self.options.attempt_limit);
-        let attempts = request.attempt - request.unsent;
+        request.note_not_run(retry);
+        let input = RetryInput {
+            reason: retry,
+            attempts: request.attempt - request.unsent,
+            attempt_limit: request.spec.attempt_limit.unwrap_or(self.options.attempt_limit),
+            deadline: request.deadline,
+        };
         let pool = request.spec.pool.clone();
-        if in_time && attempts < attempt_limit && self.budget_of(&pool).spend(now) {
-            actions.push(EntryAction::Count(retry));
-            actions.extend(self.ask(now, id, order));
-            return actions;
-        }
-        let refusal = Refusal::not_run(retry.final_refusal(), Some(Duration::from_secs(1)));
-        // The permit is back already, so only the key is left to report.
-        if let Some(request) = self.requests.remove(&id) {
-            actions.extend(request.report(Verdict::NotRun, None));
+        match decide_retry(now, input, self.budget_of(&pool)) {
+            RetryDecision::Again => {
+                actions.push(EntryAction::Count(retry));
+                actions.extend(self.ask(now, id, order));
+            }
+            RetryDecision::GiveUp(reason) => {
+                // The permit is back already, so only the key is left to report.
+                if let Some(request) = self.requests.remove(&id) {
+                    actions.extend(request.report(Verdict::NotRun, None));
+                }
+                let refusal = Refusal::not_run(reason, Some(DEFAULT_ADVICE));
+                actions.push(EntryAction::Refuse(id, refusal));
+            }
         }
-        actions.push(EntryAction::Refuse(id, refusal));
         actions
     }
 
@@ -231,7 +229,10 @@
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             let Some(request) = self.requests.get(&id) else { continue };
-            let best = self.choose(now, &request.spec.pool, &request.unheard, order);
+            let candidates = order(&request.spec.pool);
+            let Some(best) = self.unresponsive.choose(now, &candidates, &request.unheard) else {
+                continue;
+            };
             match &request.phase {
                 RequestPhase::Waiting { scheduler, .. } if *scheduler != best => {
                     actions.extend(request.return_permit(AttemptEnd::Unused));
@@ -250,21 +251,15 @@
         actions
     }
 
-    /// A daemon was heard of, so it may be asked again: a scheduler that was silent because nothing had
-    /// reached it yet would otherwise be passed over long after. It is for some time all the same, since
-    /// it may be that nothing reaches it still.
+    /// A daemon was heard of, so it may be asked again.
     pub fn heard(&mut self, now: Uptime, vm: &VmId) {
-        let least = self.options.ask_limit * self.options.ask_tries * SILENCE_TIMES;
-        if self.silent.get(vm).is_some_and(|since| now >= *since + least) {
-            self.silent.remove(vm);
-        }
+        self.unresponsive.heard(now, vm);
     }
 
     /// Lets time pass: deadlines, silent schedulers, silent holders of keys.
     pub fn tick(&mut self, now: Uptime, order: SchedulerOrder<'_>) -> Vec<EntryAction> {
         let mut actions = Vec::new();
-        let avoid_for = self.options.avoid_for;
-        self.silent.retain(|_, since| now < *since + avoid_for);
+        self.unresponsive.tick(now);
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             let Some(request) = self.requests.get(&id) else { continue };
@@ -293,7 +288,7 @@
         actions.extend(request.report(Verdict::NotRun, None));
         let refusal = match request.phase {
             RequestPhase::Claiming { .. } => request.unreachable_home(),
-            _ => Refusal::not_run(RefusalReason::DeadlinePassed, Some(Duration::from_secs(1))),
+            _ => Refusal::not_run(RefusalReason::DeadlinePassed, Some(DEFAULT_ADVICE)),
         };
         actions.push(EntryAction::Refuse(id, refusal));
         actions
@@ -357,7 +352,7 @@
         }
         actions.extend(request.return_permit(AttemptEnd::Unused));
         request.unheard.push(scheduler.clone());
-        self.silent.insert(scheduler, now);
+        self.unresponsive.timed_out(now, scheduler);
         actions.extend(self.ask(now, id, order));
         actions
     }
@@ -446,7 +441,11 @@
 
     fn ask(&mut self, now: Uptime, id: RequestId, order: SchedulerOrder<'_>) -> Vec<EntryAction> {
         let Some(request) = self.requests.get(&id) else { return Vec::new() };
-        let scheduler = self.choose(now, &request.spec.pool, &request.unheard, order);
+        let candidates = order(&request.spec.pool);
+        let Some(scheduler) = self.unresponsive.choose(now, &candidates, &request.unheard) else {
+            return self
+                .drop_refused(id, Refusal::not_run(RefusalReason::NoTarget, Some(DEFAULT_ADVICE)));
+        };
         let ask = request.permit_ask(now);
         let phase = RequestPhase::Waiting {
             scheduler: scheduler.clone(),
@@ -458,20 +457,6 @@
         vec![EntryAction::AskPermit(scheduler, ask)]
     }
 
-    /// The best scheduler that was not silent lately, or the best one if all were.
-    /// One that was silent to this very request is asked again only after all others.
-    fn choose(&self, now: Uptime, pool: &str, unheard: &[VmId], order: SchedulerOrder<'_>) -> VmId {
-        let order = order(pool);
-        let talks = |daemon: &&DaemonId| {
-            let since = self.silent.get(&daemon.vm);
-            since.is_none_or(|since| now >= *since + self.options.avoid_for)
-        };
-        let asked = |daemon: &&DaemonId| unheard.contains(&daemon.vm);
-        let fresh = order.iter().find(|daemon| talks(daemon) && !asked(daemon));
-        let best = fresh.or(order.iter().find(talks)).or(order.first());
-        best.map(|daemon| daemon.vm.clone()).unwrap_or_default()
-    }
-
     /// So many daemons share the retry budgets.
     pub fn set_daemons(&mut self, daemons: u64) {
         self.daemons = daemons;
--- a/crates/sched/src/entry/surface.rs
+++ b/crates/sched/src/entry/options.rs
@@ -1,13 +1,10 @@
-//! What an entry is made with, what it is asked, and what it wants done.
+//! What an entry is made with, and what it is told of a request.
 
 use std::time::Duration;
 
-use curlewcleat_core::{
-    AccountId, KeptAnswer, KeyClaim, KeyOutcome, PermitAsk, PermitHeld, PermitId, PermitReturn,
-    PoolId, Refusal, RequestId, RetryReason, ServiceAims, TargetId, TierRank, VmId, WorkMicros,
-};
+use curlewcleat_core::{AccountId, PoolId, RequestId, ServiceAims, TierRank, WorkMicros};
 
-use crate::budget::RetryLimits;
+use crate::retry::budget::RetryLimits;
 
 /// Times and bounds of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -73,31 +70,3 @@
     /// The key of a request that may not be repeated, with the caller's attempt number.
     pub key: Option<(String, Option<u32>)>,
 }
-
-/// What an entry wants done.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum EntryAction {
-    /// Send a claim to the holder of the key.
-    ClaimKey(KeyClaim),
-    /// Tell the holder of the key how a claimed request ended.
-    ReportKey(KeyOutcome),
-    /// Send an ask to a scheduler.
-    AskPermit(VmId, PermitAsk),
-    /// Send a permit or an ask back to the scheduler that has it.
-    ReturnPermit(VmId, PermitReturn),
-    /// Tell a scheduler of a permit in use.
-    HoldPermit(VmId, PermitHeld),
-    /// Send the request to the target. Given once per permit.
-    Dispatch {
-        /// The attempt.
-        permit: PermitId,
-        /// Where to.
-        target: TargetId,
-    },
-    /// Answer the caller with a refusal.
-    Refuse(RequestId, Refusal),
-    /// Answer the caller with the kept answer of an earlier attempt.
-    Replay(RequestId, KeptAnswer),
-    /// Count a retry.
-    Count(RetryReason),
-}
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -1,13 +1,14 @@
 //! One request of an entry.
 
-use std::time::Duration;
-
-use super::surface::{EntryAction, RequestSpec};
 use curlewcleat_core::{
     AttemptEnd, KeptAnswer, KeyClaim, KeyOutcome, PermitAsk, PermitId, PermitReturn, Refusal,
     RefusalReason, RetryReason, ServiceAims, TargetId, Uptime, Verdict, VmId,
 };
 
+use super::action::EntryAction;
+use super::options::RequestSpec;
+use crate::advice::DEFAULT_ADVICE;
+
 /// Where a request stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum RequestPhase {
@@ -38,6 +39,18 @@
 }
 
 impl EntryRequest {
+    /// The latest attempt did not run.
+    pub fn note_not_run(&mut self, retry: RetryReason) {
+        if retry == RetryReason::TargetUnknown {
+            // Nothing was sent, so it counts as no attempt.
+            self.unsent += 1;
+            return;
+        }
+        self.failed = Some(retry);
+        // It was offered in time; from here on only its deadline counts.
+        self.wait_until = self.deadline;
+    }
+
     /// The permit of the present attempt.
     pub fn permit(&self) -> PermitId {
         PermitId { request: self.spec.request, attempt: self.attempt }
@@ -67,7 +80,7 @@
 
     /// The refusal where the holder of its key does not answer.
     pub fn unreachable_home(&self) -> Refusal {
-        let wait = Some(Duration::from_secs(1));
+        let wait = Some(DEFAULT_ADVICE);
         if self.first_attempt() {
             return Refusal::not_run(RefusalReason::KeyHomeUnreachable, wait);
         }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,33 +1,43 @@
-//! The decisions of curlewcleat as state machines without input or output: the queue and permits
-//! of a pool, the requests of an entry, the members, the drain.
+//! The decisions of curlewcleat as state machines without input or output.
 //!
-//! Time is passed in. The daemon, the tests, the benchmarks and the model checker run this code.
+//! | question | module | state |
+//! |---|---|---|
+//! | Is it admitted? | [`admission`] | level, rates and queue of a pool |
+//! | What goes first? | [`order`] | the queue of a pool |
+//! | Which target? | [`placement`] | what is believed of each target |
+//! | Is it tried again? | [`retry`] | the retry budget of an entry |
+//! | When is it given up, and what is it told? | [`entry`], [`advice`] | the requests of an entry |
+//! | Who decides? | [`election`] | the members |
+//!
+//! [`scheduler`] is what happens at the scheduler of a pool ([`pool`] is its state), [`entry`] what
+//! happens at the daemon that holds a caller's connection, [`drain`] the planned stop.
+//!
+//! Time is passed in. The daemon, the tests, the slopes and the model checker run this code.
 
-mod account;
-mod budget;
+mod admission;
+mod advice;
+mod decaying_ratio;
 mod drain;
+mod election;
 mod entry;
-mod flow;
-mod level;
-mod members;
-mod pace;
+mod order;
+mod placement;
 mod pool;
-mod prefix;
-mod queue;
-mod rate;
-mod shed;
-mod target;
+mod retry;
+mod scheduler;
 
-pub use account::{AccountLimit, RateBucket};
-pub use budget::{RetryBudget, RetryLimits};
+pub use admission::account::{AccountLimit, RateBucket};
+pub use admission::level_guard::{GuardStep, LevelGuard};
+pub use admission::overload::OverloadLevel;
+pub use admission::shared_rate::{AccountRates, RateMargin, RatePart, RateTurn};
+pub use advice::spread_advice;
 pub use drain::{DrainInput, DrainPhase, DrainState};
+pub use election::heartbeats::BeatReceiver;
+pub use election::membership::{MemberOptions, MemberView, PeerState};
 pub use entry::{EntryAction, EntryOptions, EntryRequests, RequestSpec};
-pub use level::{GuardStep, LevelGuard};
-pub use members::{BeatReceiver, MemberOptions, MemberView, PeerState};
-pub use pace::StreamPace;
-pub use pool::{spread_advice, PermitRecord, PoolOptions, PoolScheduler, SchedulerAction};
-pub use prefix::PrefixCache;
-pub use queue::{TierQueues, WaitingAsk};
-pub use rate::{AccountRates, RateMargin, RatePart, RateTurn};
-pub use shed::OverloadLevel;
-pub use target::TargetState;
+pub use order::queue::{TierQueues, WaitingAsk};
+pub use placement::pace::StreamPace;
+pub use placement::prefix::PrefixCache;
+pub use placement::target::TargetState;
+pub use pool::{PermitRecord, PoolOptions, PoolScheduler, SchedulerAction};
+pub use retry::budget::{RetryBudget, RetryLimits};
--- /dev/null
+++ b/crates/sched/src/order/priority.rs
@@ -0,0 +1,40 @@
+//! Where does a request stand among those of its account and tier?
+//!
+//! Inputs: when it arrived, its work in microseconds, the rank of its rule, whether it comes back after
+//! an early refusal, and `age_per_work` from the settings (`[scheduling]`). The rule: its place is the
+//! time of its arrival, later by [`URGENCY_AGE`] for each rank of its rule and by `age_per_work` for each
+//! microsecond of work, and earlier by [`HEAD_START`] where it has come back. The lowest place goes
+//! first. At 0 `age_per_work` serves the oldest first, at a large number the shortest;
+//! docs/MEASUREMENTS.md, "Rounds", has the figures for 0, 2, 8 and 32.
+
+use std::time::Duration;
+
+use curlewcleat_core::{DaemonId, PermitAsk, Uptime};
+
+use super::queue::WaitingAsk;
+use crate::pool::PoolScheduler;
+
+/// Age that makes up for one rank of the rule. Chosen longer than any request waits, so that a rule's
+/// rank goes before age (docs/MEASUREMENTS.md, "rule's rank, then age in a line").
+const URGENCY_AGE: Duration = Duration::from_secs(1_000);
+/// Age that a request is credited with that was refused before and came back as it was told. Chosen
+/// longer than requests wait, so that it goes before new ones (docs/MEASUREMENTS.md, "returns go first"
+/// and "returns without a head start").
+const HEAD_START: Duration = Duration::from_secs(60);
+
+impl PoolScheduler {
+    pub(crate) fn waiting_ask(&self, now: Uptime, entry: DaemonId, ask: PermitAsk) -> WaitingAsk {
+        let work = ask.prompt_work + ask.output_work;
+        let deadline = now + ask.time_left;
+        let estimate = self.fastest_estimate(&ask);
+        let wait_until = now.saturating_add(ask.aims.wait_limit);
+        let latest_start = deadline.saturating_sub(Duration::from_micros(estimate)).min(wait_until);
+        let urgency = URGENCY_AGE * u32::from(ask.aims.urgency);
+        let head_start = if ask.aims.came_back { HEAD_START } else { Duration::ZERO };
+        let order = now.saturating_sub(head_start)
+            + urgency
+            + Duration::from_micros(work * self.options.age_per_work);
+        let first_by = now.saturating_add(ask.aims.first_by);
+        WaitingAsk { entry, ask, deadline, first_by, wait_until, latest_start, order, work }
+    }
+}
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -1,5 +1,12 @@
-//! Waiting asks of a pool: tiers strictly by rank, fair shares between accounts inside a tier,
-//! and inside an account the short ones first, with age making up for length.
+//! The waiting requests of a pool, in the order in which they go.
+//!
+//! The rule: the highest tier first; inside it the account that was served the least work for its weight
+//! (start-time fair queueing, an idle account gets no credit); inside an account the lowest place
+//! ([`priority`](super)). A few requests behind the first are offered too, so that one that no target
+//! suits does not hold up the others.
+//!
+//! Owns: the waiting requests, and the work served to each account. Relies on: estimates of work in
+//! microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/sched/src/pool/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,4 +1,21 @@
-//! Which waiting ask goes next, and to which target.
+//! Which target gets a request?
+//!
+//! Inputs: the waiting request (work in microseconds, deadline, when its first part is due, targets that
+//! failed it), and of each target its room, learned pace, backlog of prompts, share of failures and data
+//! centre.
+//!
+//! The rule: of the targets with room ([`target`]) the one is taken that, in this order, makes no running
+//! stream pause for too long, begins the answer in time, ends it soonest (failing and far targets count
+//! longer), and is least loaded. A request waits instead where a busy target would end it in time and
+//! this one would not, or where another does not stall, as long as its first part is not due.
+//! docs/MEASUREMENTS.md, "placement by learned pace" and "near targets first", has what this gained.
+//!
+//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: [`pace`] and [`prefix`] for beliefs
+//! about targets.
+
+pub mod pace;
+pub mod prefix;
+pub mod target;
 
 use std::time::Duration;
 
@@ -6,18 +23,22 @@
     DaemonId, PermitAsk, PermitDecision, PermitId, TargetId, Uptime, WorkMicros,
 };
 
-use super::{micros, with_margin, PermitRecord, PoolScheduler, SchedulerAction};
-use crate::queue::WaitingAsk;
-use crate::target::TargetState;
+use self::target::TargetState;
+use crate::order::queue::WaitingAsk;
+use crate::pool::{micros, with_margin, PermitRecord, PoolScheduler, SchedulerAction};
 
-/// Accounts of each tier whose first ask is tried when the best one finds no target.
+/// Accounts of each tier whose first asks are tried when the best one finds no target. Chosen, not
+/// measured.
 const HEADS_TRIED: usize = 8;
-/// Reading prompts for this part of the longest allowed pause, in percent, stalls no stream.
+/// Reading prompts for up to this part of the longest allowed pause, in percent, stalls no stream.
+/// Chosen, not measured.
 const STALL_PERCENT: u32 = 70;
-/// How much more the time on a target of another data centre counts, in percent. A near target is taken
-/// unless a far one is several times as fast, or the near one would be late (docs/MEASUREMENTS.md).
+/// The time on a target of another data centre counts longer by this, in percent: a near target is taken
+/// unless a far one is several times as fast, or the near one would be late. From docs/MEASUREMENTS.md,
+/// "Far targets count", which has 15, 80, 250 and 800.
 const FAR_PERCENT: u64 = 250;
-/// Times that a target's time counts more where all its requests failed lately.
+/// The time on a target counts longer by this many times where all its requests failed lately. Chosen,
+/// not measured.
 const FAILING_PENALTY: u64 = 8;
 
 /// How well a target suits an ask; the least is the best.
@@ -41,10 +62,10 @@
     }
 
     /// Gives permits as long as the best waiting asks find targets with room.
-    pub(super) fn grant(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
+    pub(crate) fn grant(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
         while let Some((permit, target)) = self.next_grant(now) {
             let Some(waiting) = self.queues.take(&permit) else { return };
-            self.flow.granted(waiting.work, !self.queues.is_empty());
+            self.throughput.granted(waiting.work, !self.queues.is_empty());
             let Some(state) = self.targets.get_mut(&target) else { return };
             let estimate = state.estimate(&waiting.ask);
             let expected = estimate * 1_000 / state.slowness().max(1);
--- a/crates/sched/src/pace.rs
+++ b/crates/sched/src/placement/pace.rs
@@ -1,53 +1,36 @@
 //! How fast a target streams, learned from the streams that passed through.
+//!
+//! Inputs: of each whole stream the time to its first part, the time of the rest, its parts and its
+//! longest pause, and the work in microseconds that was estimated for it. The rule: times are learned as
+//! ratios to the estimated work, in exponentially weighted means; a new target is believed to be as fast
+//! as its pool; what is believed of an idle target approaches its pool, so that a belief that keeps
+//! requests away cannot keep itself alive. docs/MEASUREMENTS.md, "placement by learned pace", has what this gained.
 
 use std::time::Duration;
 
 use curlewcleat_core::{StreamTiming, Uptime, WorkMicros};
 
-/// A stream weighs one in this many in the learned pace of its target.
+use crate::decaying_ratio::DecayingRatio;
+
+/// A stream weighs one in this many in the learned pace of its target. Chosen, not measured.
 const TARGET_WEIGHT: u64 = 8;
-/// A stream weighs one in this many in the pace that is assumed of new targets.
+/// A stream weighs one in this many in the pace that is assumed of new targets. Chosen, not measured.
 const POOL_WEIGHT: u64 = 64;
-/// Time after which a long pause counts half.
+/// Half-life of a long pause. Chosen, not measured.
 const PAUSE_LIFE: Duration = Duration::from_secs(10);
-/// Work that every prompt has besides its tokens, so that short prompts do not look slow.
+/// Work in microseconds that every prompt has besides its tokens, so that short prompts do not look
+/// slow. Chosen, not measured.
 const PROMPT_BASE: WorkMicros = 50_000;
 
-/// A mean that follows what it is fed; both sums fade alike.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct FadingRatio {
-    above: u64,
-    below: u64,
-}
-
-impl FadingRatio {
-    fn feed(&mut self, above: u64, below: u64, weight: u64) {
-        self.above = self.above - self.above / weight + above;
-        self.below = self.below - self.below / weight + below;
-    }
-
-    fn fade_towards(&mut self, other: FadingRatio) {
-        self.above = self.above - self.above / TARGET_WEIGHT + other.above / TARGET_WEIGHT;
-        self.below = self.below - self.below / TARGET_WEIGHT + other.below / TARGET_WEIGHT;
-    }
-
-    /// `amount` times the ratio, `None` where nothing was fed.
-    fn of(&self, amount: u64) -> Option<u64> {
-        let scaled = u128::from(amount) * u128::from(self.above);
-        let ratio = scaled.checked_div(u128::from(self.below))?;
-        Some(u64::try_from(ratio).unwrap_or(u64::MAX))
-    }
-}
-
 /// Learned pace of a target, or of a whole pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StreamPace {
     /// Microseconds to the first part by estimated prompt work.
-    first: FadingRatio,
+    first: DecayingRatio,
     /// Microseconds by part.
-    part: FadingRatio,
+    part: DecayingRatio,
     /// Parts by estimated output work.
-    parts: FadingRatio,
+    parts: DecayingRatio,
     /// Longest pause lately, and when it was seen.
     pause: (Duration, Uptime),
     weight: u64,
@@ -57,9 +40,9 @@
     /// The pace of a pool about which nothing is known yet.
     pub fn of_pool() -> StreamPace {
         StreamPace {
-            first: FadingRatio::default(),
-            part: FadingRatio::default(),
-            parts: FadingRatio::default(),
+            first: DecayingRatio::default(),
+            part: DecayingRatio::default(),
+            parts: DecayingRatio::default(),
             pause: (Duration::ZERO, Duration::ZERO),
             weight: POOL_WEIGHT,
         }
@@ -67,7 +50,7 @@
 
     /// The pace that is assumed of a new target of a pool with this pace.
     pub fn of_new_target(&self) -> StreamPace {
-        let fade = |ratio: FadingRatio| FadingRatio {
+        let fade = |ratio: DecayingRatio| DecayingRatio {
             above: ratio.above * TARGET_WEIGHT / POOL_WEIGHT,
             below: ratio.below * TARGET_WEIGHT / POOL_WEIGHT,
         };
@@ -102,8 +85,8 @@
     /// What is believed of an idle target fades towards what holds for its pool.
     pub fn fade_towards(&mut self, pool: &StreamPace) {
         let usual = pool.of_new_target();
-        self.first.fade_towards(usual.first);
-        self.part.fade_towards(usual.part);
+        self.first.approach(usual.first, TARGET_WEIGHT);
+        self.part.approach(usual.part, TARGET_WEIGHT);
     }
 
     /// Time that the prompt takes, `None` while nothing is known.
--- a/crates/sched/src/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -1,30 +1,39 @@
-//! What a scheduler knows of one target.
+//! Does a target have room, and how fast is it? What a scheduler knows of one target.
+//!
+//! The rules: a target has room while the permits in use, and what others sent by its latest report, are
+//! fewer than its slots (less a reserve for the top tier). It is ejected after [`EJECT_AFTER`] failures
+//! in a row, for [`EJECT_FIRST`], doubled with each further failure up to [`EJECT_LIMIT`]; then one
+//! request at a time tries it out. Its slowness is the ratio of seen to estimated time, in an
+//! exponentially weighted mean.
+//!
+//! Owns: slots, permits in use, ejection, beliefs. Relies on: reports that may be late or missing.
 
 use std::time::Duration;
 
 use curlewcleat_core::{PermitAsk, TargetReport, Uptime, VmId, WorkMicros};
 
-use crate::pace::StreamPace;
-use crate::prefix::PrefixCache;
+use super::pace::StreamPace;
+use super::prefix::PrefixCache;
 
-/// Slowness of a target that takes exactly the estimated time, in thousandths.
+/// Slowness of a target that takes exactly the estimated time, in thousandths, since speeds are told so.
 const NORMAL: u64 = 1_000;
-/// Failures in a row after which a target is ejected.
+/// Failures in a row after which a target is ejected. Chosen, not measured.
 const EJECT_AFTER: u32 = 3;
-/// First time of ejection; doubles up to the limit while the target keeps failing.
+/// First time of ejection; doubles while the target keeps failing. Chosen, not measured.
 const EJECT_FIRST: Duration = Duration::from_secs(2);
+/// Longest time of ejection. Chosen, not measured.
 const EJECT_LIMIT: Duration = Duration::from_secs(60);
-/// Time for which a report counts.
+/// Time for which a report counts. Chosen: some reports may be lost, which come once a second.
 const REPORT_LIFE: Duration = Duration::from_secs(5);
-/// Share of the prompt work that is left when the prefix is cached, in percent.
+/// Share of the prompt work that is left when the prefix is cached, in percent. Chosen, not measured.
 const CACHED_PROMPT_PERCENT: u64 = 10;
-/// A request weighs one in this many in the share that failed.
+/// A request weighs one part in this many in the share that failed. Chosen, not measured.
 const FAILING_WEIGHT: u64 = 8;
-/// Longest time that prompts are believed to keep a target.
+/// Longest time that prompts are believed to keep a target. Chosen as a bound on a wrong belief.
 const BACKLOG_LIMIT: Duration = Duration::from_secs(5);
-/// The share where every request fails, in thousandths.
+/// The share where every request fails, in thousandths by definition, since shares are told so.
 const ALL_FAILING: u64 = 1_000;
-/// A report weighs one in this many in the learned slowness.
+/// An answer weighs one part in this many in the learned slowness. Chosen, not measured.
 const SLOWNESS_WEIGHT: u64 = 8;
 
 /// Slots, load, speed and health of one target.
--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/retry/budget.rs
@@ -1,4 +1,9 @@
-//! Bounds retries to a share of the requests, so that retries cannot multiply an overload.
+//! The retry budget: bounds retries to a share of the requests, so that they cannot multiply an overload.
+//!
+//! Inputs: requests and retries of the last window, by this daemon; limits from the settings (`[bounds]
+//! retry_*`) or [`RetryLimits::default`]. The rule: retries of a window are at most `percent` of its
+//! requests and `extra` besides, which daemons share where a platform counts them together.
+//! docs/MEASUREMENTS.md, "retry budget by window", and `tests/budgets.rs`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,11 +29,13 @@
     }
 }
 
-/// Daemons that share a budget where fewer are known, since others may not be known yet.
+/// Daemons that share a budget where fewer are known, since others may not be known yet. Chosen, not
+/// measured.
 const LEAST_DAEMONS: u64 = 4;
-/// A daemon that restarts forgets its retries; each has only this part of its share.
+/// A daemon that restarts forgets its retries; each has only one part in this many of its share. Chosen,
+/// so that one restart in a window stays within the bound.
 const RESTART_PARTS: u64 = 2;
-/// Parts in which a window is counted.
+/// Parts in which a window is counted. Chosen, not measured.
 const WINDOW_PARTS: u32 = 20;
 
 /// Requests and retries of a part of the window.
--- /dev/null
+++ b/crates/sched/src/scheduler.rs
@@ -0,0 +1,274 @@
+//! What happens at the scheduler of a pool: it holds the queue, knows what is in flight, and binds late.
+//!
+//! An ask waits until a target has room, and only then is the target chosen. The role is soft: if
+//! two daemons act as scheduler for a moment, targets may get more than their slots, and no promise
+//! depends on it.
+//!
+//! Owns: queue, permits in use, what is learned of the targets. Relies on: the rules in `admission`,
+//! `order` and `placement`, which are methods of [`PoolScheduler`]; entries that give permits back.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use curlewcleat_core::{
+    AttemptEnd, DaemonId, PermitAnswer, PermitAsk, PermitDecision, PermitHeld, PermitId,
+    PermitReturn, RefusalReason, StreamTiming, TargetId, TargetPool, TargetReport, TierRank,
+    Uptime, VmId,
+};
+
+use crate::admission::overload::OverloadLevel;
+use crate::admission::{is_for_capacity, wait_too_long};
+use crate::placement::target::TargetState;
+use crate::pool::{PermitRecord, PoolOptions, PoolScheduler, SchedulerAction};
+
+/// Permits older than this are confirmed with their entry. Chosen, not measured.
+const CONFIRM_AFTER: Duration = Duration::from_secs(5);
+/// Share of the targets that may be ejected at the same time, in percent. Where all fail, the fault is
+/// hardly theirs, and refusing everything would help nobody. Chosen, not measured.
+const EJECT_PERCENT: usize = 50;
+/// Of the time to the first part, at least one part in this many is for the own prompt. Chosen, not
+/// measured.
+const OWN_PART: u32 = 4;
+
+impl PoolScheduler {
+    /// Takes a new configuration over. What is learned of targets that stay is kept.
+    pub fn configure(&mut self, options: PoolOptions, pool: &TargetPool) {
+        self.options = options;
+        self.targets.retain(|id, _| pool.targets.contains_key(id));
+        for (id, entry) in &pool.targets {
+            let away = self.away.contains(&entry.vm);
+            let state = self.targets.entry(id.clone()).or_insert_with(|| {
+                TargetState::new(entry.vm.clone(), entry.slots).with_pace(self.pace.of_new_target())
+            });
+            state.slots = entry.slots;
+            state.data_centre.clone_from(&entry.data_centre);
+            state.vm.clone_from(&entry.vm);
+            state.leaving = away;
+        }
+        for (id, state) in &mut self.targets {
+            state.in_flight =
+                self.permits.values().filter(|permit| permit.target == *id).count() as u32;
+        }
+    }
+
+    /// Names the VMs that leave or are gone; their targets get no new permits.
+    pub fn set_away(&mut self, away: BTreeSet<VmId>) {
+        for state in self.targets.values_mut() {
+            state.leaving = away.contains(&state.vm);
+        }
+        self.away = away;
+    }
+
+    /// Names the data centres of the entries, so that near targets go first among equals.
+    pub fn set_places(&mut self, places: BTreeMap<VmId, String>) {
+        self.places = places;
+    }
+
+    /// Takes a target's report in.
+    pub fn reported(
+        &mut self,
+        now: Uptime,
+        target: &TargetId,
+        report: &TargetReport,
+    ) -> Vec<SchedulerAction> {
+        if let Some(state) = self.targets.get_mut(target) {
+            state.reported(now, report);
+        }
+        let mut actions = Vec::new();
+        self.grant(now, &mut actions);
+        actions
+    }
+
+    /// Known targets.
+    pub fn targets(&self) -> &BTreeMap<TargetId, TargetState> {
+        &self.targets
+    }
+
+    /// Number of waiting asks.
+    pub fn waiting(&self) -> usize {
+        self.queues.len()
+    }
+
+    /// Number of permits in use.
+    pub fn in_flight(&self) -> usize {
+        self.permits.len()
+    }
+
+    /// The overload level.
+    pub fn level(&self) -> &OverloadLevel {
+        &self.level
+    }
+
+    /// Permits in use.
+    pub fn permits(&self) -> &BTreeMap<PermitId, PermitRecord> {
+        &self.permits
+    }
+
+    /// Whether an ask waits here or has its permit.
+    pub fn knows(&self, permit: &PermitId) -> bool {
+        self.permits.contains_key(permit) || self.queues.contains(permit)
+    }
+
+    /// Takes an ask. A repeated ask gets the answer that it had.
+    pub fn ask(&mut self, now: Uptime, entry: DaemonId, ask: PermitAsk) -> Vec<SchedulerAction> {
+        if let Some(record) = self.permits.get(&ask.permit) {
+            let decision = PermitDecision::Granted(record.target.clone());
+            return vec![self.answer(entry, ask.permit, decision)];
+        }
+        if self.queues.contains(&ask.permit) {
+            return vec![self.answer(entry, ask.permit, PermitDecision::Queued)];
+        }
+        let mut actions = Vec::new();
+        if let Err(refusal) = self.admit(now, &ask, &mut actions) {
+            let capacity = is_for_capacity(&refusal);
+            let action = match capacity {
+                true => self.refuse_for_capacity(entry, ask.permit, ask.tier, refusal),
+                false => self.answer(entry, ask.permit, PermitDecision::Refused(refusal)),
+            };
+            actions.push(action);
+            return actions;
+        }
+        let permit = ask.permit;
+        let weight = self.limit_of(&ask.account).weight;
+        let waiting = self.waiting_ask(now, entry.clone(), ask);
+        self.throughput.arrived(waiting.ask.tier, waiting.work);
+        self.queues.push(waiting, weight);
+        self.grant(now, &mut actions);
+        if self.queues.contains(&permit) {
+            actions.push(self.answer(entry, permit, PermitDecision::Queued));
+        }
+        actions
+    }
+
+    /// Takes a permit or an ask back.
+    pub fn give_back(&mut self, now: Uptime, back: &PermitReturn) -> Vec<SchedulerAction> {
+        self.queues.remove(&back.permit);
+        if let Some(record) = self.permits.remove(&back.permit) {
+            self.settle(now, &record, back.end);
+        }
+        let mut actions = Vec::new();
+        self.grant(now, &mut actions);
+        actions
+    }
+
+    /// Learns of a permit in use that another scheduler gave.
+    pub fn hold(&mut self, now: Uptime, entry: DaemonId, held: PermitHeld) {
+        self.queues.remove(&held.ask.permit);
+        if let Some(earlier) = self.permits.remove(&held.ask.permit) {
+            self.settle(now, &earlier, AttemptEnd::Unused);
+        }
+        let (prompt_work, output_work) = (held.ask.prompt_work, held.ask.output_work);
+        let expected = prompt_work + output_work;
+        if let Some(state) = self.targets.get_mut(&held.target) {
+            state.in_flight += 1;
+        }
+        let record = PermitRecord {
+            entry,
+            target: held.target,
+            expected,
+            prompt_work,
+            output_work,
+            backlog: Duration::ZERO,
+            confirmed: now,
+        };
+        self.permits.insert(held.ask.permit, record);
+    }
+
+    /// An entry is gone: its asks and permits go with it.
+    pub fn entry_gone(&mut self, now: Uptime, entry: &DaemonId) -> Vec<SchedulerAction> {
+        for permit in self.queues.of_entry(entry) {
+            self.queues.remove(&permit);
+        }
+        let held: Vec<PermitId> = self
+            .permits
+            .iter()
+            .filter(|(_, record)| record.entry == *entry)
+            .map(|(id, _)| *id)
+            .collect();
+        for permit in held {
+            if let Some(record) = self.permits.remove(&permit) {
+                self.settle(now, &record, AttemptEnd::Unused);
+            }
+        }
+        let mut actions = Vec::new();
+        self.grant(now, &mut actions);
+        actions
+    }
+
+    /// Lets time pass: refuses what can no longer finish, confirms old permits, grants.
+    pub fn tick(&mut self, now: Uptime) -> Vec<SchedulerAction> {
+        let mut actions = Vec::new();
+        self.level.tick(self.options.lowest, now);
+        self.throughput.tick(now, !self.queues.is_empty());
+        if now >= self.faded + Duration::from_secs(1) {
+            self.faded = now;
+            let pace = self.pace;
+            self.targets.values_mut().for_each(|target| target.second_passed(&pace));
+        }
+        for permit in self.queues.overdue(now) {
+            if let Some(waiting) = self.queues.remove(&permit) {
+                if now > waiting.wait_until {
+                    let refusal = wait_too_long(&waiting.ask, self.drain_time());
+                    let decision = PermitDecision::Refused(refusal);
+                    actions.push(self.answer(waiting.entry, permit, decision));
+                    continue;
+                }
+                let refusal = self.capacity_refusal(
+                    now,
+                    waiting.ask.tier,
+                    RefusalReason::DeadlineUnreachable,
+                );
+                let tier = waiting.ask.tier;
+                actions.push(self.refuse_for_capacity(waiting.entry, permit, tier, refusal));
+                self.shed_below(now, tier, &mut actions);
+            }
+        }
+        self.refuse_unreachable(now, &mut actions);
+        self.confirm(now, &mut actions);
+        self.grant(now, &mut actions);
+        actions
+    }
+
+    /// Whether an ask of a tier below this one waits.
+    pub fn holds_below(&self, tier: TierRank) -> bool {
+        !self.queues.below(tier).is_empty()
+    }
+
+    /// Rank of the lowest tier.
+    pub fn lowest(&self) -> TierRank {
+        self.options.lowest
+    }
+
+    fn settle(&mut self, now: Uptime, record: &PermitRecord, end: AttemptEnd) {
+        let ejected = self.targets.values().filter(|target| target.ejected()).count();
+        let may_eject = (ejected + 1) * 100 <= self.targets.len() * EJECT_PERCENT;
+        let Some(state) = self.targets.get_mut(&record.target) else { return };
+        state.in_flight = state.in_flight.saturating_sub(1);
+        match end {
+            AttemptEnd::Unused => {}
+            AttemptEnd::Whole(took) => state.succeeded(record.expected, took),
+            AttemptEnd::Streamed(seen) => {
+                state.succeeded(record.expected, seen.first + seen.rest);
+                // What it waited for earlier prompts says nothing of its own.
+                let own = seen.first.saturating_sub(record.backlog).max(seen.first / OWN_PART);
+                let seen = StreamTiming { first: own, ..seen };
+                state.pace.learn(now, record.prompt_work, record.output_work, &seen);
+                self.pace.learn(now, record.prompt_work, record.output_work, &seen);
+            }
+            AttemptEnd::Failed => state.failed(now, may_eject),
+        }
+    }
+
+    /// Sends old permits again; an entry that does not know one any more gives it back.
+    fn confirm(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
+        for (permit, record) in &mut self.permits {
+            if now.saturating_sub(record.confirmed) < CONFIRM_AFTER {
+                continue;
+            }
+            record.confirmed = now;
+            let decision = PermitDecision::Granted(record.target.clone());
+            let answer = PermitAnswer { permit: *permit, pool: self.pool.clone(), decision };
+            actions.push(SchedulerAction { entry: record.entry.clone(), answer, shed: None });
+        }
+    }
+}
