--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -12,11 +12,12 @@
 use curlewcleat_acceptance::ready_fleet;
 use curlewcleat_config::{ApplyRecord, ConfigManifest, MANIFEST_KEY};
 use curlewcleat_core::{
-    AttemptEnd, ConfigBundle, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessAsk, Heartbeat,
-    KeptAnswer, KeyAnswer, KeyClaim, KeyDecision, KeyHandOver, KeyOutcome, KeyRecord, LevelRaise,
-    PeerFrame, PeerMessage, PermitAnswer, PermitAsk, PermitDecision, PermitHeld, PermitId,
-    PermitReturn, Refusal, RefusalReason, RetryReason, ServiceAims, SlotHolder, StatePull,
-    StreamTiming, TablePush, TargetChange, TargetEntry, TargetsContent, TargetsPush, Verdict,
+    AttemptEnd, ConfigBundle, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessQuery,
+    Heartbeat, KeptAnswer, KeyAnswer, KeyClaim, KeyDecision, KeyHandOver, KeyOutcome, KeyRecord,
+    LatencyObjectives, PeerFrame, PeerMessage, PermitAnswer, PermitDecision, PermitHeld, PermitId,
+    PermitRequest, PermitReturn, Refusal, RefusalReason, RetryReason, ShedRequest, SlotHolder,
+    StatePull, StreamTiming, TablePush, TargetChange, TargetEntry, TargetsContent, TargetsPush,
+    Verdict,
 };
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_platform::format::{Daemon, Metadata, Object};
@@ -67,21 +68,21 @@
     PermitId { request: request(), attempt: 1 }
 }
 
-fn permit_request() -> PermitAsk {
-    PermitAsk {
+fn permit_request() -> PermitRequest {
+    PermitRequest {
         permit: permit(),
         pool: "engines".to_string(),
         tier: 2,
         account: "drivers".to_string(),
         time_left: Duration::from_millis(1_500),
-        aims: ServiceAims {
+        objectives: LatencyObjectives {
             wait_limit: Duration::from_millis(800),
             forecast_limit: Duration::from_millis(300),
-            first_by: Duration::from_millis(400),
+            first_part_by: Duration::from_millis(400),
             pause_limit: Duration::from_millis(200),
             urgency: 3,
             length_guessed: true,
-            came_back: false,
+            is_retry: false,
         },
         prompt_work: 11,
         output_work: 12,
@@ -104,8 +105,8 @@
     }
 }
 
-fn question() -> FreshnessAsk {
-    FreshnessAsk { incarnation: 7, sent: Duration::from_millis(42) }
+fn question() -> FreshnessQuery {
+    FreshnessQuery { incarnation: 7, sent: Duration::from_millis(42) }
 }
 
 fn target() -> DiscoveredTarget {
@@ -164,7 +165,7 @@
                 draining: false,
                 stale: true,
                 capacity: 25,
-                born: 6,
+                started: 6,
                 answer_wanted: true,
                 known: vec!["10.0.0.3:8201".to_string()],
             }),
@@ -184,11 +185,11 @@
                 slots: vec![SlotHolder { holder: daemon(), complete_since_ms: 8 }],
             }),
         ),
-        ("freshness question", PeerMessage::FreshnessAsk(question())),
+        ("freshness question", PeerMessage::FreshnessQuery(question())),
         (
             "freshness answer",
             PeerMessage::FreshnessAnswer(FreshnessAnswer {
-                ask: question(),
+                query: question(),
                 age: Some(Duration::from_millis(70)),
                 generation: 4,
                 targets_at: 9,
@@ -203,7 +204,7 @@
                 vec![TargetChange::Present(target()), TargetChange::Gone("e-2".to_string())],
             )),
         ),
-        ("permit request", PeerMessage::PermitAsk(permit_request())),
+        ("permit request", PeerMessage::PermitRequest(permit_request())),
         ("permit queued", permit_answer(PermitDecision::Queued)),
         ("permit granted", permit_answer(PermitDecision::Granted("e-1".to_string()))),
         ("permit refused", permit_answer(PermitDecision::Refused(refusal(Verdict::NotRun)))),
@@ -214,15 +215,19 @@
         (
             "permit held",
             PeerMessage::PermitHeld(PermitHeld {
-                ask: permit_request(),
+                request: permit_request(),
                 target: "e-1".to_string(),
             }),
         ),
         (
             "level raise",
-            PeerMessage::LevelRaise(LevelRaise { pool: "engines".to_string(), tier: 2, round: 3 }),
+            PeerMessage::ShedRequest(ShedRequest {
+                pool: "engines".to_string(),
+                tier: 2,
+                round: 3,
+            }),
         ),
-        ("level confirmation", PeerMessage::LevelConfirm("engines".to_string(), 3)),
+        ("level confirmation", PeerMessage::ShedConfirm("engines".to_string(), 3)),
         ("key claim", PeerMessage::KeyClaim(claim())),
         ("key is new", key_answer(KeyDecision::First)),
         ("key is known", key_answer(KeyDecision::Known(refusal(Verdict::MayHaveRun)))),
--- a/crates/acceptance/tests/platform.rs
+++ b/crates/acceptance/tests/platform.rs
@@ -20,7 +20,7 @@
 
 #[actix_rt::test]
 async fn daemon_without_configuration_refuses_and_starts_when_the_platform_returns() -> Result<()> {
-    let mut fleet = Fleet::start("born-in-outage").await?;
+    let mut fleet = Fleet::start("started-in-outage").await?;
     fleet.target("engine", &[]).await?;
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
     fleet.daemons(1).await?;
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -21,7 +21,7 @@
     let beat = Heartbeat {
         stale: false,
         capacity,
-        born: 0,
+        started: 0,
         answer_wanted: false,
         address: address(index),
         data_centre: "dc".to_string(),
@@ -109,7 +109,7 @@
 }
 
 pub fn codec() {
-    let message = PeerMessage::PermitAsk(ask(1, 1));
+    let message = PeerMessage::PermitRequest(ask(1, 1));
     for count in [1usize, 8, 64] {
         let frame = PeerFrame { from: daemon(1), messages: vec![message.clone(); count] };
         let bytes = encode_frame(&frame);
--- a/crates/bench/src/scheduler.rs
+++ b/crates/bench/src/scheduler.rs
@@ -24,7 +24,7 @@
         let each = time_each(rounds, |number| {
             let ask = ask(number, 0);
             let permit = ask.permit;
-            black_box(scheduler.ask(Duration::ZERO, daemon(1), ask));
+            black_box(scheduler.request_permit(Duration::ZERO, daemon(1), ask));
             let end = AttemptEnd::Whole(Duration::from_millis(500));
             let back = PermitReturn { permit, pool: POOL.to_string(), end };
             black_box(scheduler.give_back(Duration::ZERO, &back));
@@ -39,11 +39,15 @@
         let mut scheduler = scheduler(64, 5);
         let before = resident();
         for number in 0..count + 512 {
-            scheduler.ask(Duration::ZERO, daemon(1), ask(number, number as usize % 5));
+            scheduler.request_permit(Duration::ZERO, daemon(1), ask(number, number as usize % 5));
         }
         let bytes = resident().saturating_sub(before) / u64::from(count);
         let more = time_each(1_000, |number| {
-            black_box(scheduler.ask(Duration::ZERO, daemon(1), ask(count + 1_000 + number, 0)));
+            black_box(scheduler.request_permit(
+                Duration::ZERO,
+                daemon(1),
+                ask(count + 1_000 + number, 0),
+            ));
         });
         let held: Vec<PermitId> = scheduler.permits().keys().take(500).copied().collect();
         let back = time_each(held.len() as u32, |number| {
--- a/crates/bench/src/support.rs
+++ b/crates/bench/src/support.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use curlewcleat_core::{hash_token, ConfigBundle, DaemonId, PermitAsk, PermitId, RequestId};
+use curlewcleat_core::{hash_token, ConfigBundle, DaemonId, PermitId, PermitRequest, RequestId};
 use curlewcleat_keys::KeyHomeOptions;
 use curlewcleat_node::{Node, NodeEvent, NodeOptions};
 use curlewcleat_sched::{EntryOptions, MemberOptions};
@@ -28,14 +28,14 @@
     DaemonId { vm: format!("entry-{index:04}"), incarnation: index as u64 }
 }
 
-pub fn ask(number: u32, account: usize) -> PermitAsk {
-    PermitAsk {
+pub fn ask(number: u32, account: usize) -> PermitRequest {
+    PermitRequest {
         permit: PermitId { request: RequestId::from_u128(u128::from(number) + 1), attempt: 0 },
         pool: POOL.to_string(),
         tier: (number % 4) as u8,
         account: format!("account-{account:04}"),
         cost: 1,
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         time_left: Duration::from_secs(600),
         prompt_work: 10_000,
         output_work: 500_000,
@@ -83,7 +83,7 @@
             suspect_after: Duration::from_secs(2),
             mesh_limit,
             capacity: 100,
-            born: 0,
+            started: 0,
         },
         keys: KeyHomeOptions::default(),
         key_slots: 64,
@@ -93,7 +93,7 @@
         age_per_work: 32,
         request_limit: 1_000_000,
         freshness: None,
-        beat: Duration::from_millis(500),
+        heartbeat_every: Duration::from_millis(500),
         drain_grace: Duration::from_secs(2),
         hand_over_limit: Duration::from_secs(30),
     })
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -34,22 +34,22 @@
 pub enum PeerMessage {
     /// Liveness and what the sender knows.
     Heartbeat(Heartbeat),
-    /// Asks for what the receiver has newer.
+    /// Requests for what the receiver has newer.
     StatePull(StatePull),
     /// The whole configuration.
     ConfigPush(ConfigBundle),
     /// The key table.
     TablePush(TablePush),
-    /// Asks a daemon that reads the platform how old its latest read is.
-    FreshnessAsk(FreshnessAsk),
+    /// Requests a daemon that reads the platform how old its latest read is.
+    FreshnessQuery(FreshnessQuery),
     /// The answer.
     FreshnessAnswer(FreshnessAnswer),
-    /// Asks for the targets as the platform showed them after a revision.
+    /// Requests for the targets as the platform showed them after a revision.
     TargetsPull(ObjectVersion),
     /// The answer.
     TargetsPush(TargetsPush),
-    /// Asks the scheduler of a pool for a permit.
-    PermitAsk(PermitAsk),
+    /// Requests the scheduler of a pool for a permit.
+    PermitRequest(PermitRequest),
     /// The scheduler's answer.
     PermitAnswer(PermitAnswer),
     /// The entry no longer wants the permit, or is done with it.
@@ -57,10 +57,10 @@
     /// The entry tells a new scheduler what it has in flight.
     PermitHeld(PermitHeld),
     /// A scheduler refuses a tier for want of capacity; the receiver is to shed all below it.
-    LevelRaise(LevelRaise),
+    ShedRequest(ShedRequest),
     /// The receiver of a raise has done so; the number is that of the round.
-    LevelConfirm(PoolId, u64),
-    /// Asks the holder of a key whether a request may run.
+    ShedConfirm(PoolId, u64),
+    /// Requests the holder of a key whether a request may run.
     KeyClaim(KeyClaim),
     /// The holder's answer.
     KeyAnswer(KeyAnswer),
@@ -90,27 +90,27 @@
     /// Processor of the sender's VM, in percent of a core.
     pub capacity: u32,
     /// When the sender's process was born, for the order of schedulers; 0 where that does not count.
-    pub born: u64,
+    pub started: u64,
     /// Whether the receiver is to send a heartbeat back at its next beat.
     pub answer_wanted: bool,
-    /// Peer addresses that the sender knows, so that a newborn learns the rest.
+    /// Peer addresses that the sender knows, so that a new daemon learns the rest.
     pub known: Vec<String>,
 }
 
-/// Asks how old the receiver's latest read of the platform is.
+/// Requests how old the receiver's latest read of the platform is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct FreshnessAsk {
+pub struct FreshnessQuery {
     /// Start of the asking process; an answer to an earlier one is void.
     pub incarnation: Incarnation,
-    /// When the ask was sent, by the asker's own clock.
+    /// When the permit request was sent, by the asker's own clock.
     pub sent: Uptime,
 }
 
-/// What the answering daemon knew when the ask reached it.
+/// What the answering daemon knew when the permit request reached it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessAnswer {
-    /// The ask, as it was.
-    pub ask: FreshnessAsk,
+    /// The permit request, as it was.
+    pub query: FreshnessQuery,
     /// Age of the latest own read that showed the configuration below to be the newest, counted from
     /// its sending; `None` where the answering daemon does not read the platform.
     pub age: Option<Duration>,
@@ -177,7 +177,7 @@
 
 /// What a scheduler has to know of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The attempt that wants the permit.
     pub permit: PermitId,
     /// Pool asked for.
@@ -189,7 +189,7 @@
     /// Time left until the deadline.
     pub time_left: Duration,
     /// What its caller hopes for.
-    pub aims: ServiceAims,
+    pub objectives: LatencyObjectives,
     /// Prompt work in microseconds of a slot.
     pub prompt_work: WorkMicros,
     /// The rest of the work in microseconds of a slot.
@@ -204,13 +204,13 @@
 
 /// What the caller of a request hopes for; nothing is promised about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ServiceAims {
+pub struct LatencyObjectives {
     /// Time for which the request may wait for a target.
     pub wait_limit: Duration,
     /// It is refused at once where it is expected to wait longer than this.
     pub forecast_limit: Duration,
     /// Time until the first part of its answer is late.
-    pub first_by: Duration,
+    pub first_part_by: Duration,
     /// Pause between two parts of the answer above which it is late.
     pub pause_limit: Duration,
     /// Rank of the rule; decides between requests of one account and tier.
@@ -218,25 +218,25 @@
     /// Whether the length of its answer is a guess, so that it may well end sooner than it seems.
     pub length_guessed: bool,
     /// Whether it was refused before and has come back as it was told.
-    pub came_back: bool,
+    pub is_retry: bool,
 }
 
-impl Default for ServiceAims {
-    fn default() -> ServiceAims {
+impl Default for LatencyObjectives {
+    fn default() -> LatencyObjectives {
         let ever = Duration::MAX;
-        ServiceAims {
+        LatencyObjectives {
             wait_limit: ever,
             forecast_limit: ever,
-            first_by: ever,
+            first_part_by: ever,
             pause_limit: ever,
             urgency: 0,
             length_guessed: false,
-            came_back: false,
+            is_retry: false,
         }
     }
 }
 
-/// The answer to an ask.
+/// The answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitAnswer {
     /// The attempt that is answered.
@@ -250,7 +250,7 @@
 /// Decision of a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// The ask is in the queue; says that the scheduler lives.
+    /// The permit request is in the queue; says that the scheduler lives.
     Queued,
     /// Go to the target.
     Granted(TargetId),
@@ -284,7 +284,7 @@
     Failed,
 }
 
-/// Gives a permit back or cancels an ask.
+/// Gives a permit back or cancels a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitReturn {
     /// The attempt.
@@ -298,15 +298,15 @@
 /// A permit in use, told to a new scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitHeld {
-    /// The ask that led to the permit.
-    pub ask: PermitAsk,
+    /// The permit request that led to the permit.
+    pub request: PermitRequest,
     /// The target in use.
     pub target: TargetId,
 }
 
 /// A tier that is refused for want of capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LevelRaise {
+pub struct ShedRequest {
     /// The pool.
     pub pool: PoolId,
     /// The tier; all below it are to be shed.
@@ -315,7 +315,7 @@
     pub round: u64,
 }
 
-/// Asks whether a keyed request may run.
+/// Requests whether a keyed request may run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyClaim {
     /// The request that wants to run.
--- a/crates/daemon/src/config_proof.rs
+++ b/crates/daemon/src/config_freshness.rs
@@ -5,21 +5,21 @@
 
 /// Age of the configuration, counted from the sending of the read that proved it.
 #[derive(Debug, Default)]
-pub struct ConfigProof {
+pub struct ConfigFreshness {
     proved: Cell<Option<Instant>>,
     /// Whether the latest own read failed.
     failing: Cell<bool>,
 }
 
-impl ConfigProof {
+impl ConfigFreshness {
     /// An own read that was sent then has shown the configuration in force to be the newest.
     pub fn prove(&self, sent: Instant) {
-        self.prove_by_peer(sent);
+        self.confirm_by_peer(sent);
         self.failing.set(false);
     }
 
     /// A peer's read has; it says nothing of the own way to the platform.
-    pub fn prove_by_peer(&self, sent: Instant) {
+    pub fn confirm_by_peer(&self, sent: Instant) {
         self.proved.set(self.proved.get().max(Some(sent)));
     }
 
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -38,7 +38,7 @@
     node: mpsc::UnboundedSender<NodeMessage>,
     draining: Arc<AtomicBool>,
     bounds: Arc<RwLock<FleetBounds>>,
-    born: Instant,
+    started: Instant,
 }
 
 impl DaemonContext {
@@ -55,23 +55,23 @@
             config: Arc::default(),
             node,
             draining: Arc::default(),
-            born: Instant::now(),
+            started: Instant::now(),
         }
     }
 
     /// Time since the process started.
     pub fn uptime(&self) -> Duration {
-        self.born.elapsed()
+        self.started.elapsed()
     }
 
     /// The same at an earlier moment.
     pub fn uptime_at(&self, moment: Instant) -> Duration {
-        moment.saturating_duration_since(self.born)
+        moment.saturating_duration_since(self.started)
     }
 
     /// The moment of an uptime.
     pub fn moment_of(&self, uptime: Duration) -> Instant {
-        self.born + uptime
+        self.started + uptime
     }
 
     /// Wall-clock time.
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -75,7 +75,7 @@
                 actix_rt::spawn(async move { follow::read_table(store.as_ref(), &context).await });
             }
             // Each daemon reads the object API for itself.
-            PlatformCall::ConfigProved(_) | PlatformCall::Read(_) => {}
+            PlatformCall::ConfigConfirmed(_) | PlatformCall::Read(_) => {}
         }
     }
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -17,13 +17,13 @@
 use anyhow::Result;
 use curlewcleat_config::DaemonSettings;
 use curlewcleat_core::{DaemonId, WallTime};
-use curlewcleat_node::{FreshnessLimits, NodeOptions, PlatformCall, ReadDuty};
+use curlewcleat_node::{FreshnessLimits, NodeOptions, PlatformCall, ReadRole};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RateMargin, RetryLimits};
 use curlewcleat_store::{DaemonRecord, FleetPlatform};
 use tokio::sync::watch;
 
 use self::reload::SettingsReloader;
-use crate::config_proof::ConfigProof;
+use crate::config_freshness::ConfigFreshness;
 use crate::context::DaemonContext;
 use crate::listen::{listen, ListenOptions};
 use crate::operators::serve_operator;
@@ -31,7 +31,7 @@
 use crate::request::{ProfileProtocol, RequestService};
 
 /// Daemons that are born within this time of each other count as equally old.
-const BORN_TOGETHER: Duration = Duration::from_secs(4);
+const START_GRANULARITY: Duration = Duration::from_secs(4);
 /// Daemons up to which each sends every heartbeat to all others.
 const MESH_LIMIT: usize = 12;
 /// Time for the last bytes of answers to leave after the node has ended.
@@ -44,25 +44,25 @@
 /// What the node and the tasks that follow the platform tell each other.
 pub struct FleetLink {
     /// How old the proof of the configuration is.
-    pub proof: Rc<ConfigProof>,
-    duty: watch::Sender<ReadDuty>,
+    pub proof: Rc<ConfigFreshness>,
+    duty: watch::Sender<ReadRole>,
 }
 
 impl Default for FleetLink {
     /// A daemon reads for itself until it knows that others do.
     fn default() -> FleetLink {
-        FleetLink { proof: Rc::default(), duty: watch::Sender::new(ReadDuty::Reader) }
+        FleetLink { proof: Rc::default(), duty: watch::Sender::new(ReadRole::Reader) }
     }
 }
 
 impl FleetLink {
     /// Whether this daemon reads the platform, and changes of that.
-    pub fn duty(&self) -> watch::Receiver<ReadDuty> {
+    pub fn duty(&self) -> watch::Receiver<ReadRole> {
         self.duty.subscribe()
     }
 
     /// From now on this daemon reads the platform, or others do for it.
-    pub fn set_duty(&self, duty: ReadDuty) {
+    pub fn set_duty(&self, duty: ReadRole) {
         self.duty.send_replace(duty);
     }
 }
@@ -121,8 +121,8 @@
 
     fn call(&self, context: &DaemonContext, call: PlatformCall) {
         match call {
-            PlatformCall::ConfigProved(at) => {
-                self.link.proof.prove_by_peer(context.moment_of(at));
+            PlatformCall::ConfigConfirmed(at) => {
+                self.link.proof.confirm_by_peer(context.moment_of(at));
             }
             PlatformCall::Read(duty) => self.link.set_duty(duty),
             // Requests carry their own ids, so a fleet has no key table.
@@ -160,8 +160,8 @@
         units: settings.bounds.rate_slack / 2,
         window: settings.bounds.rate_window,
     };
-    let born = started.as_secs() / BORN_TOGETHER.as_secs();
-    let members = MemberOptions { mesh_limit: MESH_LIMIT, born, ..options.members };
+    let started = started.as_secs() / START_GRANULARITY.as_secs();
+    let members = MemberOptions { mesh_limit: MESH_LIMIT, started, ..options.members };
     NodeOptions {
         entry,
         rate_margin,
@@ -183,7 +183,7 @@
 async fn serve(
     context: &DaemonContext,
     platform: &dyn FleetPlatform,
-    proof: &Rc<ConfigProof>,
+    proof: &Rc<ConfigFreshness>,
 ) -> Result<()> {
     let settings = &context.settings;
     let caller_context = context.clone();
@@ -211,7 +211,7 @@
 /// The health check fails where requests with a key would be refused for want of proof.
 async fn operator_answer(
     context: DaemonContext,
-    proof: Rc<ConfigProof>,
+    proof: Rc<ConfigFreshness>,
     request: Request,
 ) -> Response<BoxBody> {
     let limit = context.bounds().config_age_limit;
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use curlewcleat_core::{Generation, ObjectVersion};
-use curlewcleat_node::{FreshnessLimits, NodeEvent, ReadDuty};
+use curlewcleat_node::{FreshnessLimits, NodeEvent, ReadRole};
 use curlewcleat_store::{ConfigRead, DaemonRecord, Error, FleetPlatform, TargetWatch};
 use rand::Rng;
 use spdlog::prelude::*;
@@ -97,8 +97,8 @@
                     self.context.tell(NodeEvent::PlatformFailed);
                     pause.failed("read_config", &error, &self.context);
                     let limit = match *duty.borrow_and_update() {
-                        ReadDuty::Reader => READER_PAUSE,
-                        ReadDuty::Fallback | ReadDuty::Rest => FALLBACK_PAUSE,
+                        ReadRole::Reader => READER_PAUSE,
+                        ReadRole::Fallback | ReadRole::Idle => FALLBACK_PAUSE,
                     };
                     let changed = async { drop(duty.changed().await) };
                     pause.wait(limit, changed).await;
@@ -215,14 +215,14 @@
 }
 
 /// Ends when this daemon has to read the platform.
-async fn until_reading(duty: &mut watch::Receiver<ReadDuty>) {
+async fn until_reading(duty: &mut watch::Receiver<ReadRole>) {
     // The sender lives as long as the process.
-    let _ = duty.wait_for(|duty| *duty != ReadDuty::Rest).await;
+    let _ = duty.wait_for(|duty| *duty != ReadRole::Idle).await;
 }
 
 /// Ends when others read the platform for this daemon.
-async fn until_resting(duty: &mut watch::Receiver<ReadDuty>) {
-    let _ = duty.wait_for(|duty| *duty == ReadDuty::Rest).await;
+async fn until_resting(duty: &mut watch::Receiver<ReadRole>) {
+    let _ = duty.wait_for(|duty| *duty == ReadRole::Idle).await;
 }
 
 /// Pauses between calls, longer each time, with jitter.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,7 +2,7 @@
 //! HTTP, peers, the platform, clocks, logs and metrics.
 
 mod assembly;
-mod config_proof;
+mod config_freshness;
 mod context;
 mod files;
 mod fleet;
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -68,7 +68,7 @@
             suspect_after: settings.suspect_after,
             mesh_limit: usize::MAX,
             capacity: settings.capacity_percent,
-            born: 0,
+            started: 0,
         },
         keys: KeyHomeOptions {
             retention: settings.key_retention,
@@ -77,8 +77,8 @@
         },
         key_slots: settings.key_slots,
         entry: EntryOptions {
-            ask_limit: settings.ask_limit,
-            ask_tries: settings.ask_tries,
+            answer_timeout: settings.ask_limit,
+            answer_tries: settings.ask_tries,
             ..EntryOptions::default()
         },
         rate_margin: RateMargin::default(),
@@ -86,7 +86,7 @@
         age_per_work: settings.age_per_work,
         request_limit: settings.request_limit,
         freshness: None,
-        beat: settings.beat,
+        heartbeat_every: settings.beat,
         drain_grace: settings.drain_grace,
         hand_over_limit: HAND_OVER_LIMIT,
     }
--- a/crates/daemon/src/request/admitted.rs
+++ b/crates/daemon/src/request/admitted.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use curlewcleat_core::{
-    AccountId, AdmissionRule, RequestId, ServiceAims, TargetPool, TierId, TierRank, WorkMicros,
+    AccountId, AdmissionRule, LatencyObjectives, RequestId, TargetPool, TierId, TierRank,
+    WorkMicros,
 };
 use curlewcleat_sched::RequestSpec;
 
@@ -42,7 +43,7 @@
     /// Pool that serves it.
     pub pool: TargetPool,
     /// Latency objectives and limits.
-    pub aims: ServiceAims,
+    pub objectives: LatencyObjectives,
     /// Targets that it may be sent to, `None` for the daemon's limit.
     pub attempt_limit: Option<u32>,
     /// Units that it counts against its account's shared rate.
@@ -62,7 +63,7 @@
             tier: self.rank,
             account: self.account.clone().unwrap_or_default(),
             time_left: self.time_left(),
-            aims: self.aims,
+            objectives: self.objectives,
             attempt_limit: self.attempt_limit,
             cost: self.cost,
             prompt_work: self.work.prompt,
--- a/crates/daemon/src/request/own.rs
+++ b/crates/daemon/src/request/own.rs
@@ -13,7 +13,7 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{HttpMessage, Request, RequestHead, ResponseHead, StatusCode};
 use curlewcleat_core::{
-    hash_token, PoolId, Refusal, RefusalReason, RequestId, ServiceAims, TargetPool,
+    hash_token, LatencyObjectives, PoolId, Refusal, RefusalReason, RequestId, TargetPool,
 };
 use curlewcleat_targets::{ConnectionOptions, ConnectionPool, ExchangeOptions, TargetAnswer};
 
@@ -94,7 +94,7 @@
             tier: tier.id.clone(),
             rank: tier.rank,
             pool: pool.clone(),
-            aims: ServiceAims::default(),
+            objectives: LatencyObjectives::default(),
             attempt_limit: None,
             cost: 1,
             work: WorkEstimate::default(),
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -1,7 +1,7 @@
 //! Callers and targets of a fleet, whose platform names the headers ([`WireProfile`]).
 //!
 //! Owns: the connections to all targets, and what the admission has learned of callers' times.
-//! Relies on: the platform's routes as rules, [`ConfigProof`] for the age of the configuration.
+//! Relies on: the platform's routes as rules, [`ConfigFreshness`] for the age of the configuration.
 
 mod admission;
 mod objectives;
@@ -25,7 +25,7 @@
 use super::form::{AnswerForm, EventForm};
 use super::problem::problem_answer;
 use super::protocol::{AttemptLimits, CallerProtocol, HeadVerdict, ProtocolOptions, TargetAttempt};
-use crate::config_proof::ConfigProof;
+use crate::config_freshness::ConfigFreshness;
 use crate::context::DaemonContext;
 use crate::headers;
 
@@ -58,7 +58,7 @@
     context: DaemonContext,
     profile: WireProfile,
     connections: ConnectionPool,
-    proof: Rc<ConfigProof>,
+    proof: Rc<ConfigFreshness>,
     /// Longest time that callers of each rule have given.
     longest: RefCell<BTreeMap<String, Duration>>,
 }
@@ -68,7 +68,7 @@
     pub fn new(
         context: DaemonContext,
         profile: WireProfile,
-        proof: Rc<ConfigProof>,
+        proof: Rc<ConfigFreshness>,
     ) -> ProfileProtocol {
         let options = ConnectionOptions {
             idle_limit: IDLE_LIMIT,
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -6,7 +6,7 @@
 //! unknown is refused for good only where the configuration is surely the newest; before that the
 //! caller is told to come back. What the request may then use is decided by the pool's scheduler.
 //!
-//! Owns: nothing. Relies on: the configuration in force, `ConfigProof` for its age.
+//! Owns: nothing. Relies on: the configuration in force, `ConfigFreshness` for its age.
 
 use std::num::ParseFloatError;
 use std::time::{Duration, Instant};
@@ -66,7 +66,13 @@
             tier: rule.tier.clone(),
             rank: account_rank.or(tier_rank).unwrap_or_default(),
             pool: pool.clone(),
-            aims: objectives::objectives(rule, asked, longest, time, tier_rank.unwrap_or_default()),
+            objectives: objectives::objectives(
+                rule,
+                asked,
+                longest,
+                time,
+                tier_rank.unwrap_or_default(),
+            ),
             attempt_limit: Some(rule.service.attempt_limit),
             cost: account.map_or(0, |account| work::cost(account, tokens)),
             work: work::estimate(&self.profile, pool, head, tokens),
--- a/crates/daemon/src/request/profile/objectives.rs
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -14,7 +14,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{AdmissionRule, ServiceAims, TierRank};
+use curlewcleat_core::{AdmissionRule, LatencyObjectives, TierRank};
 
 /// Objectives for which a request may wait for a target. Callers of streams soon give up after that.
 /// From days of the users' bench; its own figure was not recorded.
@@ -36,21 +36,27 @@
     longest: Duration,
     time: Duration,
     urgency: TierRank,
-) -> ServiceAims {
-    let aims = ServiceAims {
+) -> LatencyObjectives {
+    let objectives = LatencyObjectives {
         urgency,
         length_guessed: true,
         pause_limit: rule.service.pause_limit.unwrap_or(Duration::MAX),
-        ..ServiceAims::default()
+        ..LatencyObjectives::default()
     };
     let (Some(objective), Some(asked)) = (rule.service.objective, asked) else {
-        return ServiceAims { wait_limit: time, ..aims };
+        return LatencyObjectives { wait_limit: time, ..objectives };
     };
     let wait_limit = (objective * WAIT_OBJECTIVES).min(time / 100 * WAIT_PERCENT);
-    let came_back = asked * 100 < longest * RETRY_TIME_PERCENT;
-    let forecast_limit = match came_back {
+    let is_retry = asked * 100 < longest * RETRY_TIME_PERCENT;
+    let forecast_limit = match is_retry {
         true => wait_limit,
         false => (objective * FORECAST_PERCENT / 100).min(wait_limit),
     };
-    ServiceAims { wait_limit, forecast_limit, first_by: objective, came_back, ..aims }
+    LatencyObjectives {
+        wait_limit,
+        forecast_limit,
+        first_part_by: objective,
+        is_retry,
+        ..objectives
+    }
 }
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -70,8 +70,8 @@
                 actions.extend(state.entry.permit_answered(state.now, &me().vm, answer.answer));
             } else if let Some(action) = actions.pop_front() {
                 match action {
-                    EntryAction::AskPermit(_, ask) => {
-                        answers.extend(state.scheduler.ask(state.now, me(), ask))
+                    EntryAction::RequestPermit(_, ask) => {
+                        answers.extend(state.scheduler.request_permit(state.now, me(), ask))
                     }
                     EntryAction::ReturnPermit(_, back) => {
                         answers.extend(state.scheduler.give_back(state.now, &back));
@@ -199,7 +199,7 @@
         tier: 0,
         account: "a".to_string(),
         time_left: Duration::from_secs(60),
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         attempt_limit: None,
         cost: 1,
         prompt_work: 0,
--- a/crates/model/src/levels.rs
+++ b/crates/model/src/levels.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, PermitAsk, PermitDecision, PermitId, RequestId, TierRank, Uptime,
+    DaemonId, PermitDecision, PermitId, PermitRequest, RequestId, TierRank, Uptime,
 };
 use curlewcleat_sched::{LevelGuard, PoolOptions, PoolScheduler, SchedulerAction};
 
@@ -96,7 +96,7 @@
         let number = next.arrived;
         next.arrived += 1;
         let ask = ask(number, self.asks[number]);
-        let actions = next.schedulers[at].ask(next.now, daemon(9), ask);
+        let actions = next.schedulers[at].request_permit(next.now, daemon(9), ask);
         self.pass(&mut next, at, actions);
         next
     }
@@ -201,14 +201,14 @@
     scheduler
 }
 
-fn ask(number: usize, tier: TierRank) -> PermitAsk {
-    PermitAsk {
+fn ask(number: usize, tier: TierRank) -> PermitRequest {
+    PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number as u128 + 1), attempt: 0 },
         pool: POOL.to_string(),
         tier,
         account: "a".to_string(),
         cost: 1,
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         time_left: Duration::from_secs(60),
         prompt_work: 0,
         output_work: 1_000,
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -80,7 +80,7 @@
     fn perform(&self, state: &mut RequestState, actions: Vec<EntryAction>) {
         for action in actions {
             match action {
-                EntryAction::AskPermit(_, ask) => {
+                EntryAction::RequestPermit(_, ask) => {
                     state.asked.insert(ask.permit);
                 }
                 EntryAction::ClaimKey(_) => state.claimed = true,
@@ -229,7 +229,7 @@
             tier: 0,
             account: "a".to_string(),
             time_left: STEP * u32::from(self.steps.max(2) - 1),
-            aims: curlewcleat_core::ServiceAims::default(),
+            objectives: curlewcleat_core::LatencyObjectives::default(),
             attempt_limit: None,
             cost: 1,
             prompt_work: 0,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -9,7 +9,7 @@
 use curlewcleat_keys::KeyTable;
 use curlewcleat_sched::RequestSpec;
 
-use crate::freshness::ReadDuty;
+use crate::freshness::ReadRole;
 use crate::status::PoolStatus;
 
 /// A line of the platform's VM list.
@@ -100,9 +100,9 @@
     /// Read the key table.
     ReadTable,
     /// The configuration in force was the newest then, as a peer's read has shown.
-    ConfigProved(Uptime),
+    ConfigConfirmed(Uptime),
     /// Read the platform from now on, or no longer.
-    Read(ReadDuty),
+    Read(ReadRole),
 }
 
 /// What a node wants done.
@@ -137,7 +137,7 @@
     PeerReplaced(DaemonId),
     /// A key table is known; this daemon holds so many slots.
     TableKnown(ObjectVersion, usize),
-    /// What the scheduler of a pool sees while asks wait there.
+    /// What the scheduler of a pool sees while requests wait there.
     PoolWaits(PoolStatus),
     /// The planned stop has begun.
     DrainBegun,
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -2,12 +2,12 @@
 //!
 //! Every call of the platform is counted, so only the first few daemons in the order of schedulers read
 //! it. The others ask those with each heartbeat how old their latest read is. The age of a proof that comes by way of a peer
-//! counts from the sending of the ask, less the age that the peer states: whatever time the messages
+//! counts from the sending of the permit request, less the age that the peer states: whatever time the messages
 //! took, the read was sent no earlier. A daemon whose peers cannot prove enough reads for itself.
 
 use std::time::Duration;
 
-use curlewcleat_core::{DaemonId, FreshnessAnswer, FreshnessAsk, Incarnation, Uptime, VmId};
+use curlewcleat_core::{DaemonId, FreshnessAnswer, FreshnessQuery, Incarnation, Uptime, VmId};
 
 /// Daemons, first in the order of schedulers, that read the platform.
 const READERS: usize = 2;
@@ -52,9 +52,9 @@
 
 /// Whether and why a daemon reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum ReadDuty {
+pub enum ReadRole {
     /// Others read it for this daemon.
-    Rest,
+    Idle,
     /// The others prove too little.
     Fallback,
     /// This daemon reads for the others.
@@ -129,11 +129,11 @@
 
     /// Takes a peer's answer. Returns when the read was sent at the earliest that it tells of.
     pub fn answered(&self, now: Uptime, answer: &FreshnessAnswer) -> Option<Uptime> {
-        let ask = answer.ask;
-        if ask.incarnation != self.incarnation || ask.sent > now {
+        let query = answer.query;
+        if query.incarnation != self.incarnation || query.sent > now {
             return None;
         }
-        ask.sent.checked_sub(answer.age?)
+        query.sent.checked_sub(answer.age?)
     }
 
     /// The configuration in force was the newest then.
@@ -150,24 +150,24 @@
         self.own.map(|own| now.saturating_sub(own))
     }
 
-    /// The ask to send now and the daemons to send it to. A daemon that reads well asks nobody.
-    pub fn ask<'a>(
+    /// The permit request to send now and the daemons to send it to. A daemon that reads well asks nobody.
+    pub fn query<'a>(
         &self,
         now: Uptime,
         me: &DaemonId,
         order: &'a [DaemonId],
-    ) -> (FreshnessAsk, Vec<&'a VmId>) {
-        let ask = FreshnessAsk { incarnation: self.incarnation, sent: now };
+    ) -> (FreshnessQuery, Vec<&'a VmId>) {
+        let query = FreshnessQuery { incarnation: self.incarnation, sent: now };
         let young = self.limits.read_every * 2;
         if self.own.is_some_and(|own| now.saturating_sub(own) < young) {
-            return (ask, Vec::new());
+            return (query, Vec::new());
         }
         let readers = order.iter().take(READERS).filter(|reader| *reader != me);
-        (ask, readers.map(|reader| &reader.vm).collect())
+        (query, readers.map(|reader| &reader.vm).collect())
     }
 
     /// Lets time pass; says whether this daemon has to read.
-    pub fn duty(&mut self, now: Uptime, me: &DaemonId, order: &[DaemonId]) -> ReadDuty {
+    pub fn duty(&mut self, now: Uptime, me: &DaemonId, order: &[DaemonId]) -> ReadRole {
         if self.proved.is_some() && !self.is_within(now, self.limits.lost_after * 2) {
             self.reach = PlatformReach::Lost;
         }
@@ -175,11 +175,11 @@
             self.fallback_until = now + READ_HOLD;
         }
         if order.iter().take(READERS).any(|reader| reader == me) || now < self.asked_until {
-            return ReadDuty::Reader;
+            return ReadRole::Reader;
         }
         match now < self.fallback_until {
-            true => ReadDuty::Fallback,
-            false => ReadDuty::Rest,
+            true => ReadRole::Fallback,
+            false => ReadRole::Idle,
         }
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -13,7 +13,7 @@
 pub use event::{
     CallerDecision, ListedVm, NodeAction, NodeEvent, NodeNote, PlatformCall, TableWrite,
 };
-pub use freshness::{FreshnessLimits, PlatformFreshness, ReadDuty};
+pub use freshness::{FreshnessLimits, PlatformFreshness, ReadRole};
 pub use node::{Node, NodeOptions};
 pub use status::{NodeStatus, PoolStatus, TargetStatus};
 pub use target_view::{TargetView, ViewUpdate};
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -25,7 +25,7 @@
 };
 
 use crate::event::{NodeAction, NodeEvent};
-use crate::freshness::{FreshnessLimits, PlatformFreshness, ReadDuty};
+use crate::freshness::{FreshnessLimits, PlatformFreshness, ReadRole};
 use crate::status::{NodeStatus, PoolStatus, TargetStatus};
 use crate::target_view::TargetView;
 use crate::vms::VmView;
@@ -48,7 +48,7 @@
     pub entry: EntryOptions,
     /// How far the rates that all daemons share may be exceeded.
     pub rate_margin: RateMargin,
-    /// Age that makes up for a unit of work in the order of an account's line.
+    /// Age that makes up for a unit of work in the order of an account's queue.
     pub age_per_work: u64,
     /// Whether one daemon schedules all pools, so that it can keep the rates that daemons share.
     pub one_scheduler: bool,
@@ -57,7 +57,7 @@
     /// Times of the view of a platform that daemons read for each other, `None` where each reads it.
     pub freshness: Option<FreshnessLimits>,
     /// Time between heartbeats.
-    pub beat: Duration,
+    pub heartbeat_every: Duration,
     /// Time for the balancer to notice a failing health check.
     pub drain_grace: Duration,
     /// Time for which an unreachable platform may delay a planned stop.
@@ -74,7 +74,7 @@
     discovered: Vec<DiscoveredTarget>,
     targets: TargetView,
     freshness: Option<PlatformFreshness>,
-    duty: ReadDuty,
+    duty: ReadRole,
     home: KeyHome,
     rates: AccountRates,
     pools: BTreeMap<PoolId, PoolScheduler>,
@@ -90,7 +90,7 @@
     orders: BTreeMap<PoolId, Vec<DaemonId>>,
     table_absent: bool,
     proposing: bool,
-    last_beat: Option<Uptime>,
+    last_heartbeat: Option<Uptime>,
     last_review: Uptime,
     last_expire: Uptime,
     now: Uptime,
@@ -113,7 +113,7 @@
             freshness: options
                 .freshness
                 .map(|limits| PlatformFreshness::new(limits, me.incarnation)),
-            duty: ReadDuty::Rest,
+            duty: ReadRole::Idle,
             home: KeyHome::new(me.clone(), options.keys.clone()),
             rates: AccountRates::new(options.rate_margin),
             pools: BTreeMap::new(),
@@ -127,7 +127,7 @@
             orders: BTreeMap::new(),
             table_absent: false,
             proposing: false,
-            last_beat: None,
+            last_heartbeat: None,
             last_review: Duration::ZERO,
             last_expire: Duration::ZERO,
             now: Duration::ZERO,
@@ -171,8 +171,8 @@
             NodeEvent::PlatformFailed => self.platform_failed(),
             NodeEvent::PeersRecorded { addresses, complete } => {
                 self.members.hint(addresses, complete);
-                // A newborn daemon is known to the others at once, and they to it.
-                self.last_beat = None;
+                // A new daemon is known to the others at once, and they to it.
+                self.last_heartbeat = None;
             }
             NodeEvent::VmsRead(list) => self.vms_read(&list),
             NodeEvent::Drain => self.begin_drain(),
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, Heartbeat, KeyAnswer, KeyDecision, LevelRaise, PeerFrame, PeerMessage, PermitAnswer,
-    PermitAsk, PermitDecision, PoolId, StatePull, TablePush, VmId,
+    DaemonId, Heartbeat, KeyAnswer, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
+    PermitDecision, PermitRequest, PoolId, ShedRequest, StatePull, TablePush, VmId,
 };
 use curlewcleat_keys::KeyTable;
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
@@ -60,12 +60,12 @@
             PeerMessage::TablePush(push) => {
                 self.table_known(push.version, KeyTable { slots: push.slots })
             }
-            PeerMessage::FreshnessAsk(ask) => self.freshness_asked(&from.vm, ask),
+            PeerMessage::FreshnessQuery(query) => self.freshness_queried(&from.vm, query),
             PeerMessage::FreshnessAnswer(answer) => self.freshness_answered(from, &answer),
             PeerMessage::TargetsPull(known) => self.targets_pulled(&from.vm, known),
             PeerMessage::TargetsPush(push) => self.targets_pushed(&from.vm, push),
-            PeerMessage::PermitAsk(ask) => {
-                self.permit_asked(from, ask);
+            PeerMessage::PermitRequest(request) => {
+                self.permit_requested(from, request);
             }
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
             PeerMessage::PermitReturn(back) => {
@@ -75,16 +75,16 @@
             }
             PeerMessage::PermitHeld(held) => {
                 let now = self.now;
-                self.pool(&held.ask.pool.clone()).hold(now, from.clone(), held);
+                self.pool(&held.request.pool.clone()).hold(now, from.clone(), held);
             }
-            PeerMessage::LevelRaise(raise) => {
+            PeerMessage::ShedRequest(raise) => {
                 let now = self.now;
                 let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
                 // What is shed here is shed on behalf of a round that has begun already.
                 self.post_answers(actions);
-                self.post(&from.vm, PeerMessage::LevelConfirm(raise.pool, raise.round));
+                self.post(&from.vm, PeerMessage::ShedConfirm(raise.pool, raise.round));
             }
-            PeerMessage::LevelConfirm(pool, round) => {
+            PeerMessage::ShedConfirm(pool, round) => {
                 let actions = self.guards.entry(pool).or_default().confirmed(from, round);
                 self.post_answers(actions);
             }
@@ -107,17 +107,17 @@
         }
     }
 
-    fn permit_asked(&mut self, from: &DaemonId, ask: PermitAsk) {
-        if let Err(wait) = self.charge(&ask) {
-            let refusal = self.rate_refusal(&ask, wait);
+    fn permit_requested(&mut self, from: &DaemonId, request: PermitRequest) {
+        if let Err(wait) = self.charge(&request) {
+            let refusal = self.rate_refusal(&request, wait);
             let decision = PermitDecision::Refused(refusal);
-            let answer = PermitAnswer { permit: ask.permit, pool: ask.pool, decision };
+            let answer = PermitAnswer { permit: request.permit, pool: request.pool, decision };
             self.post(&from.vm, PeerMessage::PermitAnswer(answer));
             return;
         }
         let now = self.now;
-        let (permit, account, cost) = (ask.permit, ask.account.clone(), ask.cost);
-        let actions = self.pool(&ask.pool.clone()).ask(now, from.clone(), ask);
+        let (permit, account, cost) = (request.permit, request.account.clone(), request.cost);
+        let actions = self.pool(&request.pool.clone()).request_permit(now, from.clone(), request);
         let refused = actions.iter().any(|action| {
             let refuses = matches!(action.answer.decision, PermitDecision::Refused(_));
             refuses && action.answer.permit == permit
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Asks a peer for what it has newer; several peers may have it, and one is asked at a time.
+    /// Requests a peer for what it has newer; several peers may have it, and one is asked at a time.
     pub(super) fn pull_state(&mut self, from: &VmId) {
         if self.last_pull.is_some_and(|last| self.now < last + PULL_PAUSE) {
             return;
@@ -198,8 +198,8 @@
         self.post_answers(step.answers);
         let Some((tier, round, peers)) = step.raise else { return };
         for peer in peers {
-            let raise = LevelRaise { pool: pool.clone(), tier, round };
-            self.post(&peer.vm, PeerMessage::LevelRaise(raise));
+            let raise = ShedRequest { pool: pool.clone(), tier, round };
+            self.post(&peer.vm, PeerMessage::ShedRequest(raise));
         }
     }
 
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -1,7 +1,7 @@
 //! What is known of the platform: by own reads, and by way of the peers that read it.
 
 use curlewcleat_core::{
-    DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessAsk, ObjectVersion, PeerMessage,
+    DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessQuery, ObjectVersion, PeerMessage,
     TargetChange, TargetsContent, TargetsPush, Uptime, VmId,
 };
 
@@ -14,7 +14,7 @@
     pub(super) fn platform_read(&mut self, sent: Uptime) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         freshness.read(self.now, sent);
-        self.actions.push(NodeAction::Platform(PlatformCall::ConfigProved(sent)));
+        self.actions.push(NodeAction::Platform(PlatformCall::ConfigConfirmed(sent)));
         self.review_freshness();
     }
 
@@ -24,10 +24,10 @@
         }
     }
 
-    pub(super) fn freshness_asked(&mut self, from: &VmId, ask: FreshnessAsk) {
+    pub(super) fn freshness_queried(&mut self, from: &VmId, query: FreshnessQuery) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         let answer = FreshnessAnswer {
-            ask,
+            query,
             age: freshness.asked(self.now),
             generation: self.store.generation(),
             targets_at: self.targets.at(),
@@ -43,7 +43,7 @@
         } else {
             // What is in force here is at least as new as what the peer's read showed.
             freshness.prove(self.now, read);
-            self.actions.push(NodeAction::Platform(PlatformCall::ConfigProved(read)));
+            self.actions.push(NodeAction::Platform(PlatformCall::ConfigConfirmed(read)));
         }
         if answer.targets_at > self.targets.at() {
             self.post(&from.vm, PeerMessage::TargetsPull(self.targets.at()));
@@ -92,13 +92,13 @@
         self.freshness.as_ref().is_some_and(|freshness| freshness.is_doubtful(self.now))
     }
 
-    /// Asks the daemons that read the platform how old their reads are.
-    pub(super) fn ask_freshness(&mut self) {
+    /// Requests the daemons that read the platform how old their reads are.
+    pub(super) fn query_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_ref() else { return };
-        let (ask, readers) = freshness.ask(self.now, &self.options.me, &self.order);
+        let (query, readers) = freshness.query(self.now, &self.options.me, &self.order);
         let readers: Vec<VmId> = readers.into_iter().cloned().collect();
         for reader in readers {
-            self.post(&reader, PeerMessage::FreshnessAsk(ask));
+            self.post(&reader, PeerMessage::FreshnessQuery(query));
         }
     }
 
@@ -121,7 +121,7 @@
     fn review_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_ref() else { return };
         if self.members.set_stale(freshness.is_stale(self.now)) {
-            self.last_beat = None;
+            self.last_heartbeat = None;
             self.review_takers();
         }
     }
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AttemptEnd, KeyClaim, KeyOutcome, PeerMessage, PermitAsk, PermitId, Refusal, RefusalReason,
+    AttemptEnd, KeyClaim, KeyOutcome, PeerMessage, PermitId, PermitRequest, Refusal, RefusalReason,
     RequestId, RetryReason,
 };
 use curlewcleat_sched::{spread_advice, EntryAction, RatePart, RateTurn, RequestSpec};
@@ -44,30 +44,30 @@
         self.perform(actions);
     }
 
-    /// Charges an ask to its account's rate, where it asks here for the first time.
-    pub(super) fn charge(&mut self, ask: &PermitAsk) -> Result<(), Duration> {
-        let known = self.pools.get(&ask.pool).is_some_and(|pool| pool.knows(&ask.permit));
-        if known || ask.permit.attempt > 0 {
+    /// Charges a permit request to its account's rate, where it asks here for the first time.
+    pub(super) fn charge(&mut self, request: &PermitRequest) -> Result<(), Duration> {
+        let known = self.pools.get(&request.pool).is_some_and(|pool| pool.knows(&request.permit));
+        if known || request.permit.attempt > 0 {
             return Ok(());
         }
-        let account = self.active.accounts.get(&ask.account);
+        let account = self.active.accounts.get(&request.account);
         let Some(rate) = account.and_then(|account| account.shared_rate) else { return Ok(()) };
-        let part = match self.rate_turn(&ask.pool) {
+        let part = match self.rate_turn(&request.pool) {
             RateTurn::Leader => self.members.reached_part(self.now),
             // Another daemon gives out the rate; this one was asked since it seems to be silent.
             turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
         };
-        self.rates.take(self.now, &ask.account, &rate, ask.cost, part)
+        self.rates.take(self.now, &request.account, &rate, request.cost, part)
     }
 
-    /// The refusal of an ask for which there is no room in its account's rate. Where the daemon that keeps
+    /// The refusal of a permit request for which there is no room in its account's rate. Where the daemon that keeps
     /// the rate is silent, there may be room once another one has taken over.
-    pub(super) fn rate_refusal(&self, ask: &PermitAsk, wait: Duration) -> Refusal {
-        let (reason, wait) = match self.rate_turn(&ask.pool) {
+    pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
+        let (reason, wait) = match self.rate_turn(&request.pool) {
             RateTurn::Leader => (RefusalReason::AccountRate, wait),
             _ => (RefusalReason::RateUnknown, wait.min(self.options.members.suspect_after)),
         };
-        let advice = spread_advice(ask.permit, wait, ask.time_left).max(wait);
+        let advice = spread_advice(request.permit, wait, request.time_left).max(wait);
         Refusal::not_run(reason, Some(advice))
     }
 
@@ -94,7 +94,9 @@
             match action {
                 EntryAction::ClaimKey(claim) => self.send_claim(claim),
                 EntryAction::ReportKey(outcome) => self.send_outcome(outcome),
-                EntryAction::AskPermit(vm, ask) => self.post(&vm, PeerMessage::PermitAsk(ask)),
+                EntryAction::RequestPermit(vm, request) => {
+                    self.post(&vm, PeerMessage::PermitRequest(request))
+                }
                 EntryAction::ReturnPermit(vm, back) => {
                     self.post(&vm, PeerMessage::PermitReturn(back))
                 }
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -12,7 +12,7 @@
             self.drain.begin(self.now);
             self.members.set_draining();
             self.actions.push(NodeAction::Note(NodeNote::DrainBegun));
-            self.last_beat = None;
+            self.last_heartbeat = None;
             self.review_takers();
         }
     }
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -38,7 +38,7 @@
             self.take_guard_step(&pool, step);
         }
         self.step_freshness();
-        self.beat();
+        self.send_heartbeats();
         if self.now >= self.last_review + REVIEW {
             self.last_review = self.now;
             self.note_waiting();
@@ -59,18 +59,18 @@
         self.actions.extend(notes);
     }
 
-    pub(super) fn beat(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let pause = match self.members.is_announcing() {
-            true => self.options.beat / ANNOUNCED_BEATS_PER_BEAT,
-            false => self.options.beat,
+            true => self.options.heartbeat_every / ANNOUNCED_BEATS_PER_BEAT,
+            false => self.options.heartbeat_every,
         };
-        if self.last_beat.is_some_and(|last| self.now < last + pause) {
+        if self.last_heartbeat.is_some_and(|last| self.now < last + pause) {
             return;
         }
-        self.last_beat = Some(self.now);
-        self.ask_freshness();
+        self.last_heartbeat = Some(self.now);
+        self.query_freshness();
         let beat = self.heartbeat();
-        for receiver in self.members.beat_receivers(self.now, &self.order) {
+        for receiver in self.members.heartbeat_receivers(self.now, &self.order) {
             let beat = Heartbeat { answer_wanted: receiver.answer_wanted, ..beat.clone() };
             let messages = vec![PeerMessage::Heartbeat(beat)];
             let frame = PeerFrame { from: self.options.me.clone(), messages };
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -27,7 +27,7 @@
     pub id: PoolId,
     /// VM that schedules it.
     pub scheduler: String,
-    /// Asks that wait here.
+    /// Requests that wait here.
     pub waiting: usize,
     /// Permits given here and in use.
     pub in_flight: usize,
--- a/crates/node/tests/freshness.rs
+++ b/crates/node/tests/freshness.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_node::{CallerDecision, FreshnessLimits, ReadDuty};
+use curlewcleat_node::{CallerDecision, FreshnessLimits, ReadRole};
 use rstest::rstest;
 
 use support::{daemon, recorded, target, Fleet, APPLY_LIMIT};
@@ -62,14 +62,14 @@
     fleet.run(Duration::from_secs(6));
     let readers = fleet.readers();
     assert!(readers.iter().filter(|reader| !lost.contains(reader)).count() == 2, "{readers:?}");
-    let fallback = fleet.daemons.iter().filter(|daemon| daemon.duty == ReadDuty::Fallback).count();
+    let fallback = fleet.daemons.iter().filter(|daemon| daemon.duty == ReadRole::Fallback).count();
     assert!(fallback <= 2, "{fallback} daemons read for themselves");
 }
 
 #[test]
 fn answer_to_an_earlier_process_proves_nothing() {
     let mut fleet = Fleet::new(3);
-    let other = (0..3).find(|index| fleet.daemons[*index].duty == ReadDuty::Rest);
+    let other = (0..3).find(|index| fleet.daemons[*index].duty == ReadRole::Idle);
     let other = other.expect("one that rests");
     // The process starts again and its clock with it; what it had asked is answered to the new one.
     fleet.daemons[other] = daemon(other, Vec::new());
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use curlewcleat_keys::KeyHomeOptions;
 use curlewcleat_node::{
     CallerDecision, FreshnessLimits, Node, NodeAction, NodeEvent, NodeOptions, PlatformCall,
-    ReadDuty,
+    ReadRole,
 };
 use curlewcleat_sched::{EntryOptions, MemberOptions, RequestSpec};
 
@@ -33,7 +33,7 @@
     /// Whether frames to it are lost.
     pub deaf: bool,
     /// Whether it reads the platform, by its own word.
-    pub duty: ReadDuty,
+    pub duty: ReadRole,
     /// When the read was sent that proved its configuration last.
     pub proved: Option<Duration>,
     next_read: Duration,
@@ -88,7 +88,7 @@
                     NodeAction::Platform(PlatformCall::Read(duty)) => {
                         self.daemons[index].duty = duty
                     }
-                    NodeAction::Platform(PlatformCall::ConfigProved(at)) => {
+                    NodeAction::Platform(PlatformCall::ConfigConfirmed(at)) => {
                         let proved = &mut self.daemons[index].proved;
                         *proved = (*proved).max(Some(at));
                     }
@@ -119,7 +119,7 @@
     /// What the daemon's own tasks do: reads of the configuration and the targets.
     fn read_platform(&mut self, index: usize) {
         let daemon = &mut self.daemons[index];
-        if daemon.duty == ReadDuty::Rest || self.now < daemon.next_read {
+        if daemon.duty == ReadRole::Idle || self.now < daemon.next_read {
             return;
         }
         daemon.next_read = self.now + FreshnessLimits::within(APPLY_LIMIT).read_every;
@@ -171,7 +171,7 @@
 
     pub fn readers(&self) -> Vec<usize> {
         (0..self.daemons.len())
-            .filter(|index| self.daemons[*index].duty == ReadDuty::Reader)
+            .filter(|index| self.daemons[*index].duty == ReadRole::Reader)
             .collect()
     }
 
@@ -211,13 +211,13 @@
             suspect_after: Duration::from_secs(2),
             mesh_limit: 12,
             capacity: 100,
-            born: 0,
+            started: 0,
         },
         keys: KeyHomeOptions::default(),
         key_slots: 0,
         entry: EntryOptions {
-            ask_limit: Duration::from_millis(30),
-            ask_tries: 1,
+            answer_timeout: Duration::from_millis(30),
+            answer_tries: 1,
             ..EntryOptions::default()
         },
         rate_margin: curlewcleat_sched::RateMargin::default(),
@@ -225,11 +225,11 @@
         age_per_work: 32,
         request_limit: 10_000,
         freshness: Some(FreshnessLimits::within(APPLY_LIMIT)),
-        beat: Duration::from_millis(500),
+        heartbeat_every: Duration::from_millis(500),
         drain_grace: Duration::from_secs(1),
         hand_over_limit: Duration::from_secs(1),
     });
-    let duty = ReadDuty::Reader;
+    let duty = ReadRole::Reader;
     Daemon {
         node,
         reaches: true,
@@ -259,7 +259,7 @@
         tier: 0,
         account: "a".to_string(),
         time_left: Duration::from_secs(5),
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         attempt_limit: Some(1),
         cost: 1,
         prompt_work: 0,
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -1,19 +1,19 @@
 //! Frames survive their way, and nothing else is taken for one.
 
 use curlewcleat_core::{
-    DaemonId, PeerFrame, PeerMessage, PermitAsk, PermitId, RequestId, StatePull,
+    DaemonId, PeerFrame, PeerMessage, PermitId, PermitRequest, RequestId, StatePull,
 };
 use curlewcleat_peers::{decode_frame, encode_frame, Error};
 use proptest::prelude::*;
 
 fn frame(vm: String, incarnation: u64, tier: u8, work: u64) -> PeerFrame {
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         permit: PermitId { request: RequestId::from_u128(u128::from(work)), attempt: 1 },
         pool: "pool".to_string(),
         tier,
         account: vm.clone(),
         cost: 1,
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         time_left: std::time::Duration::from_millis(work % 1_000_000),
         prompt_work: work,
         output_work: work / 2,
@@ -21,7 +21,7 @@
         avoid: vec![vm.clone()],
     };
     let pull = StatePull { generation: work, table: incarnation };
-    let messages = vec![PeerMessage::PermitAsk(ask), PeerMessage::StatePull(pull)];
+    let messages = vec![PeerMessage::PermitRequest(ask), PeerMessage::StatePull(pull)];
     PeerFrame { from: DaemonId { vm, incarnation }, messages }
 }
 
--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AccountId, DaemonId, PermitAsk, PermitDecision, PermitId, Refusal, RefusalReason, TierRank,
+    AccountId, DaemonId, PermitDecision, PermitId, PermitRequest, Refusal, RefusalReason, TierRank,
     Uptime,
 };
 
@@ -45,8 +45,8 @@
             return;
         }
         let lost =
-            self.queues.heads(usize::MAX).filter(|waiting| !self.reachable(now, &waiting.ask));
-        for permit in lost.map(|waiting| waiting.ask.permit).collect::<Vec<_>>() {
+            self.queues.heads(usize::MAX).filter(|waiting| !self.reachable(now, &waiting.request));
+        for permit in lost.map(|waiting| waiting.request.permit).collect::<Vec<_>>() {
             if let Some(waiting) = self.queues.remove(&permit) {
                 let refusal = self.no_target(now);
                 actions.push(self.answer(waiting.entry, permit, PermitDecision::Refused(refusal)));
@@ -55,8 +55,8 @@
     }
 
     /// Whether a target takes new work that has not failed this request already.
-    fn reachable(&self, now: Uptime, ask: &PermitAsk) -> bool {
-        self.targets.iter().any(|(id, target)| target.usable(now) && !ask.avoid.contains(id))
+    fn reachable(&self, now: Uptime, request: &PermitRequest) -> bool {
+        self.targets.iter().any(|(id, target)| target.usable(now) && !request.avoid.contains(id))
     }
 
     fn no_target(&self, now: Uptime) -> Refusal {
@@ -65,38 +65,39 @@
         Refusal::not_run(RefusalReason::NoTarget, Some(wait))
     }
 
-    /// Decides whether an ask may wait; makes room for it if that takes nothing from a higher tier.
+    /// Decides whether a permit request may wait; makes room for it if that takes nothing from a higher tier.
     pub(crate) fn admit(
         &mut self,
         now: Uptime,
-        ask: &PermitAsk,
+        request: &PermitRequest,
         actions: &mut Vec<SchedulerAction>,
     ) -> Result<(), Refusal> {
-        if self.level.sheds(ask.tier) {
+        if self.level.sheds(request.tier) {
             let wait = Some(self.level.remaining(now).max(DEFAULT_ADVICE));
             return Err(Refusal::not_run(RefusalReason::TierShed, wait));
         }
-        let limit = self.limit_of(&ask.account);
-        self.check_account(now, ask, &limit)?;
-        if !self.reachable(now, ask) {
+        let limit = self.limit_of(&request.account);
+        self.check_account(now, request, &limit)?;
+        if !self.reachable(now, request) {
             return Err(self.no_target(now));
         }
-        let estimate = self.fastest_estimate(ask);
-        let time_left = ask.time_left.as_micros() as u64;
+        let estimate = self.fastest_estimate(request);
+        let time_left = request.time_left.as_micros() as u64;
         if estimate > time_left {
             return Err(Refusal::not_run(RefusalReason::DeadlineUnreachable, None));
         }
-        let wait = self.wait_estimate(ask, &limit);
-        if wait > micros(ask.aims.forecast_limit) {
-            return Err(wait_too_long(ask, Duration::from_micros(wait)));
+        let wait = self.wait_estimate(request, &limit);
+        if wait > micros(request.objectives.forecast_limit) {
+            return Err(wait_too_long(request, Duration::from_micros(wait)));
         }
         if wait + estimate > time_left {
-            let refusal = self.capacity_refusal(now, ask.tier, RefusalReason::DeadlineUnreachable);
-            self.shed_below(now, ask.tier, actions);
+            let refusal =
+                self.capacity_refusal(now, request.tier, RefusalReason::DeadlineUnreachable);
+            self.shed_below(now, request.tier, actions);
             return Err(refusal);
         }
         if self.queues.len() >= self.options.queue_limit {
-            self.make_room(now, ask, actions)?;
+            self.make_room(now, request, actions)?;
         }
         Ok(())
     }
@@ -104,19 +105,21 @@
     fn check_account(
         &mut self,
         now: Uptime,
-        ask: &PermitAsk,
+        request: &PermitRequest,
         limit: &AccountLimit,
     ) -> Result<(), Refusal> {
-        if self.queues.account_len(&ask.account) >= limit.queue_limit as usize {
+        if self.queues.account_len(&request.account) >= limit.queue_limit as usize {
             return Err(Refusal::not_run(RefusalReason::AccountQueue, Some(self.drain_time())));
         }
         let Some(rate) = limit.rate_per_s else { return Ok(()) };
         // A retry inside the system is the same request and is not charged again.
-        if ask.permit.attempt > 0 {
+        if request.permit.attempt > 0 {
             return Ok(());
         }
-        let bucket =
-            self.buckets.entry(ask.account.clone()).or_insert_with(|| RateBucket::new(rate, now));
+        let bucket = self
+            .buckets
+            .entry(request.account.clone())
+            .or_insert_with(|| RateBucket::new(rate, now));
         bucket
             .take(rate, now)
             .map_err(|wait| Refusal::not_run(RefusalReason::AccountRate, Some(wait)))
@@ -126,19 +129,19 @@
     fn make_room(
         &mut self,
         now: Uptime,
-        ask: &PermitAsk,
+        request: &PermitRequest,
         actions: &mut Vec<SchedulerAction>,
     ) -> Result<(), Refusal> {
-        if let Some(victim) = self.queues.victim_below(ask.tier) {
+        if let Some(victim) = self.queues.victim_below(request.tier) {
             self.evict(now, victim, RefusalReason::ShedForHigherTier, actions);
             return Ok(());
         }
-        if let Some(victim) = self.queues.victim_within(ask.tier, &ask.account) {
+        if let Some(victim) = self.queues.victim_within(request.tier, &request.account) {
             self.evict(now, victim, RefusalReason::AccountQueue, actions);
             return Ok(());
         }
-        let refusal = self.capacity_refusal(now, ask.tier, RefusalReason::QueueFull);
-        self.shed_below(now, ask.tier, actions);
+        let refusal = self.capacity_refusal(now, request.tier, RefusalReason::QueueFull);
+        self.shed_below(now, request.tier, actions);
         Err(refusal)
     }
 
@@ -150,7 +153,7 @@
         actions: &mut Vec<SchedulerAction>,
     ) {
         let Some(waiting) = self.queues.remove(&victim) else { return };
-        let tier = waiting.ask.tier;
+        let tier = waiting.request.tier;
         let refusal = self.capacity_refusal(now, tier, reason);
         actions.push(self.refuse_for_capacity(waiting.entry, victim, tier, refusal));
         self.shed_below(now, tier, actions);
@@ -168,7 +171,7 @@
             if let Some(waiting) = self.queues.remove(&permit) {
                 let refusal =
                     Refusal::not_run(RefusalReason::ShedForHigherTier, Some(self.drain_time()));
-                let tier = waiting.ask.tier;
+                let tier = waiting.request.tier;
                 actions.push(self.refuse_for_capacity(waiting.entry, permit, tier, refusal));
             }
         }
@@ -207,14 +210,14 @@
     }
 }
 
-/// The refusal of an ask that would wait too long. It is for the ask's own sake: whatever goes after
+/// The refusal of a permit request that would wait too long. It is for the permit request's own sake: whatever goes after
 /// it waits longer still, so no tier is shed for it.
-pub(crate) fn wait_too_long(ask: &PermitAsk, wait: Duration) -> Refusal {
-    let advice = spread_advice(ask.permit, wait, ask.time_left);
+pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
+    let advice = spread_advice(request.permit, wait, request.time_left);
     Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
 }
 
-/// Whether an ask is refused because the pool has not enough room, and not for its own sake.
+/// Whether a permit request is refused because the pool has not enough room, and not for its own sake.
 pub(crate) fn is_for_capacity(refusal: &Refusal) -> bool {
     match refusal.reason {
         RefusalReason::QueueFull | RefusalReason::TierShed => true,
--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{PermitAsk, WorkMicros};
+use curlewcleat_core::{PermitRequest, WorkMicros};
 
 use super::account::AccountLimit;
 use crate::advice::capacity_advice;
@@ -22,28 +22,35 @@
 impl PoolScheduler {
     /// Time that the fastest target needs, with room for the error of the estimate: too late where the
     /// work is known, too early where the length of the answer is a guess.
-    pub(crate) fn fastest_estimate(&self, ask: &PermitAsk) -> WorkMicros {
+    pub(crate) fn fastest_estimate(&self, request: &PermitRequest) -> WorkMicros {
         let usable = self.targets.values().filter(|state| !state.leaving && !state.ejected());
-        if ask.aims.length_guessed {
-            let times = usable.filter_map(|state| self.stream_time(ask, state));
+        if request.objectives.length_guessed {
+            let times = usable.filter_map(|state| self.stream_time(request, state));
             return times.min().unwrap_or(0) / GUESS_DIVISOR;
         }
-        let fastest = usable.map(|state| state.estimate(ask)).min();
-        with_margin(fastest.unwrap_or(ask.prompt_work + ask.output_work))
+        let fastest = usable.map(|state| state.estimate(request)).min();
+        with_margin(fastest.unwrap_or(request.prompt_work + request.output_work))
     }
 
     /// Time of a stream on an idle target by what was learned, `None` while nothing is known.
-    fn stream_time(&self, ask: &PermitAsk, state: &TargetState) -> Option<WorkMicros> {
-        let prompt = state.pace.prompt_time(ask.prompt_work)?;
-        let output = state.pace.output_time(ask.output_work, &self.pace)?;
+    fn stream_time(&self, request: &PermitRequest, state: &TargetState) -> Option<WorkMicros> {
+        let prompt = state.pace.prompt_time(request.prompt_work)?;
+        let output = state.pace.output_time(request.output_work, &self.pace)?;
         Some(prompt + output)
     }
 
-    /// Estimated time until a new ask would be granted.
-    pub(super) fn wait_estimate(&self, ask: &PermitAsk, limit: &AccountLimit) -> WorkMicros {
-        let ahead = self.queues.work_ahead(ask, limit.weight);
+    /// Estimated time until a new request would be granted.
+    pub(super) fn wait_estimate(
+        &self,
+        request: &PermitRequest,
+        limit: &AccountLimit,
+    ) -> WorkMicros {
+        let ahead = self.queues.work_ahead(request, limit.weight);
         // Where the work is known, the targets' speeds tell more than what happened to be granted lately.
-        let capacity = self.throughput.capacity_for(ask.tier).filter(|_| ask.aims.length_guessed);
+        let capacity = self
+            .throughput
+            .capacity_for(request.tier)
+            .filter(|_| request.objectives.length_guessed);
         if let Some(capacity) = capacity {
             let micros = u128::from(ahead) * 1_000_000 / u128::from(capacity);
             return u64::try_from(micros).unwrap_or(u64::MAX);
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -39,19 +39,19 @@
 }
 
 impl PoolThroughput {
-    /// An ask with this work was taken in.
+    /// A permit request with this work was taken in.
     pub fn arrived(&mut self, tier: TierRank, work: WorkMicros) {
         self.arrived.entry(tier).or_default().above += work;
     }
 
-    /// An ask with this work got its permit; `busy` says whether others wait.
+    /// A permit request with this work got its permit; `busy` says whether others wait.
     pub fn granted(&mut self, work: WorkMicros, busy: bool) {
         if busy {
             self.granted.above += work;
         }
     }
 
-    /// Lets time pass; `busy` says whether asks wait.
+    /// Lets time pass; `busy` says whether requests wait.
     pub fn tick(&mut self, now: Uptime, busy: bool) {
         let passed = now.saturating_sub(self.last).as_micros() as u64;
         self.last = now;
--- a/crates/sched/src/election/heartbeats.rs
+++ b/crates/sched/src/election/heartbeats.rs
@@ -32,7 +32,7 @@
 
 /// A heartbeat's receiver.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct BeatReceiver {
+pub struct HeartbeatReceiver {
     /// Its `ip:port`.
     pub address: String,
     /// Whether it is to send a heartbeat back.
@@ -73,7 +73,7 @@
             draining: self.draining,
             stale: self.stale,
             capacity: self.options.capacity,
-            born: self.options.born,
+            started: self.options.started,
             answer_wanted: false,
             known: known.map(|address| address.to_string()).collect(),
         };
@@ -82,13 +82,17 @@
     }
 
     /// Who gets the heartbeat that is sent now. `order` is that of the schedulers.
-    pub fn beat_receivers(&mut self, now: Uptime, order: &[DaemonId]) -> BTreeSet<BeatReceiver> {
+    pub fn heartbeat_receivers(
+        &mut self,
+        now: Uptime,
+        order: &[DaemonId],
+    ) -> BTreeSet<HeartbeatReceiver> {
         self.beats = self.beats.wrapping_add(1);
         let reply_due = std::mem::take(&mut self.reply_due);
         let announced = self.is_announcing();
         self.announced = self.announced.saturating_sub(1);
         if self.is_mesh() {
-            let receiver = |address| BeatReceiver { address, answer_wanted: false };
+            let receiver = |address| HeartbeatReceiver { address, answer_wanted: false };
             return self.addresses().into_iter().map(receiver).collect();
         }
         self.renew_near(now, order);
@@ -99,7 +103,7 @@
             let answer_wanted = near.contains(&address);
             let its_turn = address_slot(&self.me.vm, &address) == slot;
             if answer_wanted || announced || its_turn || reply_due.contains(&address) {
-                receivers.insert(BeatReceiver { address, answer_wanted });
+                receivers.insert(HeartbeatReceiver { address, answer_wanted });
             }
         }
         receivers
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -28,7 +28,7 @@
     pub capacity: u32,
     /// When this process was born, by its own wall clock in some unit; among equals the oldest schedules,
     /// so that a daemon that comes back takes no role away. 0 where that does not count.
-    pub born: u64,
+    pub started: u64,
 }
 
 /// What is known of a peer.
@@ -51,7 +51,7 @@
     /// Processor of its VM, in percent of a core.
     pub capacity: u32,
     /// When its process was born, by its own word.
-    pub born: u64,
+    pub started: u64,
     /// Whether it is reachable.
     pub live: bool,
     pub(super) last_heard: Uptime,
@@ -71,7 +71,7 @@
             draining: beat.draining,
             stale: beat.stale,
             capacity: beat.capacity,
-            born: beat.born,
+            started: beat.started,
             live: true,
             last_heard: now,
             near_since: None,
--- a/crates/sched/src/election/order.rs
+++ b/crates/sched/src/election/order.rs
@@ -56,13 +56,13 @@
             Some(peer) => CandidateRank {
                 stale: peer.stale,
                 capacity: Reverse(peer.capacity),
-                started: peer.born,
+                started: peer.started,
                 weight,
             },
             None => CandidateRank {
                 stale: self.stale,
                 capacity: Reverse(self.options.capacity),
-                started: self.options.born,
+                started: self.options.started,
                 weight,
             },
         }
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -41,7 +41,7 @@
 impl EntryRequests {
     /// An entry without requests.
     pub fn new(options: EntryOptions) -> EntryRequests {
-        let waited = options.ask_limit * options.ask_tries;
+        let waited = options.answer_timeout * options.answer_tries;
         EntryRequests {
             unresponsive: UnresponsiveSchedulers::new(options.avoid_for, waited),
             options,
@@ -78,18 +78,18 @@
         self.budget_of(&spec.pool).earn(now);
         let deadline = now + spec.time_left;
         let id = spec.request;
-        let wait_until = now.saturating_add(spec.aims.wait_limit);
-        let first_by = now.saturating_add(spec.aims.first_by);
+        let wait_until = now.saturating_add(spec.objectives.wait_limit);
+        let first_part_by = now.saturating_add(spec.objectives.first_part_by);
         let phase = RequestPhase::Claiming { tries: 1, sent: now };
         let request = EntryRequest {
             spec,
             deadline,
             wait_until,
-            first_by,
+            first_part_by,
             attempt: 0,
             unsent: 0,
             avoid: Vec::new(),
-            unheard: Vec::new(),
+            unresponsive: Vec::new(),
             failed: None,
             phase,
         };
@@ -97,7 +97,7 @@
         self.requests.insert(id, request);
         match claim {
             Some(claim) => vec![EntryAction::ClaimKey(claim)],
-            None => self.ask(now, id, order),
+            None => self.request_permit(now, id, order),
         }
     }
 
@@ -116,7 +116,7 @@
             return Vec::new();
         }
         match answer.decision {
-            KeyDecision::First => self.ask(now, id, order),
+            KeyDecision::First => self.request_permit(now, id, order),
             KeyDecision::Known(refusal) => self.drop_refused(id, refusal),
             KeyDecision::Answer(answer) => {
                 self.requests.remove(&id);
@@ -192,7 +192,7 @@
         match decide_retry(now, input, self.budget_of(&pool)) {
             RetryDecision::Again => {
                 actions.push(EntryAction::Count(retry));
-                actions.extend(self.ask(now, id, order));
+                actions.extend(self.request_permit(now, id, order));
             }
             RetryDecision::GiveUp(reason) => {
                 // The permit is back already, so only the key is left to report.
@@ -230,17 +230,19 @@
         for id in ids {
             let Some(request) = self.requests.get(&id) else { continue };
             let candidates = order(&request.spec.pool);
-            let Some(best) = self.unresponsive.choose(now, &candidates, &request.unheard) else {
+            let Some(best) = self.unresponsive.choose(now, &candidates, &request.unresponsive)
+            else {
                 continue;
             };
             match &request.phase {
                 RequestPhase::Waiting { scheduler, .. } if *scheduler != best => {
                     actions.extend(request.return_permit(AttemptEnd::Unused));
                     actions.push(EntryAction::Count(RetryReason::SchedulerMoved));
-                    actions.extend(self.ask(now, id, order));
+                    actions.extend(self.request_permit(now, id, order));
                 }
                 RequestPhase::Dispatched { scheduler, target } if *scheduler != best => {
-                    let held = PermitHeld { ask: request.permit_ask(now), target: target.clone() };
+                    let held =
+                        PermitHeld { request: request.permit_request(now), target: target.clone() };
                     actions.push(EntryAction::HoldPermit(best.clone(), held));
                     let target = target.clone();
                     self.set_phase(id, RequestPhase::Dispatched { scheduler: best, target });
@@ -270,9 +272,14 @@
                     actions.extend(self.key_silent(now, id, tries, order));
                 }
                 RequestPhase::Waiting { sent, heard, silent, scheduler } => {
-                    let limit = if heard { self.options.ask_again } else { self.options.ask_limit };
+                    let limit = if heard {
+                        self.options.refresh_every
+                    } else {
+                        self.options.answer_timeout
+                    };
                     if now >= sent + limit {
-                        actions.extend(self.ask_again(now, id, scheduler, heard, silent, order));
+                        actions
+                            .extend(self.repeat_request(now, id, scheduler, heard, silent, order));
                     }
                 }
                 RequestPhase::Claiming { .. } => {}
@@ -313,7 +320,7 @@
         // A caller's first attempt needs no memory of earlier ones; a later one without a record
         // of it never runs, so it may go ahead.
         if request.first_attempt() {
-            return self.ask(now, id, order);
+            return self.request_permit(now, id, order);
         }
         let refusal = request.unreachable_home();
         let mut actions: Vec<EntryAction> =
@@ -322,7 +329,7 @@
         actions
     }
 
-    fn ask_again(
+    fn repeat_request(
         &mut self,
         now: Uptime,
         id: RequestId,
@@ -340,20 +347,20 @@
                 heard: false,
                 silent: 0,
             };
-            return vec![EntryAction::AskPermit(scheduler, request.permit_ask(now))];
+            return vec![EntryAction::RequestPermit(scheduler, request.permit_request(now))];
         }
         let mut actions = vec![EntryAction::Count(RetryReason::SchedulerSilent)];
-        if silent + 1 < self.options.ask_tries {
+        if silent + 1 < self.options.answer_tries {
             let silent = silent + 1;
             request.phase =
                 RequestPhase::Waiting { scheduler: scheduler.clone(), sent: now, heard, silent };
-            actions.push(EntryAction::AskPermit(scheduler, request.permit_ask(now)));
+            actions.push(EntryAction::RequestPermit(scheduler, request.permit_request(now)));
             return actions;
         }
         actions.extend(request.return_permit(AttemptEnd::Unused));
-        request.unheard.push(scheduler.clone());
+        request.unresponsive.push(scheduler.clone());
         self.unresponsive.timed_out(now, scheduler);
-        actions.extend(self.ask(now, id, order));
+        actions.extend(self.request_permit(now, id, order));
         actions
     }
 
@@ -397,7 +404,8 @@
                 let mut actions = Vec::new();
                 // A late grant of an earlier scheduler is good; the present one has to know of it.
                 if scheduler != from {
-                    let held = PermitHeld { ask: request.permit_ask(now), target: target.clone() };
+                    let held =
+                        PermitHeld { request: request.permit_request(now), target: target.clone() };
                     actions.push(EntryAction::HoldPermit(scheduler.clone(), held));
                 }
                 let phase =
@@ -408,7 +416,8 @@
             }
             RequestPhase::Dispatched { target: used, .. } if *used == target => Vec::new(),
             RequestPhase::Dispatched { target: used, .. } => {
-                let held = PermitHeld { ask: request.permit_ask(now), target: used.clone() };
+                let held =
+                    PermitHeld { request: request.permit_request(now), target: used.clone() };
                 vec![EntryAction::HoldPermit(from.clone(), held)]
             }
         }
@@ -439,14 +448,20 @@
         vec![EntryAction::Refuse(id, refusal)]
     }
 
-    fn ask(&mut self, now: Uptime, id: RequestId, order: SchedulerOrder<'_>) -> Vec<EntryAction> {
+    fn request_permit(
+        &mut self,
+        now: Uptime,
+        id: RequestId,
+        order: SchedulerOrder<'_>,
+    ) -> Vec<EntryAction> {
         let Some(request) = self.requests.get(&id) else { return Vec::new() };
         let candidates = order(&request.spec.pool);
-        let Some(scheduler) = self.unresponsive.choose(now, &candidates, &request.unheard) else {
+        let Some(scheduler) = self.unresponsive.choose(now, &candidates, &request.unresponsive)
+        else {
             return self
                 .drop_refused(id, Refusal::not_run(RefusalReason::NoTarget, Some(DEFAULT_ADVICE)));
         };
-        let ask = request.permit_ask(now);
+        let request = request.permit_request(now);
         let phase = RequestPhase::Waiting {
             scheduler: scheduler.clone(),
             sent: now,
@@ -454,7 +469,7 @@
             silent: 0,
         };
         self.set_phase(id, phase);
-        vec![EntryAction::AskPermit(scheduler, ask)]
+        vec![EntryAction::RequestPermit(scheduler, request)]
     }
 
     /// So many daemons share the retry budgets.
--- a/crates/sched/src/entry/action.rs
+++ b/crates/sched/src/entry/action.rs
@@ -1,7 +1,7 @@
 //! What an entry wants done.
 
 use curlewcleat_core::{
-    KeptAnswer, KeyClaim, KeyOutcome, PermitAsk, PermitHeld, PermitId, PermitReturn, Refusal,
+    KeptAnswer, KeyClaim, KeyOutcome, PermitHeld, PermitId, PermitRequest, PermitReturn, Refusal,
     RequestId, RetryReason, TargetId, VmId,
 };
 
@@ -12,9 +12,9 @@
     ClaimKey(KeyClaim),
     /// Tell the holder of the key how a claimed request ended.
     ReportKey(KeyOutcome),
-    /// Send an ask to a scheduler.
-    AskPermit(VmId, PermitAsk),
-    /// Send a permit or an ask back to the scheduler that has it.
+    /// Send a permit request to a scheduler.
+    RequestPermit(VmId, PermitRequest),
+    /// Send a permit or a permit request back to the scheduler that has it.
     ReturnPermit(VmId, PermitReturn),
     /// Tell a scheduler of a permit in use.
     HoldPermit(VmId, PermitHeld),
--- a/crates/sched/src/entry/options.rs
+++ b/crates/sched/src/entry/options.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{AccountId, PoolId, RequestId, ServiceAims, TierRank, WorkMicros};
+use curlewcleat_core::{AccountId, LatencyObjectives, PoolId, RequestId, TierRank, WorkMicros};
 
 use crate::retry::budget::RetryLimits;
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EntryOptions {
     /// Time for the first sign of the scheduler, then for each further one.
-    pub ask_limit: Duration,
+    pub answer_timeout: Duration,
     /// Time between repeated asks while a request waits.
-    pub ask_again: Duration,
+    pub refresh_every: Duration,
     /// Time for the answer of the key's holder.
     pub key_limit: Duration,
     /// Claims sent before the holder counts as unreachable.
@@ -21,8 +21,8 @@
     pub attempt_limit: u32,
     /// Time for which a silent scheduler is passed over.
     pub avoid_for: Duration,
-    /// Asks sent to a silent scheduler before it is passed over.
-    pub ask_tries: u32,
+    /// Requests sent to a silent scheduler before it is passed over.
+    pub answer_tries: u32,
     /// Retries in each pool.
     pub retries: RetryLimits,
 }
@@ -30,13 +30,13 @@
 impl Default for EntryOptions {
     fn default() -> EntryOptions {
         EntryOptions {
-            ask_limit: Duration::from_millis(250),
-            ask_again: Duration::from_secs(1),
+            answer_timeout: Duration::from_millis(250),
+            refresh_every: Duration::from_secs(1),
             key_limit: Duration::from_millis(150),
             key_tries: 3,
             attempt_limit: 3,
             avoid_for: Duration::from_secs(3),
-            ask_tries: 2,
+            answer_tries: 2,
             retries: RetryLimits::default(),
         }
     }
@@ -56,7 +56,7 @@
     /// Time until its deadline.
     pub time_left: Duration,
     /// What its caller hopes for.
-    pub aims: ServiceAims,
+    pub objectives: LatencyObjectives,
     /// Targets that it may be sent to, `None` for the entry's own limit.
     pub attempt_limit: Option<u32>,
     /// Prompt work.
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -1,8 +1,8 @@
 //! One request of an entry.
 
 use curlewcleat_core::{
-    AttemptEnd, KeptAnswer, KeyClaim, KeyOutcome, PermitAsk, PermitId, PermitReturn, Refusal,
-    RefusalReason, RetryReason, ServiceAims, TargetId, Uptime, Verdict, VmId,
+    AttemptEnd, KeptAnswer, KeyClaim, KeyOutcome, LatencyObjectives, PermitId, PermitRequest,
+    PermitReturn, Refusal, RefusalReason, RetryReason, TargetId, Uptime, Verdict, VmId,
 };
 
 use super::action::EntryAction;
@@ -26,13 +26,13 @@
     pub spec: RequestSpec,
     pub deadline: Uptime,
     pub wait_until: Uptime,
-    pub first_by: Uptime,
+    pub first_part_by: Uptime,
     pub attempt: u32,
     /// Permits that were not used, since this daemon knows better than to use their targets.
     pub unsent: u32,
     pub avoid: Vec<TargetId>,
     /// Schedulers that were silent when they were asked for it.
-    pub unheard: Vec<VmId>,
+    pub unresponsive: Vec<VmId>,
     /// Why the latest attempt did not run.
     pub failed: Option<RetryReason>,
     pub phase: RequestPhase,
@@ -88,14 +88,14 @@
     }
 
     /// What is asked of a scheduler.
-    pub fn permit_ask(&self, now: Uptime) -> PermitAsk {
-        PermitAsk {
+    pub fn permit_request(&self, now: Uptime) -> PermitRequest {
+        PermitRequest {
             permit: self.permit(),
             pool: self.spec.pool.clone(),
             tier: self.spec.tier,
             account: self.spec.account.clone(),
             time_left: self.deadline.saturating_sub(now),
-            aims: self.aims(now),
+            objectives: self.objectives(now),
             prompt_work: self.spec.prompt_work,
             output_work: self.spec.output_work,
             prefix: self.spec.prefix,
@@ -104,20 +104,20 @@
         }
     }
 
-    /// What is left of the caller's aims. A request that was offered once is kept as long as it may
+    /// What is left of the caller's objectives. A request that was offered once is kept as long as it may
     /// wait.
-    pub fn aims(&self, now: Uptime) -> ServiceAims {
-        let aims = &self.spec.aims;
+    pub fn objectives(&self, now: Uptime) -> LatencyObjectives {
+        let objectives = &self.spec.objectives;
         let wait_limit = self.wait_until.saturating_sub(now);
         let forecast_limit = match self.failed {
             Some(_) => wait_limit,
-            None => aims.forecast_limit.min(wait_limit),
+            None => objectives.forecast_limit.min(wait_limit),
         };
-        let first_by = self.first_by.saturating_sub(now);
-        ServiceAims { wait_limit, forecast_limit, first_by, ..*aims }
+        let first_part_by = self.first_part_by.saturating_sub(now);
+        LatencyObjectives { wait_limit, forecast_limit, first_part_by, ..*objectives }
     }
 
-    /// Gives the permit or the ask back to its scheduler.
+    /// Gives the permit or the permit request back to its scheduler.
     pub fn return_permit(&self, end: AttemptEnd) -> Vec<EntryAction> {
         let scheduler = match &self.phase {
             RequestPhase::Claiming { .. } => return Vec::new(),
--- a/crates/sched/src/order/priority.rs
+++ b/crates/sched/src/order/priority.rs
@@ -9,9 +9,9 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{DaemonId, PermitAsk, Uptime};
+use curlewcleat_core::{DaemonId, PermitRequest, Uptime};
 
-use super::queue::WaitingAsk;
+use super::queue::WaitingRequest;
 use crate::pool::PoolScheduler;
 
 /// Age that makes up for one rank of the rule. Chosen longer than any request waits, so that a rule's
@@ -23,18 +23,32 @@
 const HEAD_START: Duration = Duration::from_secs(60);
 
 impl PoolScheduler {
-    pub(crate) fn waiting_ask(&self, now: Uptime, entry: DaemonId, ask: PermitAsk) -> WaitingAsk {
-        let work = ask.prompt_work + ask.output_work;
-        let deadline = now + ask.time_left;
-        let estimate = self.fastest_estimate(&ask);
-        let wait_until = now.saturating_add(ask.aims.wait_limit);
+    pub(crate) fn waiting_request(
+        &self,
+        now: Uptime,
+        entry: DaemonId,
+        request: PermitRequest,
+    ) -> WaitingRequest {
+        let work = request.prompt_work + request.output_work;
+        let deadline = now + request.time_left;
+        let estimate = self.fastest_estimate(&request);
+        let wait_until = now.saturating_add(request.objectives.wait_limit);
         let latest_start = deadline.saturating_sub(Duration::from_micros(estimate)).min(wait_until);
-        let urgency = URGENCY_AGE * u32::from(ask.aims.urgency);
-        let head_start = if ask.aims.came_back { HEAD_START } else { Duration::ZERO };
+        let urgency = URGENCY_AGE * u32::from(request.objectives.urgency);
+        let head_start = if request.objectives.is_retry { HEAD_START } else { Duration::ZERO };
         let order = now.saturating_sub(head_start)
             + urgency
             + Duration::from_micros(work * self.options.age_per_work);
-        let first_by = now.saturating_add(ask.aims.first_by);
-        WaitingAsk { entry, ask, deadline, first_by, wait_until, latest_start, order, work }
+        let first_part_by = now.saturating_add(request.objectives.first_part_by);
+        WaitingRequest {
+            entry,
+            request,
+            deadline,
+            first_part_by,
+            wait_until,
+            latest_start,
+            order,
+            work,
+        }
     }
 }
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -10,54 +10,56 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewcleat_core::{AccountId, DaemonId, PermitAsk, PermitId, TierRank, Uptime, WorkMicros};
+use curlewcleat_core::{
+    AccountId, DaemonId, PermitId, PermitRequest, TierRank, Uptime, WorkMicros,
+};
 
 /// Scale of virtual time, so that division by weights keeps precision.
 const SHARE_SCALE: u64 = 1_000;
 
-/// An ask in the queue.
+/// A permit request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct WaitingAsk {
+pub struct WaitingRequest {
     /// The daemon that asked.
     pub entry: DaemonId,
-    /// The ask.
-    pub ask: PermitAsk,
+    /// The permit request.
+    pub request: PermitRequest,
     /// When its caller's time ends.
     pub deadline: Uptime,
     /// When its answer has to begin to be in time.
-    pub first_by: Uptime,
+    pub first_part_by: Uptime,
     /// Until when it may wait.
     pub wait_until: Uptime,
     /// When it has to start at the latest.
     pub latest_start: Uptime,
-    /// Place in its account's line: the lowest goes first.
+    /// Place in its account's queue: the lowest goes first.
     pub order: Uptime,
     /// Estimated work.
     pub work: WorkMicros,
 }
 
-/// Asks of a line that are tried, so that one that no target suits does not hold up the others.
-const FIRST_OF_LINE: usize = 4;
+/// Requests of an account's queue that are tried, so that one that no target suits does not hold up the others.
+const HEADS_PER_ACCOUNT: usize = 4;
 /// Size classes of work in a line, one for each power of two of microseconds.
 const CLASSES: usize = 40;
 
-/// Order inside an account's line.
-type LineKey = (Uptime, PermitId);
+/// Order inside an account's queue.
+type QueueKey = (Uptime, PermitId);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct AccountLine {
+struct AccountQueue {
     /// Work served so far divided by the weight.
     served: u64,
     weight: u64,
-    waiting: BTreeMap<LineKey, WaitingAsk>,
+    waiting: BTreeMap<QueueKey, WaitingRequest>,
     /// Waiting work by size class; shorter classes go before longer ones.
     by_class: BTreeMap<usize, WorkMicros>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct TierQueue {
-    lines: BTreeMap<AccountId, AccountLine>,
-    /// Accounts with waiting asks by their served work.
+    lines: BTreeMap<AccountId, AccountQueue>,
+    /// Accounts with waiting requests by their served work.
     order: BTreeSet<(u64, AccountId)>,
     /// Served work of the account chosen last; newcomers begin here.
     clock: u64,
@@ -69,13 +71,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TierQueues {
     tiers: BTreeMap<TierRank, TierQueue>,
-    places: BTreeMap<PermitId, (TierRank, AccountId, LineKey)>,
-    /// All asks by their latest start.
+    places: BTreeMap<PermitId, (TierRank, AccountId, QueueKey)>,
+    /// All requests by their latest start.
     starts: BTreeSet<(Uptime, PermitId)>,
 }
 
 impl TierQueues {
-    /// Number of waiting asks.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
@@ -85,17 +87,17 @@
         self.places.is_empty()
     }
 
-    /// Whether an ask waits.
+    /// Whether a permit request waits.
     pub fn contains(&self, permit: &PermitId) -> bool {
         self.places.contains_key(permit)
     }
 
-    /// Number of waiting asks of a tier.
+    /// Number of waiting requests of a tier.
     pub fn tier_len(&self, tier: TierRank) -> usize {
         self.tiers.get(&tier).map_or(0, |queue| queue.length)
     }
 
-    /// Number of waiting asks of an account in all tiers.
+    /// Number of waiting requests of an account in all tiers.
     pub fn account_len(&self, account: &AccountId) -> usize {
         self.tiers
             .values()
@@ -104,12 +106,12 @@
             .sum()
     }
 
-    /// Adds an ask; `weight` is its account's share.
-    pub fn push(&mut self, waiting: WaitingAsk, weight: u32) {
-        let tier = waiting.ask.tier;
-        let account = waiting.ask.account.clone();
-        let key = (waiting.order, waiting.ask.permit);
-        self.starts.insert((waiting.latest_start, waiting.ask.permit));
+    /// Adds a permit request; `weight` is its account's share.
+    pub fn push(&mut self, waiting: WaitingRequest, weight: u32) {
+        let tier = waiting.request.tier;
+        let account = waiting.request.account.clone();
+        let key = (waiting.order, waiting.request.permit);
+        self.starts.insert((waiting.latest_start, waiting.request.permit));
         let queue = self.tiers.entry(tier).or_default();
         let clock = queue.clock;
         let line = queue.lines.entry(account.clone()).or_default();
@@ -122,12 +124,12 @@
         *line.by_class.entry(class_of(waiting.work)).or_default() += waiting.work;
         queue.work += waiting.work;
         queue.length += 1;
-        self.places.insert(waiting.ask.permit, (tier, account, key));
+        self.places.insert(waiting.request.permit, (tier, account, key));
         line.waiting.insert(key, waiting);
     }
 
-    /// Takes an ask out.
-    pub fn remove(&mut self, permit: &PermitId) -> Option<WaitingAsk> {
+    /// Takes a permit request out.
+    pub fn remove(&mut self, permit: &PermitId) -> Option<WaitingRequest> {
         let (tier, account, key) = self.places.remove(permit)?;
         let queue = self.tiers.get_mut(&tier)?;
         let line = queue.lines.get_mut(&account)?;
@@ -147,8 +149,8 @@
         Some(waiting)
     }
 
-    /// Takes an ask out that is going to run, and charges its account.
-    pub fn take(&mut self, permit: &PermitId) -> Option<WaitingAsk> {
+    /// Takes a permit request out that is going to run, and charges its account.
+    pub fn take(&mut self, permit: &PermitId) -> Option<WaitingRequest> {
         let (tier, account, key) = self.places.get(permit)?.clone();
         let queue = self.tiers.get_mut(&tier)?;
         let line = queue.lines.get_mut(&account)?;
@@ -160,20 +162,20 @@
         self.remove(permit)
     }
 
-    /// The asks that may go next, best first: of each tier by rank the first asks of each of its first
+    /// The requests that may go next, best first: of each tier by rank the first asks of each of its first
     /// `accounts` accounts.
-    pub fn heads(&self, accounts: usize) -> impl Iterator<Item = &WaitingAsk> {
+    pub fn heads(&self, accounts: usize) -> impl Iterator<Item = &WaitingRequest> {
         self.tiers.values().flat_map(move |queue| {
             queue
                 .order
                 .iter()
                 .take(accounts)
                 .filter_map(|(_, account)| queue.lines.get(account))
-                .flat_map(|line| line.waiting.values().take(FIRST_OF_LINE))
+                .flat_map(|line| line.waiting.values().take(HEADS_PER_ACCOUNT))
         })
     }
 
-    /// Asks whose latest start has passed.
+    /// Requests whose latest start has passed.
     pub fn overdue(&self, now: Uptime) -> Vec<PermitId> {
         self.starts
             .iter()
@@ -182,7 +184,7 @@
             .collect()
     }
 
-    /// All asks of tiers below a rank.
+    /// All requests of tiers below a rank.
     pub fn below(&self, tier: TierRank) -> Vec<PermitId> {
         let queues = self.tiers.range(tier + 1..).map(|(_, queue)| queue);
         queues
@@ -192,17 +194,17 @@
             .collect()
     }
 
-    /// All asks of one entry.
+    /// All requests of one entry.
     pub fn of_entry(&self, entry: &DaemonId) -> Vec<PermitId> {
         let lines = self.tiers.values().flat_map(|queue| queue.lines.values());
         lines
             .flat_map(|line| line.waiting.values())
             .filter(|w| w.entry == *entry)
-            .map(|w| w.ask.permit)
+            .map(|w| w.request.permit)
             .collect()
     }
 
-    /// The ask to evict for one of `tier`: the last of the lowest tier below it.
+    /// The permit request to evict for one of `tier`: the last of the lowest tier below it.
     pub fn victim_below(&self, tier: TierRank) -> Option<PermitId> {
         let (_, queue) = self.tiers.range(tier + 1..).rev().find(|(_, queue)| queue.length > 0)?;
         queue
@@ -213,7 +215,7 @@
             .map(|key| key.1)
     }
 
-    /// The ask to evict in favour of `account` inside its own tier: the last one of the account
+    /// The permit request to evict in favour of `account` inside its own tier: the last one of the account
     /// that waits with the most work for its weight, if that is more than this account has.
     pub fn victim_within(&self, tier: TierRank, account: &AccountId) -> Option<PermitId> {
         let queue = self.tiers.get(&tier)?;
@@ -231,22 +233,23 @@
         longest.waiting.keys().next_back().map(|key| key.1)
     }
 
-    /// Work that goes before a new ask: higher tiers, and of its own tier what fair shares and its
+    /// Work that goes before a new request: higher tiers, and of its own tier what fair shares and its
     /// account's line let go first.
-    pub fn work_ahead(&self, ask: &PermitAsk, weight: u32) -> WorkMicros {
-        let higher: WorkMicros = self.tiers.range(..ask.tier).map(|(_, queue)| queue.work).sum();
-        let Some(queue) = self.tiers.get(&ask.tier) else { return higher };
-        let class = class_of(ask.prompt_work + ask.output_work);
-        let line = queue.lines.get(&ask.account);
+    pub fn work_ahead(&self, request: &PermitRequest, weight: u32) -> WorkMicros {
+        let higher: WorkMicros =
+            self.tiers.range(..request.tier).map(|(_, queue)| queue.work).sum();
+        let Some(queue) = self.tiers.get(&request.tier) else { return higher };
+        let class = class_of(request.prompt_work + request.output_work);
+        let line = queue.lines.get(&request.account);
         let own: WorkMicros =
             line.map_or(0, |line| line.by_class.range(..=class).map(|(_, work)| *work).sum());
-        let waits = |line: &&AccountLine| !line.waiting.is_empty();
+        let waits = |line: &&AccountQueue| !line.waiting.is_empty();
         let weights: u64 = queue.lines.values().filter(waits).map(|line| line.weight).sum();
         let share = own * weights.max(1) / u64::from(weight.max(1));
         higher + share.min(queue.work)
     }
 
-    /// Work of all waiting asks.
+    /// Work of all waiting requests.
     pub fn total_work(&self) -> WorkMicros {
         self.tiers.values().map(|queue| queue.work).sum()
     }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -20,11 +20,11 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, PermitAsk, PermitDecision, PermitId, TargetId, Uptime, WorkMicros,
+    DaemonId, PermitDecision, PermitId, PermitRequest, TargetId, Uptime, WorkMicros,
 };
 
 use self::target::TargetState;
-use crate::order::queue::WaitingAsk;
+use crate::order::queue::WaitingRequest;
 use crate::pool::{micros, with_margin, PermitRecord, PoolScheduler, SchedulerAction};
 
 /// Accounts of each tier whose first asks are tried when the best one finds no target. Chosen, not
@@ -41,7 +41,7 @@
 /// not measured.
 const FAILING_PENALTY: u64 = 8;
 
-/// How well a target suits an ask; the least is the best.
+/// How well a target suits a permit request; the least is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TargetFit {
     /// Streams there would pause for too long.
@@ -61,28 +61,28 @@
         place.is_some_and(|place| !state.data_centre.is_empty() && *place != state.data_centre)
     }
 
-    /// Gives permits as long as the best waiting asks find targets with room.
+    /// Gives permits as long as the best waiting requests find targets with room.
     pub(crate) fn grant(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
         while let Some((permit, target)) = self.next_grant(now) {
             let Some(waiting) = self.queues.take(&permit) else { return };
             self.throughput.granted(waiting.work, !self.queues.is_empty());
             let Some(state) = self.targets.get_mut(&target) else { return };
-            let estimate = state.estimate(&waiting.ask);
+            let estimate = state.estimate(&waiting.request);
             let expected = estimate * 1_000 / state.slowness().max(1);
             state.in_flight += 1;
             let backlog = state.prompt_backlog(now);
-            if let Some(time) = state.pace.prompt_time(waiting.ask.prompt_work) {
+            if let Some(time) = state.pace.prompt_time(waiting.request.prompt_work) {
                 state.prompt_sent(now, time);
             }
-            if let Some(prefix) = waiting.ask.prefix {
+            if let Some(prefix) = waiting.request.prefix {
                 state.prefixes.touch(prefix, self.options.cached_prefixes);
             }
             let record = PermitRecord {
                 entry: waiting.entry.clone(),
                 target: target.clone(),
                 expected,
-                prompt_work: waiting.ask.prompt_work,
-                output_work: waiting.ask.output_work,
+                prompt_work: waiting.request.prompt_work,
+                output_work: waiting.request.output_work,
                 backlog,
                 confirmed: now,
             };
@@ -98,15 +98,15 @@
             return None;
         }
         let heads = self.queues.heads(HEADS_TRIED);
-        heads.filter_map(|waiting| Some((waiting.ask.permit, self.place(now, waiting)?))).next()
+        heads.filter_map(|waiting| Some((waiting.request.permit, self.place(now, waiting)?))).next()
     }
 
-    /// The target with room that suits the ask best, `None` where waiting for another one is better.
-    fn place(&self, now: Uptime, waiting: &WaitingAsk) -> Option<TargetId> {
-        let top = waiting.ask.tier == self.options.top;
+    /// The target with room that suits the permit request best, `None` where waiting for another one is better.
+    fn place(&self, now: Uptime, waiting: &WaitingRequest) -> Option<TargetId> {
+        let top = waiting.request.tier == self.options.top;
         let reserve = self.options.reserve_percent;
         let open = self.targets.iter().filter(|(id, state)| {
-            state.has_room(top, reserve, now) && !waiting.ask.avoid.contains(id)
+            state.has_room(top, reserve, now) && !waiting.request.avoid.contains(id)
         });
         let scored = open.map(|(id, state)| {
             let fit = self.fit(now, waiting, state);
@@ -115,7 +115,7 @@
         let (fit, _, target) = scored.min()?;
         // Waiting for a better target is worth while only as long as the answer need not begin yet, and
         // where there is a better one that is busy.
-        let may_wait = now < waiting.first_by;
+        let may_wait = now < waiting.first_part_by;
         let time_left = micros(waiting.deadline.saturating_sub(now));
         let too_slow = with_margin(fit.time) > time_left;
         if too_slow && may_wait && self.has_fast_target(now, waiting, time_left) {
@@ -127,20 +127,20 @@
         Some(target.clone())
     }
 
-    /// How well a target suits an ask.
-    fn fit(&self, now: Uptime, waiting: &WaitingAsk, state: &TargetState) -> TargetFit {
-        let ask = &waiting.ask;
-        let prompt = state.pace.prompt_time(ask.prompt_work);
-        let output = state.pace.output_time(ask.output_work, &self.pace);
+    /// How well a target suits a permit request.
+    fn fit(&self, now: Uptime, waiting: &WaitingRequest, state: &TargetState) -> TargetFit {
+        let request = &waiting.request;
+        let prompt = state.pace.prompt_time(request.prompt_work);
+        let output = state.pace.output_time(request.output_work, &self.pace);
         let (Some(prompt), Some(output)) = (prompt, output) else {
-            let time = state.estimate(ask);
+            let time = state.estimate(request);
             let penalty = penalty(time, state) + self.distance(waiting, state, time);
             return TargetFit { stalls: false, late: false, penalized: time + penalty, time };
         };
         let backlog = state.prompt_backlog(now);
         let reading = backlog + Duration::from_micros(prompt);
-        let stalls = state.in_flight > 0 && self.would_stall(now, state, reading, ask);
-        let late = now + reading > waiting.first_by;
+        let stalls = state.in_flight > 0 && self.would_stall(now, state, reading, request);
+        let late = now + reading > waiting.first_part_by;
         let time = micros(reading) + output;
         let penalty = penalty(time, state) + self.distance(waiting, state, time);
         TargetFit { stalls, late, penalized: time + penalty, time }
@@ -153,15 +153,20 @@
         now: Uptime,
         state: &TargetState,
         reading: Duration,
-        ask: &PermitAsk,
+        request: &PermitRequest,
     ) -> bool {
-        let limit = ask.aims.pause_limit;
+        let limit = request.objectives.pause_limit;
         let pauses = state.pace.longest_pause(now) > limit;
         pauses && reading > limit / 100 * STALL_PERCENT
     }
 
     /// What a target's time counts more since it is far from the entry.
-    fn distance(&self, waiting: &WaitingAsk, state: &TargetState, time: WorkMicros) -> WorkMicros {
+    fn distance(
+        &self,
+        waiting: &WaitingRequest,
+        state: &TargetState,
+        time: WorkMicros,
+    ) -> WorkMicros {
         match self.is_far(&waiting.entry, state) {
             true => time / 100 * FAR_PERCENT,
             false => 0,
@@ -169,18 +174,23 @@
     }
 
     /// Whether some target that takes new work, busy or not, would end the answer in time.
-    fn has_fast_target(&self, now: Uptime, waiting: &WaitingAsk, time_left: WorkMicros) -> bool {
+    fn has_fast_target(
+        &self,
+        now: Uptime,
+        waiting: &WaitingRequest,
+        time_left: WorkMicros,
+    ) -> bool {
         self.targets.iter().any(|(id, state)| {
-            let usable = state.usable(now) && !waiting.ask.avoid.contains(id);
+            let usable = state.usable(now) && !waiting.request.avoid.contains(id);
             usable && with_margin(self.fit(now, waiting, state).time) <= time_left
         })
     }
 
     /// Whether some target that takes new work, busy or not, has not been seen to stall.
-    fn has_steady_target(&self, now: Uptime, waiting: &WaitingAsk) -> bool {
-        let limit = waiting.ask.aims.pause_limit;
+    fn has_steady_target(&self, now: Uptime, waiting: &WaitingRequest) -> bool {
+        let limit = waiting.request.objectives.pause_limit;
         self.targets.iter().any(|(id, state)| {
-            let usable = state.usable(now) && !waiting.ask.avoid.contains(id);
+            let usable = state.usable(now) && !waiting.request.avoid.contains(id);
             usable && state.pace.longest_pause(now) <= limit
         })
     }
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{PermitAsk, TargetReport, Uptime, VmId, WorkMicros};
+use curlewcleat_core::{PermitRequest, TargetReport, Uptime, VmId, WorkMicros};
 
 use super::pace::StreamPace;
 use super::prefix::PrefixCache;
@@ -166,11 +166,14 @@
     }
 
     /// Estimated time of the request on this target, with its speed and prompt cache.
-    pub fn estimate(&self, ask: &PermitAsk) -> WorkMicros {
-        let cached = ask.prefix.is_some_and(|prefix| self.prefixes.holds(prefix));
-        let prompt =
-            if cached { ask.prompt_work * CACHED_PROMPT_PERCENT / 100 } else { ask.prompt_work };
-        (prompt + ask.output_work) * self.slowness / NORMAL
+    pub fn estimate(&self, request: &PermitRequest) -> WorkMicros {
+        let cached = request.prefix.is_some_and(|prefix| self.prefixes.holds(prefix));
+        let prompt = if cached {
+            request.prompt_work * CACHED_PROMPT_PERCENT / 100
+        } else {
+            request.prompt_work
+        };
+        (prompt + request.output_work) * self.slowness / NORMAL
     }
 
     /// Time until the prompts that were sent there are read.
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -25,7 +25,7 @@
 /// What a scheduler is told of its pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PoolOptions {
-    /// Asks that may wait.
+    /// Requests that may wait.
     pub queue_limit: usize,
     /// Slots in percent that only the top tier may use.
     pub reserve_percent: u32,
@@ -35,7 +35,7 @@
     pub top: TierRank,
     /// Rank of the lowest tier.
     pub lowest: TierRank,
-    /// Age that makes up for a unit of work in the order of an account's line. At 0 the oldest goes
+    /// Age that makes up for a unit of work in the order of an account's queue. At 0 the oldest goes
     /// first, at infinity the shortest; docs/MEASUREMENTS.md gives the figures for the values tried.
     pub age_per_work: u64,
     /// Limits of the accounts.
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! What happens at the scheduler of a pool: it holds the queue, knows what is in flight, and binds late.
 //!
-//! An ask waits until a target has room, and only then is the target chosen. The role is soft: if
+//! A permit request waits until a target has room, and only then is the target chosen. The role is soft: if
 //! two daemons act as scheduler for a moment, targets may get more than their slots, and no promise
 //! depends on it.
 //!
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AttemptEnd, DaemonId, PermitAnswer, PermitAsk, PermitDecision, PermitHeld, PermitId,
+    AttemptEnd, DaemonId, PermitAnswer, PermitDecision, PermitHeld, PermitId, PermitRequest,
     PermitReturn, RefusalReason, StreamTiming, TargetId, TargetPool, TargetReport, TierRank,
     Uptime, VmId,
 };
@@ -84,7 +84,7 @@
         &self.targets
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queues.len()
     }
@@ -104,34 +104,39 @@
         &self.permits
     }
 
-    /// Whether an ask waits here or has its permit.
+    /// Whether a permit request waits here or has its permit.
     pub fn knows(&self, permit: &PermitId) -> bool {
         self.permits.contains_key(permit) || self.queues.contains(permit)
     }
 
-    /// Takes an ask. A repeated ask gets the answer that it had.
-    pub fn ask(&mut self, now: Uptime, entry: DaemonId, ask: PermitAsk) -> Vec<SchedulerAction> {
-        if let Some(record) = self.permits.get(&ask.permit) {
+    /// Takes a permit request. A repeated request gets the answer that it had.
+    pub fn request_permit(
+        &mut self,
+        now: Uptime,
+        entry: DaemonId,
+        request: PermitRequest,
+    ) -> Vec<SchedulerAction> {
+        if let Some(record) = self.permits.get(&request.permit) {
             let decision = PermitDecision::Granted(record.target.clone());
-            return vec![self.answer(entry, ask.permit, decision)];
+            return vec![self.answer(entry, request.permit, decision)];
         }
-        if self.queues.contains(&ask.permit) {
-            return vec![self.answer(entry, ask.permit, PermitDecision::Queued)];
+        if self.queues.contains(&request.permit) {
+            return vec![self.answer(entry, request.permit, PermitDecision::Queued)];
         }
         let mut actions = Vec::new();
-        if let Err(refusal) = self.admit(now, &ask, &mut actions) {
+        if let Err(refusal) = self.admit(now, &request, &mut actions) {
             let capacity = is_for_capacity(&refusal);
             let action = match capacity {
-                true => self.refuse_for_capacity(entry, ask.permit, ask.tier, refusal),
-                false => self.answer(entry, ask.permit, PermitDecision::Refused(refusal)),
+                true => self.refuse_for_capacity(entry, request.permit, request.tier, refusal),
+                false => self.answer(entry, request.permit, PermitDecision::Refused(refusal)),
             };
             actions.push(action);
             return actions;
         }
-        let permit = ask.permit;
-        let weight = self.limit_of(&ask.account).weight;
-        let waiting = self.waiting_ask(now, entry.clone(), ask);
-        self.throughput.arrived(waiting.ask.tier, waiting.work);
+        let permit = request.permit;
+        let weight = self.limit_of(&request.account).weight;
+        let waiting = self.waiting_request(now, entry.clone(), request);
+        self.throughput.arrived(waiting.request.tier, waiting.work);
         self.queues.push(waiting, weight);
         self.grant(now, &mut actions);
         if self.queues.contains(&permit) {
@@ -140,7 +145,7 @@
         actions
     }
 
-    /// Takes a permit or an ask back.
+    /// Takes a permit or a permit request back.
     pub fn give_back(&mut self, now: Uptime, back: &PermitReturn) -> Vec<SchedulerAction> {
         self.queues.remove(&back.permit);
         if let Some(record) = self.permits.remove(&back.permit) {
@@ -153,11 +158,11 @@
 
     /// Learns of a permit in use that another scheduler gave.
     pub fn hold(&mut self, now: Uptime, entry: DaemonId, held: PermitHeld) {
-        self.queues.remove(&held.ask.permit);
-        if let Some(earlier) = self.permits.remove(&held.ask.permit) {
+        self.queues.remove(&held.request.permit);
+        if let Some(earlier) = self.permits.remove(&held.request.permit) {
             self.settle(now, &earlier, AttemptEnd::Unused);
         }
-        let (prompt_work, output_work) = (held.ask.prompt_work, held.ask.output_work);
+        let (prompt_work, output_work) = (held.request.prompt_work, held.request.output_work);
         let expected = prompt_work + output_work;
         if let Some(state) = self.targets.get_mut(&held.target) {
             state.in_flight += 1;
@@ -171,10 +176,10 @@
             backlog: Duration::ZERO,
             confirmed: now,
         };
-        self.permits.insert(held.ask.permit, record);
+        self.permits.insert(held.request.permit, record);
     }
 
-    /// An entry is gone: its asks and permits go with it.
+    /// An entry is gone: its requests and permits go with it.
     pub fn entry_gone(&mut self, now: Uptime, entry: &DaemonId) -> Vec<SchedulerAction> {
         for permit in self.queues.of_entry(entry) {
             self.queues.remove(&permit);
@@ -208,17 +213,17 @@
         for permit in self.queues.overdue(now) {
             if let Some(waiting) = self.queues.remove(&permit) {
                 if now > waiting.wait_until {
-                    let refusal = wait_too_long(&waiting.ask, self.drain_time());
+                    let refusal = wait_too_long(&waiting.request, self.drain_time());
                     let decision = PermitDecision::Refused(refusal);
                     actions.push(self.answer(waiting.entry, permit, decision));
                     continue;
                 }
                 let refusal = self.capacity_refusal(
                     now,
-                    waiting.ask.tier,
+                    waiting.request.tier,
                     RefusalReason::DeadlineUnreachable,
                 );
-                let tier = waiting.ask.tier;
+                let tier = waiting.request.tier;
                 actions.push(self.refuse_for_capacity(waiting.entry, permit, tier, refusal));
                 self.shed_below(now, tier, &mut actions);
             }
@@ -229,7 +234,7 @@
         actions
     }
 
-    /// Whether an ask of a tier below this one waits.
+    /// Whether a permit request of a tier below this one waits.
     pub fn holds_below(&self, tier: TierRank) -> bool {
         !self.queues.below(tier).is_empty()
     }
--- a/crates/sched/tests/members.rs
+++ b/crates/sched/tests/members.rs
@@ -13,7 +13,7 @@
     DaemonId { vm: format!("vm-{index}"), incarnation: 1 }
 }
 
-fn view(mesh_limit: usize, capacity: u32, born: u64) -> MemberView {
+fn view(mesh_limit: usize, capacity: u32, started: u64) -> MemberView {
     let options = MemberOptions {
         address: address(0),
         data_centre: "d".to_string(),
@@ -21,7 +21,7 @@
         suspect_after: SUSPECT_AFTER,
         mesh_limit,
         capacity,
-        born,
+        started,
     };
     MemberView::new(daemon(0), options)
 }
@@ -30,7 +30,7 @@
     format!("127.0.0.1:{}", 1_000 + index)
 }
 
-fn beat(index: usize, capacity: u32, born: u64) -> Heartbeat {
+fn beat(index: usize, capacity: u32, started: u64) -> Heartbeat {
     Heartbeat {
         address: address(index),
         data_centre: "d".to_string(),
@@ -39,7 +39,7 @@
         draining: false,
         stale: false,
         capacity,
-        born,
+        started,
         answer_wanted: false,
         known: Vec::new(),
     }
@@ -91,7 +91,7 @@
     }
     let silent = if strong { 2 } else { 20 };
     let order = view.scheduler_order(SUBJECT);
-    view.beat_receivers(begin, &order);
+    view.heartbeat_receivers(begin, &order);
     let now = begin + silence;
     for index in (1..30).filter(|index| *index != silent) {
         let capacity = if index <= 4 { 50 } else { 12 };
@@ -121,11 +121,11 @@
     let order = view.scheduler_order(SUBJECT);
     // The first heartbeats of a process go to everyone.
     for _ in 0..10 {
-        view.beat_receivers(now, &order);
+        view.heartbeat_receivers(now, &order);
     }
     let asker = 17;
     let sent = |view: &mut MemberView| {
-        let receivers = view.beat_receivers(now, &order);
+        let receivers = view.heartbeat_receivers(now, &order);
         receivers.iter().any(|receiver| receiver.address == address(asker))
     };
     let unasked = (0..10).filter(|_| sent(&mut view)).count();
--- a/crates/sched/tests/pools.rs
+++ b/crates/sched/tests/pools.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AttemptEnd, CacheEviction, DaemonId, PermitAsk, PermitDecision, PermitId, PermitReturn,
+    AttemptEnd, CacheEviction, DaemonId, PermitDecision, PermitId, PermitRequest, PermitReturn,
     RefusalReason, RequestId, TargetEntry, TargetPool, TargetReport,
 };
 use curlewcleat_sched::{AccountLimit, PoolOptions, PoolScheduler, SchedulerAction};
@@ -42,14 +42,14 @@
     scheduler
 }
 
-fn ask(number: u128, tier: u8, account: &str, left: Duration) -> PermitAsk {
-    PermitAsk {
+fn ask(number: u128, tier: u8, account: &str, left: Duration) -> PermitRequest {
+    PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt: 0 },
         pool: POOL.to_string(),
         tier,
         account: account.to_string(),
         cost: 1,
-        aims: curlewcleat_core::ServiceAims::default(),
+        objectives: curlewcleat_core::LatencyObjectives::default(),
         time_left: left,
         prompt_work: 0,
         output_work: 100_000,
@@ -86,10 +86,10 @@
 fn higher_tier_goes_first_and_lower_ones_are_evicted_for_it() {
     let mut scheduler = scheduler(PoolOptions { queue_limit: 2, ..PoolOptions::default() }, 1, 1);
     let now = Duration::ZERO;
-    assert_eq!(granted(&scheduler.ask(now, entry(), ask(1, 3, "a", LONG))), [1]);
-    scheduler.ask(now, entry(), ask(2, 3, "a", LONG));
-    scheduler.ask(now, entry(), ask(3, 2, "a", LONG));
-    let actions = scheduler.ask(now, entry(), ask(4, 0, "a", LONG));
+    assert_eq!(granted(&scheduler.request_permit(now, entry(), ask(1, 3, "a", LONG))), [1]);
+    scheduler.request_permit(now, entry(), ask(2, 3, "a", LONG));
+    scheduler.request_permit(now, entry(), ask(3, 2, "a", LONG));
+    let actions = scheduler.request_permit(now, entry(), ask(4, 0, "a", LONG));
     assert_eq!(refused(&actions), BTreeMap::from([(2, RefusalReason::ShedForHigherTier)]));
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
     assert_eq!(granted(&scheduler.give_back(now, &back(1, whole))), [4]);
@@ -100,15 +100,15 @@
     let mut scheduler =
         scheduler(PoolOptions { queue_limit: 1, lowest: 1, ..PoolOptions::default() }, 1, 1);
     for number in 1..=3 {
-        scheduler.ask(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
+        scheduler.request_permit(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
     }
-    let shed = scheduler.ask(Duration::ZERO, entry(), ask(9, 1, "a", LONG));
+    let shed = scheduler.request_permit(Duration::ZERO, entry(), ask(9, 1, "a", LONG));
     assert_eq!(refused(&shed), BTreeMap::from([(9, RefusalReason::TierShed)]));
     let later = Duration::from_secs(2);
     scheduler.give_back(later, &back(1, AttemptEnd::Unused));
     scheduler.give_back(later, &back(2, AttemptEnd::Unused));
     scheduler.tick(later);
-    assert_eq!(granted(&scheduler.ask(later, entry(), ask(10, 1, "a", LONG))), [10]);
+    assert_eq!(granted(&scheduler.request_permit(later, entry(), ask(10, 1, "a", LONG))), [10]);
 }
 
 #[test]
@@ -116,9 +116,9 @@
     let mut scheduler = scheduler(PoolOptions::default(), 1, 1);
     let now = Duration::ZERO;
     for number in 1..=50 {
-        scheduler.ask(now, entry(), ask(number, 1, "flood", LONG));
+        scheduler.request_permit(now, entry(), ask(number, 1, "flood", LONG));
     }
-    scheduler.ask(now, entry(), ask(100, 1, "quiet", LONG));
+    scheduler.request_permit(now, entry(), ask(100, 1, "quiet", LONG));
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
     let first = granted(&scheduler.give_back(now, &back(1, whole)));
     let second = granted(&scheduler.give_back(now, &back(first[0], whole)));
@@ -131,19 +131,19 @@
     let accounts = BTreeMap::from([("a".to_string(), limit)]);
     let mut scheduler = scheduler(PoolOptions { accounts, ..PoolOptions::default() }, 4, 8);
     let now = Duration::ZERO;
-    assert_eq!(granted(&scheduler.ask(now, entry(), ask(1, 0, "a", LONG))), [1]);
-    assert_eq!(granted(&scheduler.ask(now, entry(), ask(2, 0, "a", LONG))), [2]);
-    let third = scheduler.ask(now, entry(), ask(3, 0, "a", LONG));
+    assert_eq!(granted(&scheduler.request_permit(now, entry(), ask(1, 0, "a", LONG))), [1]);
+    assert_eq!(granted(&scheduler.request_permit(now, entry(), ask(2, 0, "a", LONG))), [2]);
+    let third = scheduler.request_permit(now, entry(), ask(3, 0, "a", LONG));
     assert_eq!(refused(&third), BTreeMap::from([(3, RefusalReason::AccountRate)]));
     let PermitDecision::Refused(refusal) = &third[0].answer.decision else { panic!() };
     let wait = refusal.retry_after.expect("says when");
-    assert_eq!(granted(&scheduler.ask(now + wait, entry(), ask(4, 0, "a", LONG))), [4]);
+    assert_eq!(granted(&scheduler.request_permit(now + wait, entry(), ask(4, 0, "a", LONG))), [4]);
 }
 
 /// Asks until a target fails so often that it is ejected; gives the number of the next ask.
 fn fail_target(scheduler: &mut PoolScheduler, target: &str) -> u128 {
     for number in 1..200 {
-        let actions = scheduler.ask(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
+        let actions = scheduler.request_permit(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
         let failed =
             matches!(&actions[0].answer.decision, PermitDecision::Granted(to) if to == target);
         let end =
@@ -161,14 +161,15 @@
     let mut scheduler = scheduler(PoolOptions::default(), 2, 2);
     let next = fail_target(&mut scheduler, "t0");
     for number in next..next + 2 {
-        let actions = scheduler.ask(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
+        let actions = scheduler.request_permit(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
         assert_eq!(actions[0].answer.decision, PermitDecision::Granted("t1".to_string()));
     }
-    assert!(granted(&scheduler.ask(Duration::ZERO, entry(), ask(900, 0, "a", LONG))).is_empty());
+    assert!(granted(&scheduler.request_permit(Duration::ZERO, entry(), ask(900, 0, "a", LONG)))
+        .is_empty());
     let later = Duration::from_secs(3);
     assert_eq!(granted(&scheduler.tick(later)), [900], "tried out after its time");
     assert!(
-        granted(&scheduler.ask(later, entry(), ask(901, 0, "a", LONG))).is_empty(),
+        granted(&scheduler.request_permit(later, entry(), ask(901, 0, "a", LONG))).is_empty(),
         "one at a time"
     );
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
@@ -179,11 +180,14 @@
 fn never_more_than_half_of_the_targets_are_ejected() {
     let mut scheduler = scheduler(PoolOptions::default(), 2, 8);
     for number in 1..=20 {
-        scheduler.ask(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
+        scheduler.request_permit(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
         scheduler.give_back(Duration::ZERO, &back(number, AttemptEnd::Failed));
     }
     assert_eq!(scheduler.targets().values().filter(|target| target.ejected()).count(), 1);
-    assert_eq!(granted(&scheduler.ask(Duration::ZERO, entry(), ask(100, 0, "a", LONG))), [100]);
+    assert_eq!(
+        granted(&scheduler.request_permit(Duration::ZERO, entry(), ask(100, 0, "a", LONG))),
+        [100]
+    );
 }
 
 #[test]
@@ -191,36 +195,43 @@
     let mut scheduler = scheduler(PoolOptions::default(), 1, 4);
     let short = Duration::from_millis(300);
     for number in 1..=40 {
-        scheduler.ask(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
+        scheduler.request_permit(Duration::ZERO, entry(), ask(number, 0, "a", LONG));
         scheduler
             .give_back(Duration::ZERO, &back(number, AttemptEnd::Whole(Duration::from_secs(2))));
     }
     // 100 ms of work are believed to take two seconds.
-    let refusal = refused(&scheduler.ask(Duration::ZERO, entry(), ask(100, 0, "a", short)));
+    let refusal =
+        refused(&scheduler.request_permit(Duration::ZERO, entry(), ask(100, 0, "a", short)));
     assert_eq!(refusal, BTreeMap::from([(100, RefusalReason::DeadlineUnreachable)]));
     for second in 1..=60 {
         scheduler.tick(Duration::from_secs(second));
     }
     let later = Duration::from_secs(60);
-    assert_eq!(granted(&scheduler.ask(later, entry(), ask(101, 0, "a", short))), [101]);
+    assert_eq!(granted(&scheduler.request_permit(later, entry(), ask(101, 0, "a", short))), [101]);
 }
 
 #[test]
 fn asks_that_wait_for_a_faster_target_do_not_block_lower_tiers() {
     let mut scheduler = scheduler(PoolOptions::default(), 2, 1);
     // t0 is learned to be slow: 100 ms of work take twice as long there.
-    assert_eq!(granted(&scheduler.ask(Duration::ZERO, entry(), ask(1, 0, "a", LONG))), [1]);
+    assert_eq!(
+        granted(&scheduler.request_permit(Duration::ZERO, entry(), ask(1, 0, "a", LONG))),
+        [1]
+    );
     scheduler.give_back(Duration::ZERO, &back(1, AttemptEnd::Whole(Duration::from_secs(1))));
     assert_eq!(scheduler.targets()["t0"].slowness(), 2_125);
-    let fast_busy = scheduler.ask(Duration::ZERO, entry(), ask(5_000, 0, "a", LONG));
+    let fast_busy = scheduler.request_permit(Duration::ZERO, entry(), ask(5_000, 0, "a", LONG));
     assert_eq!(granted(&fast_busy), [5_000]);
     // Twelve accounts of the top tier whose time is too short for the free target.
     for account in 0..12u128 {
         let ask = ask(6_000 + account, 0, &account.to_string(), Duration::from_millis(250));
-        assert!(granted(&scheduler.ask(Duration::ZERO, entry(), ask)).is_empty());
+        assert!(granted(&scheduler.request_permit(Duration::ZERO, entry(), ask)).is_empty());
     }
     assert_eq!(scheduler.waiting(), 12);
-    assert_eq!(granted(&scheduler.ask(Duration::ZERO, entry(), ask(7_000, 2, "z", LONG))), [7_000]);
+    assert_eq!(
+        granted(&scheduler.request_permit(Duration::ZERO, entry(), ask(7_000, 2, "z", LONG))),
+        [7_000]
+    );
 }
 
 fn report(running: u32, evictions: &[(u64, u64)]) -> TargetReport {
@@ -234,15 +245,16 @@
     let mut scheduler = scheduler(PoolOptions::default(), 1, 2);
     let target = "t0".to_string();
     scheduler.reported(Duration::ZERO, &target, &report(2, &[]));
-    assert!(granted(&scheduler.ask(Duration::ZERO, entry(), ask(1, 0, "a", LONG))).is_empty());
+    assert!(granted(&scheduler.request_permit(Duration::ZERO, entry(), ask(1, 0, "a", LONG)))
+        .is_empty());
     let later = Duration::from_secs(5);
     assert_eq!(granted(&scheduler.tick(later)), [1]);
     // Its own permit and one that has just ended are not taken for others' load.
     scheduler.reported(later, &target, &report(1, &[]));
     scheduler.give_back(later, &back(1, AttemptEnd::Unused));
     scheduler.reported(later, &target, &report(1, &[]));
-    assert_eq!(granted(&scheduler.ask(later, entry(), ask(2, 0, "a", LONG))), [2]);
-    assert_eq!(granted(&scheduler.ask(later, entry(), ask(3, 0, "a", LONG))), [3]);
+    assert_eq!(granted(&scheduler.request_permit(later, entry(), ask(2, 0, "a", LONG))), [2]);
+    assert_eq!(granted(&scheduler.request_permit(later, entry(), ask(3, 0, "a", LONG))), [3]);
 }
 
 #[test]
@@ -251,8 +263,8 @@
     let target = "t0".to_string();
     scheduler.reported(Duration::ZERO, &target, &report(0, &[(1, 99)]));
     for prefix in 1..=3u64 {
-        let ask = PermitAsk { prefix: Some(prefix), ..ask(u128::from(prefix), 0, "a", LONG) };
-        scheduler.ask(Duration::ZERO, entry(), ask);
+        let ask = PermitRequest { prefix: Some(prefix), ..ask(u128::from(prefix), 0, "a", LONG) };
+        scheduler.request_permit(Duration::ZERO, entry(), ask);
     }
     let holds = |scheduler: &PoolScheduler| {
         (1..=3u64)
@@ -307,7 +319,7 @@
                     tiers.insert(number, tier);
                     open.insert(number);
                     let left = Duration::from_millis(u64::from(left));
-                    scheduler.ask(now, entry(), ask(number, tier, &account.to_string(), left))
+                    scheduler.request_permit(now, entry(), ask(number, tier, &account.to_string(), left))
                 }
                 Step::Back(which, whole) => {
                     let Some(id) = held.iter().nth(usize::from(which) % held.len().max(1)).copied() else { continue };
@@ -318,7 +330,7 @@
                 }
                 Step::Again(which) => {
                     let Some(id) = held.iter().nth(usize::from(which) % held.len().max(1)).copied() else { continue };
-                    let again = scheduler.ask(now, entry(), ask(id, tiers[&id], "0", LONG));
+                    let again = scheduler.request_permit(now, entry(), ask(id, tiers[&id], "0", LONG));
                     prop_assert_eq!(granted(&again), vec![id], "a repeated ask gets its grant again");
                     continue;
                 }
@@ -364,12 +376,14 @@
 #[test]
 fn ask_is_taken_in_while_a_new_scheduler_has_granted_nothing_yet() {
     let mut scheduler = scheduler(PoolOptions { queue_limit: 10, ..PoolOptions::default() }, 1, 1);
-    let held = curlewcleat_core::PermitHeld { ask: ask(1, 0, "a", LONG), target: "t0".to_string() };
+    let held =
+        curlewcleat_core::PermitHeld { request: ask(1, 0, "a", LONG), target: "t0".to_string() };
     scheduler.hold(Duration::ZERO, entry(), held);
-    scheduler.ask(Duration::ZERO, entry(), ask(2, 0, "a", LONG));
+    scheduler.request_permit(Duration::ZERO, entry(), ask(2, 0, "a", LONG));
     for step in 1..40 {
         scheduler.tick(Duration::from_millis(20) * step);
     }
-    let actions = scheduler.ask(Duration::from_millis(800), entry(), ask(3, 0, "a", LONG));
+    let actions =
+        scheduler.request_permit(Duration::from_millis(800), entry(), ask(3, 0, "a", LONG));
     assert_eq!(refused(&actions), BTreeMap::new());
 }
--- a/crates/sched/tests/streams.rs
+++ b/crates/sched/tests/streams.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AttemptEnd, DaemonId, PermitAsk, PermitDecision, PermitId, PermitReturn, RefusalReason,
-    RequestId, ServiceAims, StreamTiming, TargetEntry, TargetId, TargetPool,
+    AttemptEnd, DaemonId, LatencyObjectives, PermitDecision, PermitId, PermitRequest, PermitReturn,
+    RefusalReason, RequestId, StreamTiming, TargetEntry, TargetId, TargetPool,
 };
 use curlewcleat_sched::{spread_advice, PoolOptions, PoolScheduler, SchedulerAction};
 use rstest::rstest;
@@ -31,10 +31,11 @@
         Play { scheduler, now: Duration::from_secs(1), next: 0 }
     }
 
-    fn ask(&mut self, ask: PermitAsk) -> (u128, Vec<SchedulerAction>) {
+    fn request_permit(&mut self, ask: PermitRequest) -> (u128, Vec<SchedulerAction>) {
         self.next += 1;
         let permit = permit(self.next);
-        let actions = self.scheduler.ask(self.now, entry(), PermitAsk { permit, ..ask });
+        let actions =
+            self.scheduler.request_permit(self.now, entry(), PermitRequest { permit, ..ask });
         (self.next, actions)
     }
 
@@ -57,7 +58,7 @@
     fn teach(&mut self, target: &str, others: &[&str], seen: StreamTiming) {
         for _ in 0..20 {
             let avoid = others.iter().map(|other| other.to_string()).collect();
-            let (number, actions) = self.ask(PermitAsk { avoid, ..prompt(5_000) });
+            let (number, actions) = self.request_permit(PermitRequest { avoid, ..prompt(5_000) });
             assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(target));
             self.now += seen.first + seen.rest;
             self.end(number, AttemptEnd::Streamed(seen));
@@ -94,19 +95,19 @@
 }
 
 /// An ask with a prompt of so many tokens and an output of a hundred.
-fn prompt(tokens: u64) -> PermitAsk {
-    PermitAsk {
+fn prompt(tokens: u64) -> PermitRequest {
+    PermitRequest {
         permit: permit(0),
         pool: POOL.to_string(),
         tier: 0,
         account: "a".to_string(),
         time_left: Duration::from_secs(15),
-        aims: ServiceAims {
+        objectives: LatencyObjectives {
             wait_limit: Duration::from_millis(1_600),
             forecast_limit: Duration::from_millis(480),
-            first_by: Duration::from_millis(800),
+            first_part_by: Duration::from_millis(800),
             pause_limit: PAUSE_LIMIT,
-            ..ServiceAims::default()
+            ..LatencyObjectives::default()
         },
         prompt_work: tokens * 100,
         output_work: 1_000_000,
@@ -158,7 +159,7 @@
 #[test]
 fn faster_target_gets_the_prompt() {
     let mut play = taught(2);
-    let (number, actions) = play.ask(prompt(5_000));
+    let (number, actions) = play.request_permit(prompt(5_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(FAST));
 }
 
@@ -180,21 +181,21 @@
     let here = BTreeMap::from([("e".to_string(), "here".to_string())]);
     play.scheduler.set_places(here);
     play.run(Duration::from_millis(100));
-    let (number, actions) = play.ask(prompt(1_000));
+    let (number, actions) = play.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(taken));
 }
 
 #[test]
 fn long_prompt_waits_rather_than_stall_the_streams_of_a_slow_target() {
     let mut play = taught(1);
-    play.ask(prompt(1_000));
+    play.request_permit(prompt(1_000));
     // The slow target has another slot and a stream in the first.
     let mut options = pool(&[FAST, SLOW], 1);
     options.targets.get_mut(SLOW).expect("the slow target").slots = 2;
-    let (short, actions) = play.ask(prompt(1_000));
+    let (short, actions) = play.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&short).map(String::as_str), Some(SLOW));
     play.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &options);
-    let (long, actions) = play.ask(prompt(20_000));
+    let (long, actions) = play.request_permit(prompt(20_000));
     assert!(granted(&actions).is_empty() && refused(&actions).is_empty());
     // Once its answer has to begin, a late start is better than none.
     let later = play.run(Duration::from_millis(900));
@@ -207,7 +208,7 @@
     play.teach(FAST, &[], timing(10, 16, 120));
     // Eight prompts of 50 ms at once: the last one begins after 400 ms, over and over.
     for _ in 0..40 {
-        let numbers: Vec<u128> = (0..8).map(|_| play.ask(prompt(5_000)).0).collect();
+        let numbers: Vec<u128> = (0..8).map(|_| play.request_permit(prompt(5_000)).0).collect();
         play.now += Duration::from_millis(800);
         for (place, number) in numbers.iter().enumerate() {
             let first = Duration::from_millis(50 * (place as u64 + 1));
@@ -224,7 +225,7 @@
 fn targets_are_used_while_asks_wait() {
     let mut play = taught(4);
     // Everything that was learned says that nothing is in time; what waits is served all the same.
-    let asks: Vec<u128> = (0..8).map(|_| play.ask(prompt(60_000)).0).collect();
+    let asks: Vec<u128> = (0..8).map(|_| play.request_permit(prompt(60_000)).0).collect();
     let later = play.run(Duration::from_millis(1_000));
     let served: BTreeSet<u128> = granted(&later).into_keys().collect();
     assert!(play.scheduler.in_flight() >= 6, "{} of 8 slots", play.scheduler.in_flight());
@@ -235,12 +236,13 @@
 fn failing_target_is_passed_over() {
     let mut play = taught(4);
     for _ in 0..2 {
-        let (number, _) = play.ask(prompt(1_000));
+        let (number, _) = play.request_permit(prompt(1_000));
         play.end(number, AttemptEnd::Failed);
-        let (number, _) = play.ask(PermitAsk { avoid: vec![SLOW.to_string()], ..prompt(1_000) });
+        let (number, _) =
+            play.request_permit(PermitRequest { avoid: vec![SLOW.to_string()], ..prompt(1_000) });
         play.end(number, AttemptEnd::Failed);
     }
-    let (number, actions) = play.ask(prompt(1_000));
+    let (number, actions) = play.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(SLOW));
 }
 
@@ -249,7 +251,7 @@
     let mut play = taught(1);
     let mut refusals = Vec::new();
     for _ in 0..40 {
-        let (_, actions) = play.ask(prompt(1_000));
+        let (_, actions) = play.request_permit(prompt(1_000));
         refusals.extend(refused(&actions).into_values());
     }
     assert!(!refusals.is_empty());
@@ -262,16 +264,16 @@
 #[test]
 fn rank_of_the_rule_goes_before_length_and_a_return_before_both() {
     let mut play = taught(1);
-    play.ask(prompt(1_000));
-    play.ask(prompt(1_000));
-    let patient = |tokens: u64, urgency: u8, came_back: bool| {
+    play.request_permit(prompt(1_000));
+    play.request_permit(prompt(1_000));
+    let patient = |tokens: u64, urgency: u8, is_retry: bool| {
         let ask = prompt(tokens);
-        let aims = ServiceAims { urgency, came_back, ..ServiceAims::default() };
-        PermitAsk { aims, time_left: Duration::from_secs(600), ..ask }
+        let objectives = LatencyObjectives { urgency, is_retry, ..LatencyObjectives::default() };
+        PermitRequest { objectives, time_left: Duration::from_secs(600), ..ask }
     };
-    let (triage, _) = play.ask(patient(500, 2, false));
-    let (review, _) = play.ask(patient(6_000, 0, false));
-    let (returned, _) = play.ask(patient(6_000, 0, true));
+    let (triage, _) = play.request_permit(patient(500, 2, false));
+    let (review, _) = play.request_permit(patient(6_000, 0, false));
+    let (returned, _) = play.request_permit(patient(6_000, 0, true));
     let mut order = Vec::new();
     while let Some(running) = play.scheduler.permits().keys().next().copied() {
         let next = play.end(running.request.as_u128(), AttemptEnd::Unused);
@@ -288,18 +290,18 @@
     let mut play = Play::new(&[FAST], 2);
     let guessed = |output: u64| {
         let ask = prompt(5_000);
-        let aims = ServiceAims { length_guessed: true, ..ask.aims };
-        PermitAsk { aims, output_work: output, ..ask }
+        let objectives = LatencyObjectives { length_guessed: true, ..ask.objectives };
+        PermitRequest { objectives, output_work: output, ..ask }
     };
-    let (first, actions) = play.ask(guessed(40_000_000));
+    let (first, actions) = play.request_permit(guessed(40_000_000));
     assert!(granted(&actions).contains_key(&first));
     play.end(first, AttemptEnd::Unused);
     // Known: 20 parts of 16 ms for a second of work, so that forty seconds of it take 13 s.
     play.teach(FAST, &[], timing(10, 16, 120));
-    let (long, actions) = play.ask(guessed(40_000_000));
+    let (long, actions) = play.request_permit(guessed(40_000_000));
     assert!(granted(&actions).contains_key(&long));
     play.end(long, AttemptEnd::Unused);
-    let (endless, actions) = play.ask(guessed(400_000_000));
+    let (endless, actions) = play.request_permit(guessed(400_000_000));
     assert_eq!(refused(&actions)[&endless].0, RefusalReason::DeadlineUnreachable);
 }
 
