--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -53,7 +53,7 @@
         let frames: Vec<usize> = actions
             .iter()
             .filter_map(|action| match action {
-                curlewcleat_node::NodeAction::Send(_, frame) => Some(encode_frame(frame).len()),
+                curlewcleat_node::NodeAction::Send(_, frame) => Some(encoded(frame).len()),
                 _ => None,
             })
             .collect();
@@ -72,6 +72,10 @@
     }
 }
 
+fn encoded(frame: &PeerFrame) -> Vec<u8> {
+    encode_frame(frame).expect("a frame encodes")
+}
+
 /// Heartbeats of a daemon that is no candidate, as they are sent on a fleet, where all others are heard.
 pub fn sparse_heartbeats() {
     println!("peers | heartbeats out a second | bytes out a second | the same of a candidate");
@@ -101,7 +105,7 @@
         for action in actions {
             if let curlewcleat_node::NodeAction::Send(_, frame) = action {
                 frames += 1;
-                bytes += encode_frame(&frame).len();
+                bytes += encoded(&frame).len();
             }
         }
     }
@@ -112,9 +116,9 @@
     let message = PeerMessage::PermitRequest(ask(1, 1));
     for count in [1usize, 8, 64] {
         let frame = PeerFrame { from: daemon(1), messages: vec![message.clone(); count] };
-        let bytes = encode_frame(&frame);
+        let bytes = encoded(&frame);
         let each = time_each(20_000, |_| {
-            let bytes = encode_frame(&frame);
+            let bytes = encoded(&frame);
             black_box(decode_frame(&bytes)).ok();
         });
         println!(
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -78,8 +78,11 @@
 }
 
 /// Bytes of a manifest as stored.
-pub fn manifest_bytes(manifest: &ConfigManifest) -> Vec<u8> {
-    serde_json::to_vec(manifest).unwrap_or_default()
+///
+/// # Errors
+/// The JSON error where it cannot be written; nothing may be stored in its place.
+pub fn manifest_bytes(manifest: &ConfigManifest) -> Result<Vec<u8>, serde_json::Error> {
+    serde_json::to_vec(manifest)
 }
 
 /// Reads a stored manifest.
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -76,6 +76,7 @@
 
     /// Wall-clock time.
     pub fn wall(&self) -> WallTime {
+        // A clock before 1970 counts as 1970: wall time only orders starts and ages keys.
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default()
     }
 
@@ -125,6 +126,7 @@
     pub async fn apply(&self, bundle: curlewcleat_core::ConfigBundle) {
         let (sender, receiver) = oneshot::channel();
         if self.node.send(NodeMessage::Apply(bundle, sender)).is_ok() {
+            // The node's thread ends last; a dropped sender means that the process is ending.
             let _ = receiver.await;
         }
     }
@@ -139,6 +141,7 @@
     pub fn admit(&self, spec: RequestSpec) -> PendingRequest {
         let (sender, decisions) = mpsc::unbounded_channel();
         let request = spec.request;
+        // Where the node has ended, the dropped sender tells the request so.
         let _ = self.node.send(NodeMessage::Admit(Box::new(spec), sender));
         PendingRequest { request, decisions, context: self.clone(), open: true }
     }
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -222,6 +222,7 @@
 
 /// Ends when others read the platform for this daemon.
 async fn until_resting(duty: &mut watch::Receiver<ReadRole>) {
+    // The sender lives as long as the process.
     let _ = duty.wait_for(|duty| *duty == ReadRole::Idle).await;
 }
 
@@ -240,6 +241,7 @@
     /// Waits, `limit` at most, or until something happens.
     async fn wait(&mut self, limit: Duration, happens: impl Future<Output = ()>) {
         let jitter = rand::rng().random_range(0.5..1.0);
+        // Whether the time or the event ended the wait makes no difference.
         let _ = tokio::time::timeout(self.next.min(limit).mul_f64(jitter), happens).await;
         self.next = (self.next * 2).min(FALLBACK_PAUSE);
     }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -7,6 +7,7 @@
     HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
+use spdlog::prelude::*;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -190,7 +191,10 @@
     /// The metrics as text, with the gauges of a node's status.
     pub fn render(&self, status: &NodeStatus) -> String {
         self.set_gauges(status);
-        TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
+        TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_else(|error| {
+            error!("metrics_not_written", kv: { error = error.to_string() });
+            String::new()
+        })
     }
 
     fn set_gauges(&self, status: &NodeStatus) {
--- a/crates/daemon/src/node_loop.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -97,6 +97,7 @@
             }
             NodeMessage::Apply(bundle, sender) => {
                 self.event(NodeEvent::ConfigRead(bundle));
+                // Whoever offered it need not wait for it.
                 let _ = sender.send(());
             }
             // An asker that has gone is no fault.
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -70,6 +70,7 @@
     pub(super) fn into_response(self, parts: AnswerParts, guard: TaskGuard) -> Response<BoxBody> {
         let AnswerContent::Parts(length) = self.content else { return self.into_whole_response() };
         let stream = parts.map(move |part| {
+            // The closure owns the guard, so the task ends with the body.
             let _ = &guard;
             part
         });
--- a/crates/peers/src/codec.rs
+++ b/crates/peers/src/codec.rs
@@ -19,17 +19,23 @@
     /// Bytes follow the frame.
     #[error("peers: {0} bytes follow the frame")]
     Surplus(usize),
+    /// The frame cannot be encoded.
+    #[error("peers: frame cannot be encoded: {0}")]
+    Encode(postcard::Error),
     /// The frame does not decode.
     #[error("peers: frame does not decode: {0}")]
     Decode(postcard::Error),
 }
 
-/// Result of decoding.
+/// Result of coding.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Encodes a frame.
-pub fn encode_frame(frame: &PeerFrame) -> Vec<u8> {
-    postcard::to_extend(frame, vec![FORMAT]).unwrap_or_default()
+///
+/// # Errors
+/// Where it cannot be encoded; nothing may be sent in its place.
+pub fn encode_frame(frame: &PeerFrame) -> Result<Vec<u8>> {
+    postcard::to_extend(frame, vec![FORMAT]).map_err(Error::Encode)
 }
 
 /// Decodes a frame.
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -10,6 +10,8 @@
 use nng::{Protocol, Socket};
 use tokio::sync::mpsc::UnboundedSender;
 
+use spdlog::prelude::*;
+
 use crate::codec::{decode_frame, encode_frame, FRAME_LIMIT};
 
 /// Frames that wait for a peer before the oldest are dropped.
@@ -90,7 +92,13 @@
 
 impl PeerTransport for NngTransport {
     fn send(&mut self, address: &str, frame: &PeerFrame) {
-        let bytes = encode_frame(frame);
+        let bytes = match encode_frame(frame) {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                self.counts.dropped.fetch_add(1, Ordering::Relaxed);
+                return error!("frame_not_encoded", kv: { address, error = error.to_string() });
+            }
+        };
         let length = bytes.len() as u64;
         let sent =
             self.socket(address).is_some_and(|socket| socket.try_send(bytes.as_slice()).is_ok());
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -29,19 +29,19 @@
     #[test]
     fn frames_come_back_as_they_went(vm in ".{0,20}", incarnation: u64, tier: u8, work: u64) {
         let frame = frame(vm, incarnation, tier, work);
-        prop_assert_eq!(decode_frame(&encode_frame(&frame)), Ok(frame));
+        prop_assert_eq!(decode_frame(&encode_frame(&frame).expect("encodes")), Ok(frame));
     }
 
     #[test]
     fn any_bytes_end_in_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(frame) = decode_frame(&bytes) {
-            prop_assert_eq!(decode_frame(&encode_frame(&frame)), Ok(frame));
+            prop_assert_eq!(decode_frame(&encode_frame(&frame).expect("encodes")), Ok(frame));
         }
     }
 
     #[test]
     fn cut_and_lengthened_frames_are_refused(work: u64, cut in 1usize..40) {
-        let bytes = encode_frame(&frame("vm".to_string(), 1, 0, work));
+        let bytes = encode_frame(&frame("vm".to_string(), 1, 0, work)).expect("encodes");
         prop_assert!(decode_frame(&bytes[..bytes.len().saturating_sub(cut)]).is_err());
         let longer = [bytes, vec![0; cut]].concat();
         prop_assert_eq!(decode_frame(&longer), Err(Error::Surplus(cut)));
--- a/crates/store/src/applying.rs
+++ b/crates/store/src/applying.rs
@@ -56,7 +56,9 @@
             }
         }
         ApplyAction::PutManifest(version, manifest) => {
-            match store.put(MANIFEST_KEY, version, manifest_bytes(&manifest)).await {
+            // Nothing is stored in place of a manifest that cannot be written.
+            let Ok(bytes) = manifest_bytes(&manifest) else { return ApplyEvent::Unclear };
+            match store.put(MANIFEST_KEY, version, bytes).await {
                 Ok(PutOutcome::Stored(_)) => ApplyEvent::ManifestStored,
                 Ok(PutOutcome::Conflict) => ApplyEvent::ManifestConflict,
                 Err(_) => ApplyEvent::Unclear,
--- a/crates/tool/src/daemons.rs
+++ b/crates/tool/src/daemons.rs
@@ -48,9 +48,11 @@
 /// Looks at a daemon until it has a generation in force.
 async fn reach(daemon: String, generation: u64) {
     loop {
-        let status = status(&daemon).await.unwrap_or_default();
-        if status["generation"].as_u64().is_some_and(|reached| reached >= generation) {
-            return;
+        // A daemon that does not answer is asked again; the caller names it when the time is over.
+        if let Ok(status) = status(&daemon).await {
+            if status["generation"].as_u64().is_some_and(|reached| reached >= generation) {
+                return;
+            }
         }
         tokio::time::sleep(LOOK_EVERY).await;
     }
