--- a/crates/acceptance/src/lib.rs
+++ b/crates/acceptance/src/lib.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Result;
 use curlewcleat_core::hash_token;
-use curlewcleat_standins::fleet::Fleet;
+use curlewcleat_standins::deployment::Deployment;
 
 /// Token of the account `drivers`.
 pub const DRIVERS: &str = "drivers-token";
@@ -11,7 +11,7 @@
 
 /// A configuration for a fleet's targets: `sessions` for services, `assistant` for engines. Extra
 /// lines go into the pool sections.
-pub fn configuration(fleet: &Fleet, service_lines: &str, engine_lines: &str) -> String {
+pub fn configuration(fleet: &Deployment, service_lines: &str, engine_lines: &str) -> String {
     let hex = |token: &str| {
         hash_token(token).bytes().iter().map(|byte| format!("{byte:02x}")).collect::<String>()
     };
@@ -48,8 +48,8 @@
     engines: usize,
     services: usize,
     daemons: usize,
-) -> Result<Fleet> {
-    let mut fleet = Fleet::start(name).await?;
+) -> Result<Deployment> {
+    let mut fleet = Deployment::start(name).await?;
     for _ in 0..engines {
         fleet.target("engine", &["--slots", "4"]).await?;
     }
--- a/crates/acceptance/tests/callers.rs
+++ b/crates/acceptance/tests/callers.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
 use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
-use curlewcleat_standins::fleet::{get_text, wait_status, wait_until, Fleet};
+use curlewcleat_standins::deployment::{get_text, wait_status, wait_until, Deployment};
 use curlewcleat_standins::verdicts::ledgers;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,7 +25,7 @@
     Ok(String::from_utf8_lossy(&answer[..length]).to_string())
 }
 
-async fn still_serves(fleet: &Fleet) -> Result<()> {
+async fn still_serves(fleet: &Deployment) -> Result<()> {
     let call = CallerCall::service("/v1/sessions/unlock", DRIVERS, "still");
     assert_eq!(call.send(&caller_client(), &fleet.daemons[0].callers).await.end, CallerEnd::Whole);
     Ok(())
@@ -189,7 +189,7 @@
 
 #[actix_rt::test]
 async fn caller_that_stops_reading_keeps_no_slot() -> Result<()> {
-    let mut fleet = Fleet::start("stalled").await?;
+    let mut fleet = Deployment::start("stalled").await?;
     fleet.caller_settings = "stall_limit = 1s\n".to_string();
     fleet.target("engine", &["--slots", "4", "--output-token-us", "0"]).await?;
     fleet.daemons(1).await?;
--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -21,7 +21,7 @@
 };
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_platform::format::{Daemon, Metadata, Object};
-use curlewcleat_standins::fleet::{get_json, Fleet};
+use curlewcleat_standins::deployment::{get_json, Deployment};
 use rstest::rstest;
 use serde_json::Value;
 use uuid::Uuid;
@@ -318,7 +318,7 @@
         "[vm]\nname = a\ndata_centre = d\n\n[callers]\naddress = 127.0.0.1:1\n\n[operators]\n\
          address = 127.0.0.1:2\n\n[peers]\naddress = 127.0.0.1:3\n\n[platform]\naddress = 127.0.0.1:4\n{more}"
     );
-    let fleet = Fleet::start(&format!("golden-settings-{kind}")).await?;
+    let fleet = Deployment::start(&format!("golden-settings-{kind}")).await?;
     let path = fleet.write_file("daemon.ini", &text)?;
     let (code, output) = fleet.daemon_program(&["--settings", &path, "--check"])?;
     assert_eq!(code, 0, "{output}");
@@ -367,7 +367,7 @@
 
 #[actix_rt::test]
 async fn tool_and_daemon_keep_their_flags() -> Result<()> {
-    let fleet = Fleet::start("golden-flags").await?;
+    let fleet = Deployment::start("golden-flags").await?;
     let mut text = String::new();
     let commands =
         ["", "check", "diff", "apply", "show", "history", "drain", "explain", "completions"];
--- a/crates/acceptance/tests/daemons.rs
+++ b/crates/acceptance/tests/daemons.rs
@@ -6,7 +6,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
 use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
-use curlewcleat_standins::fleet::{status, wait_status, wait_until, Fleet};
+use curlewcleat_standins::deployment::{status, wait_status, wait_until, Deployment};
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 use rstest::rstest;
 use serde_json::json;
@@ -19,13 +19,13 @@
     CallerCall::engine("/v1/assistant/ask", DEPOTS, nonce, "how much", tokens)
 }
 
-async fn agree(fleet: &Fleet, records: &[CallerRecord]) -> Result<()> {
+async fn agree(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
     assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
 
 /// Index of the daemon that schedules a pool.
-async fn scheduler_of(fleet: &Fleet, pool: &str) -> Result<usize> {
+async fn scheduler_of(fleet: &Deployment, pool: &str) -> Result<usize> {
     let status = status(&fleet.daemons[0].operators).await?;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
     let vm = pools.iter().find(|entry| entry["id"] == pool).map(|entry| entry["scheduler"].clone());
@@ -34,7 +34,7 @@
 }
 
 /// Waits until the ledgers hold a nonce.
-async fn started(fleet: &Fleet, nonce: &str) -> Result<()> {
+async fn started(fleet: &Deployment, nonce: &str) -> Result<()> {
     wait_until(&format!("{nonce} runs"), || async {
         ledgers(fleet).await.is_ok_and(|entries| entries.iter().any(|entry| entry.nonce == nonce))
     })
@@ -220,7 +220,7 @@
     agree(&fleet, &records).await
 }
 
-async fn wait_until_ended(fleet: &mut Fleet, index: usize) -> Result<()> {
+async fn wait_until_ended(fleet: &mut Deployment, index: usize) -> Result<()> {
     let begun = std::time::Instant::now();
     loop {
         if let Some(code) = fleet.daemons[index].process.ended() {
@@ -313,7 +313,7 @@
 #[case::both_ways(vec![0, 1])]
 #[actix_rt::test]
 async fn cut_links_delay_and_double_nothing(#[case] cut: Vec<usize>) -> Result<()> {
-    let mut fleet = Fleet::start("cut-links").await?;
+    let mut fleet = Deployment::start("cut-links").await?;
     fleet.relayed();
     fleet.target("engine", &["--slots", "4"]).await?;
     fleet.target("service", &["--slots", "8"]).await?;
--- a/crates/acceptance/tests/native.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST};
 use curlewcleat_platform::names::{SEAL, SERVERS, WIRE_PROFILE};
-use curlewcleat_standins::fleet::{get_text, wait_until};
-use curlewcleat_standins::native::{EngineStep, NativeEngine, NativeFleet, StoreOutage};
+use curlewcleat_standins::deployment::{get_text, wait_until};
+use curlewcleat_standins::fleet::{EngineStep, FleetDeployment, FleetEngine, StoreOutage};
 use curlewcleat_targets::{AnswerBody, ConnectionPool};
 use futures_util::StreamExt;
 use rstest::rstest;
@@ -116,8 +116,13 @@
 }
 
 /// A fleet of daemons that are ready, with engines for records and for streams.
-async fn ready(name: &str, daemons: usize, records: usize, engines: usize) -> Result<NativeFleet> {
-    let mut fleet = NativeFleet::start(name).await?;
+async fn ready(
+    name: &str,
+    daemons: usize,
+    records: usize,
+    engines: usize,
+) -> Result<FleetDeployment> {
+    let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..records {
         fleet.engine("records", 0, PACE).await?;
@@ -152,7 +157,7 @@
 }
 
 /// Runs of a try over all engines.
-fn runs(fleet: &NativeFleet, attempt: &str) -> usize {
+fn runs(fleet: &FleetDeployment, attempt: &str) -> usize {
     let engines = fleet.engines.iter();
     engines.flat_map(|engine| engine.runs()).filter(|run| run.attempt == attempt && run.ran).count()
 }
@@ -213,7 +218,7 @@
     fleet.engines[0].next(step);
     let answer = Call::new("/resumed/stream/a", "t").send(&entry).await?;
     assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(answer.text, NativeEngine::expected_stream("t", EVENTS));
+    assert_eq!(answer.text, FleetEngine::expected_stream("t", EVENTS));
     Ok(())
 }
 
@@ -454,7 +459,7 @@
     stopped?;
     let answer = answer?;
     assert!(answer.whole, "{answer:?}");
-    assert_eq!(answer.text, NativeEngine::expected_stream("t", 60));
+    assert_eq!(answer.text, FleetEngine::expected_stream("t", 60));
     let process = &mut fleet.daemons[0].process;
     let end = Instant::now() + Duration::from_secs(5);
     while process.ended().is_none() && Instant::now() < end {
@@ -466,7 +471,7 @@
 
 #[actix_rt::test]
 async fn daemon_without_a_configuration_refuses_with_503_and_calls_seldom() -> Result<()> {
-    let mut fleet = NativeFleet::start("absent").await?;
+    let mut fleet = FleetDeployment::start("absent").await?;
     fleet.daemons(1, PROVED).await?;
     let entry = &fleet.daemons[0].callers;
     assert_eq!(Call::new("/once/a", "t").send(entry).await?.status, 503);
@@ -480,7 +485,7 @@
 
 #[actix_rt::test]
 async fn daemons_find_each_other_and_lost_answers_do_no_harm() -> Result<()> {
-    let mut fleet = NativeFleet::start("peers").await?;
+    let mut fleet = FleetDeployment::start("peers").await?;
     fleet.store.lose_writes(2);
     fleet.store_config()?;
     fleet.engine("records", 0, PACE).await?;
--- a/crates/acceptance/tests/operators.rs
+++ b/crates/acceptance/tests/operators.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet};
 use curlewcleat_core::{RefusalReason, RetryReason};
-use curlewcleat_standins::fleet::{get_text, Fleet};
+use curlewcleat_standins::deployment::{get_text, Deployment};
 use rstest::rstest;
 
 const FAULTY: &str = "[tier a]\nrank = x\n\n[tier a]\nrank = 1\n\n[pool p]\nkind = magic\nfirst_byte_limit = 5\n\
@@ -11,7 +11,7 @@
 
 #[actix_rt::test]
 async fn check_names_every_fault_at_once() -> Result<()> {
-    let fleet = Fleet::start("check").await?;
+    let fleet = Deployment::start("check").await?;
     let path = fleet.write_file("faulty.ini", FAULTY)?;
     let (code, output) = fleet.tool(&["check", &path])?;
     assert_eq!(code, 1);
@@ -35,7 +35,7 @@
 #[case::atlas("atlas")]
 #[actix_rt::test]
 async fn examples_pass_the_check(#[case] folder: &str) -> Result<()> {
-    let fleet = Fleet::start("examples").await?;
+    let fleet = Deployment::start("examples").await?;
     let path = format!("{}/../../examples/{folder}", env!("CARGO_MANIFEST_DIR"));
     let (code, output) = fleet.tool(&["check", &path])?;
     assert_eq!(code, 0, "{output}");
@@ -99,7 +99,7 @@
 
 #[actix_rt::test]
 async fn platform_out_of_reach_has_its_own_exit_code() -> Result<()> {
-    let mut fleet = Fleet::start("out-of-reach").await?;
+    let mut fleet = Deployment::start("out-of-reach").await?;
     fleet.platform.kill();
     let path = fleet.write_file("more.ini", "[tier more]\nrank = 9\n")?;
     let (code, output) = fleet.tool(&["apply", &path])?;
@@ -111,7 +111,7 @@
 
 #[actix_rt::test]
 async fn completions_are_printed() -> Result<()> {
-    let fleet = Fleet::start("completions").await?;
+    let fleet = Deployment::start("completions").await?;
     let (code, output) = fleet.tool(&["completions", "bash"])?;
     assert_eq!(code, 0);
     assert!(output.contains("history"));
@@ -120,7 +120,7 @@
 
 #[actix_rt::test]
 async fn daemon_checks_its_settings() -> Result<()> {
-    let fleet = Fleet::start("settings").await?;
+    let fleet = Deployment::start("settings").await?;
     let faulty = "[vm]\nname = a\n\n[callers]\naddress = here\nworkers = 0\n\n[peers]\naddress = 1.2.3.4:5\n\
                   beat = 1s\nsuspect_after = 1s\n\n[speed]\nx = 1\n";
     let path = fleet.write_file("faulty.ini", faulty)?;
@@ -175,7 +175,7 @@
 
 #[actix_rt::test]
 async fn nothing_is_applied_that_cannot_be_waited_for() -> Result<()> {
-    let fleet = Fleet::start("no-daemons").await?;
+    let fleet = Deployment::start("no-daemons").await?;
     let path = fleet.write_file("a.ini", "[tier a]\nrank = 0\n")?;
     let (code, output) = fleet.tool(&["apply", &path, "--wait"])?;
     assert_eq!(code, 4, "{output}");
--- a/crates/acceptance/tests/pairs.rs
+++ b/crates/acceptance/tests/pairs.rs
@@ -5,7 +5,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{ready_fleet, DEPOTS, DRIVERS};
 use curlewcleat_standins::callers::{CallerEnd, CallerRecord};
-use curlewcleat_standins::fleet::{wait_until, Fleet};
+use curlewcleat_standins::deployment::{wait_until, Deployment};
 use curlewcleat_standins::load::{report, LoadPlan, LoadReport, LoadStream};
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 use serde_json::json;
@@ -41,7 +41,11 @@
     }
 }
 
-async fn judged(fleet: &Fleet, plan: &LoadPlan, records: &[CallerRecord]) -> Result<LoadReport> {
+async fn judged(
+    fleet: &Deployment,
+    plan: &LoadPlan,
+    records: &[CallerRecord],
+) -> Result<LoadReport> {
     let runs = ledgers(fleet).await?;
     assert_eq!(disagreements(&runs, records), Vec::<String>::new(), "seed {SEED}");
     let report = report(plan, records, &runs);
@@ -49,12 +53,12 @@
     Ok(report)
 }
 
-fn entries(fleet: &Fleet) -> Vec<String> {
+fn entries(fleet: &Deployment) -> Vec<String> {
     fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect()
 }
 
 /// Starts a load without waiting for it.
-fn begin(plan: &LoadPlan, fleet: &Fleet) -> actix_rt::task::JoinHandle<Vec<CallerRecord>> {
+fn begin(plan: &LoadPlan, fleet: &Deployment) -> actix_rt::task::JoinHandle<Vec<CallerRecord>> {
     let (plan, entries) = (plan.clone(), entries(fleet));
     actix_rt::spawn(async move { plan.run(&entries).await })
 }
--- a/crates/acceptance/tests/platform.rs
+++ b/crates/acceptance/tests/platform.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
 use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
-use curlewcleat_standins::fleet::{get_json, status, wait_status, wait_until, Fleet};
+use curlewcleat_standins::deployment::{get_json, status, wait_status, wait_until, Deployment};
 use curlewcleat_standins::verdicts::ledgers;
 use rstest::rstest;
 use serde_json::json;
@@ -20,7 +20,7 @@
 
 #[actix_rt::test]
 async fn daemon_without_configuration_refuses_and_starts_when_the_platform_returns() -> Result<()> {
-    let mut fleet = Fleet::start("started-in-outage").await?;
+    let mut fleet = Deployment::start("started-in-outage").await?;
     fleet.target("engine", &[]).await?;
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
     fleet.daemons(1).await?;
--- a/crates/acceptance/tests/targets.rs
+++ b/crates/acceptance/tests/targets.rs
@@ -4,7 +4,7 @@
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
 use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
-use curlewcleat_standins::fleet::{get_text, wait_until, Fleet};
+use curlewcleat_standins::deployment::{get_text, wait_until, Deployment};
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -24,11 +24,11 @@
     }
 }
 
-async fn runs(fleet: &Fleet) -> Result<usize> {
+async fn runs(fleet: &Deployment) -> Result<usize> {
     Ok(ledgers(fleet).await?.len())
 }
 
-async fn agree(fleet: &Fleet, records: &[CallerRecord]) -> Result<()> {
+async fn agree(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
     assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -5,7 +5,7 @@
 use anyhow::Result;
 use curlewcleat_core::hash_token;
 use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
-use curlewcleat_standins::fleet::{get_text, Fleet};
+use curlewcleat_standins::deployment::{get_text, Deployment};
 
 /// Processor time of a process in milliseconds, and its resident bytes and threads.
 fn process_cost(id: u32) -> Result<(u64, u64, u64)> {
@@ -20,7 +20,7 @@
 pub async fn daemons() -> Result<()> {
     println!("daemons | idle CPU of one (% of a core) | resident MB | threads | peer bytes/s out");
     for count in [2usize, 4, 8, 16] {
-        let mut fleet = Fleet::start(&format!("slopes-{count}")).await?;
+        let mut fleet = Deployment::start(&format!("slopes-{count}")).await?;
         fleet.target("service", &["--work-us", "1000"]).await?;
         fleet.daemons(count).await?;
         let text = "[tier t]\nrank = 0\n[pool p]\nkind = service\n";
@@ -49,7 +49,7 @@
     streams().await
 }
 
-async fn sent_bytes(fleet: &Fleet) -> Result<u64> {
+async fn sent_bytes(fleet: &Deployment) -> Result<u64> {
     let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await?;
     let line = metrics.lines().find(|line| line.contains("peer_frames{kind=\"sent_bytes\"}"));
     Ok(line
@@ -60,7 +60,7 @@
 
 /// Requests through one of two daemons against direct calls to the same service.
 async fn load() -> Result<()> {
-    let mut fleet = Fleet::start("slopes-load").await?;
+    let mut fleet = Deployment::start("slopes-load").await?;
     fleet.target("service", &["--work-us", "1000", "--slots", "256"]).await?;
     fleet.daemons(2).await?;
     let hash: String = hash_token("t").bytes().iter().map(|byte| format!("{byte:02x}")).collect();
@@ -93,7 +93,7 @@
 
 /// What a streamed token, an open stream and a waiting request cost a daemon.
 async fn streams() -> Result<()> {
-    let mut fleet = Fleet::start("slopes-streams").await?;
+    let mut fleet = Deployment::start("slopes-streams").await?;
     fleet
         .target(
             "engine",
@@ -163,7 +163,7 @@
 }
 
 async fn one_path(
-    fleet: &Fleet,
+    fleet: &Deployment,
     name: &str,
     addresses: &[String],
     callers: usize,
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY};
-use curlewcleat_standins::native::{EngineRun, NativeEngine};
+use curlewcleat_standins::fleet::{EngineRun, FleetEngine};
 
 use crate::callers::{body_of, CallKind, CallOutcome, CallRecord};
 
@@ -200,7 +200,7 @@
         return None;
     }
     let expected = match case.record.kind.is_stream() {
-        true => NativeEngine::expected_stream(attempt, events),
+        true => FleetEngine::expected_stream(attempt, events),
         false => format!("record of {attempt}"),
     };
     let right = match whole {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use curlewcleat_standins::native::{EngineStep, StoreOutage};
+use curlewcleat_standins::fleet::{EngineStep, StoreOutage};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -11,11 +11,11 @@
 use curlewcleat_platform::format::{Config, Server};
 use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, DRAINING, READY, SERVERS};
 use curlewcleat_standins::address::free_address;
-use curlewcleat_standins::fleet::{
-    get_text, program_folder, spawn, wait_listening, wait_until, FleetProcess,
+use curlewcleat_standins::deployment::{
+    get_text, program_folder, spawn, wait_listening, wait_until, ChildProcess,
 };
+use curlewcleat_standins::fleet::{EngineStep, FleetEngine, FleetStore};
 use curlewcleat_standins::http::{serve, PlainHandler};
-use curlewcleat_standins::native::{EngineStep, NativeEngine, NativeStore};
 use serde_json::to_value;
 
 use crate::callers::SoakCallers;
@@ -72,7 +72,7 @@
 }
 
 struct EngineSlot {
-    engine: Rc<NativeEngine>,
+    engine: Rc<FleetEngine>,
     backend: &'static str,
     address: String,
 }
@@ -84,7 +84,7 @@
     peer_link: FaultyLink,
     store_link: FaultyLink,
     settings: PathBuf,
-    process: RefCell<FleetProcess>,
+    process: RefCell<ChildProcess>,
     /// Whether a fault has its hands on the process.
     taken: Cell<bool>,
 }
@@ -92,11 +92,11 @@
 struct SoakWorld {
     options: SoakOptions,
     programs: PathBuf,
-    store: Rc<NativeStore>,
+    store: Rc<FleetStore>,
     config: RefCell<Config>,
     engines: RefCell<Vec<EngineSlot>>,
     /// Engines that left; they still note what reaches them.
-    left: RefCell<Vec<Rc<NativeEngine>>>,
+    left: RefCell<Vec<Rc<FleetEngine>>>,
     started: Cell<usize>,
     daemons: Vec<DaemonSlot>,
     evidence: RefCell<SoakEvidence>,
@@ -160,7 +160,7 @@
 
     async fn start(options: SoakOptions) -> Result<SoakWorld> {
         std::fs::create_dir_all(&options.folder).context("soak: folder")?;
-        let store = NativeStore::new();
+        let store = FleetStore::new();
         let store_address = free_address()?;
         let handler: Rc<dyn PlainHandler> = store.clone();
         let bound = store_address.clone();
@@ -248,7 +248,7 @@
         Ok(())
     }
 
-    fn spawn(&self, name: &str, callers: &str, settings: &Path) -> Result<FleetProcess> {
+    fn spawn(&self, name: &str, callers: &str, settings: &Path) -> Result<ChildProcess> {
         let program = self.programs.join("curlewcleatd");
         let settings = settings.display().to_string();
         spawn(&program, "", callers, &self.options.folder, name, &["--settings", &settings])
@@ -278,7 +278,7 @@
         let address = free_address()?;
         let number = self.started.get();
         self.started.set(number + 1);
-        let engine = NativeEngine::new(&format!("i-{number}"), EVENTS, PACE);
+        let engine = FleetEngine::new(&format!("i-{number}"), EVENTS, PACE);
         let handler: Rc<dyn PlainHandler> = engine.clone();
         let bound = address.clone();
         actix_rt::spawn(async move { serve(&bound, handler).await });
@@ -300,7 +300,7 @@
     }
 
     /// What reached each engine.
-    fn runs(&self) -> Vec<(String, curlewcleat_standins::native::EngineRun)> {
+    fn runs(&self) -> Vec<(String, curlewcleat_standins::fleet::EngineRun)> {
         let present = self.engines.borrow();
         let left = self.left.borrow();
         let engines = present.iter().map(|slot| &slot.engine).chain(left.iter());
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -6,7 +6,7 @@
     judge, plan, run_soak, CallKind, CallOutcome, CallRecord, FaultStep, KeyLoss, LinkFault,
     PlanOptions, SoakEvidence, SoakFault, SoakOptions,
 };
-use curlewcleat_standins::native::EngineRun;
+use curlewcleat_standins::fleet::EngineRun;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/standins/src/address.rs
+++ b/crates/standins/src/address.rs
@@ -26,7 +26,7 @@
             return Ok(address);
         }
     }
-    bail!("fleet: no free port from {base} on")
+    bail!("deployment: no free port from {base} on")
 }
 
 /// Keeps probes and starts of processes apart.
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/standins/src/bin/demo.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result};
 use clap::Parser;
-use curlewcleat_standins::fleet::Fleet;
+use curlewcleat_standins::deployment::Deployment;
 use curlewcleat_standins::load::{report, LoadPlan, LoadStream};
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 
@@ -45,7 +45,7 @@
 
 async fn run(arguments: &Arguments, user: &ExampleUser) -> Result<bool> {
     println!("== {} (seed {})", user.folder, arguments.seed);
-    let mut fleet = Fleet::start(&format!("demo-{}", user.folder)).await?;
+    let mut fleet = Deployment::start(&format!("demo-{}", user.folder)).await?;
     for _ in &user.engines {
         fleet.target("engine", &["--prompt-token-us", "150", "--output-token-us", "12000"]).await?;
     }
@@ -86,7 +86,7 @@
 }
 
 /// Applies the user's files with the stand-ins in place of its targets.
-fn apply_example(arguments: &Arguments, user: &ExampleUser, fleet: &Fleet) -> Result<()> {
+fn apply_example(arguments: &Arguments, user: &ExampleUser, fleet: &Deployment) -> Result<()> {
     let folder = Path::new(&arguments.examples).join(user.folder);
     let mut targets = String::new();
     for (index, (id, pool, vm)) in user.engines.iter().chain(&user.services).enumerate() {
--- /dev/null
+++ b/crates/standins/src/deployment.rs
@@ -0,0 +1,439 @@
+//! Processes of a test or of the demo: stand-ins and daemons on loopback, ended when dropped.
+
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::time::{Duration, Instant};
+
+use anyhow::{anyhow, bail, Context, Result};
+use awc::Client;
+use serde_json::Value;
+
+use crate::address::{alone, free_address};
+use crate::relay::PeerRelay;
+
+/// Time for which a state is waited for.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Time between looks.
+const LOOK_EVERY: Duration = Duration::from_millis(20);
+
+static NEXT_DEPLOYMENT: AtomicU16 = AtomicU16::new(0);
+
+/// A process, killed when dropped.
+pub struct ChildProcess {
+    /// Name for messages.
+    pub name: String,
+    /// Where it serves its main purpose.
+    pub address: String,
+    child: Child,
+}
+
+impl ChildProcess {
+    /// Process id.
+    pub fn id(&self) -> u32 {
+        self.child.id()
+    }
+
+    /// Sends a signal by name, such as `TERM` or `STOP`.
+    pub fn signal(&self, name: &str) -> Result<()> {
+        let status =
+            Command::new("kill").args([format!("-{name}"), self.id().to_string()]).status()?;
+        if !status.success() {
+            bail!("deployment: kill -{name} {} failed", self.name);
+        }
+        Ok(())
+    }
+
+    /// Ends the process at once and waits for its end.
+    pub fn kill(&mut self) {
+        // A process that has ended already is what is wanted.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+
+    /// Whether the process has ended; its exit code if so.
+    pub fn ended(&mut self) -> Option<i32> {
+        self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
+    }
+}
+
+impl Drop for ChildProcess {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+/// A daemon with its addresses.
+pub struct DeployedDaemon {
+    /// Its process.
+    pub process: ChildProcess,
+    /// VM name.
+    pub vm: String,
+    /// For callers.
+    pub callers: String,
+    /// For operators.
+    pub operators: String,
+    /// For peers.
+    pub peers: String,
+    settings: PathBuf,
+}
+
+/// All processes of one test.
+pub struct Deployment {
+    /// Folder of the built programs.
+    programs: PathBuf,
+    /// Folder for settings and logs.
+    folder: PathBuf,
+    /// The platform.
+    pub platform: ChildProcess,
+    /// Engines and services.
+    pub targets: Vec<ChildProcess>,
+    /// Daemons.
+    pub daemons: Vec<DeployedDaemon>,
+    /// Lines added to each daemon's settings.
+    pub extra_settings: String,
+    /// Lines added to the callers' section of each daemon's settings.
+    pub caller_settings: String,
+    /// Relays before the peer addresses of the daemons, where [`Deployment::relayed`] asked for them.
+    pub relays: Vec<PeerRelay>,
+    relayed: bool,
+}
+
+impl Deployment {
+    /// Starts a platform.
+    pub async fn start(name: &str) -> Result<Deployment> {
+        let programs = program_folder()?;
+        let count = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
+        let folder = format!("curlewcleat-{name}-{}-{count}", std::process::id());
+        let folder = std::env::temp_dir().join(folder);
+        std::fs::create_dir_all(&folder)?;
+        let address = free_address()?;
+        let options = ["--address", &address, "--list-lag-ms", "300"];
+        let platform =
+            spawn(&programs.join("standin"), "platform", &address, &folder, "platform", &options)?;
+        let fleet = Deployment {
+            programs,
+            folder,
+            platform,
+            targets: Vec::new(),
+            daemons: Vec::new(),
+            extra_settings: String::new(),
+            caller_settings: String::new(),
+            relays: Vec::new(),
+            relayed: false,
+        };
+        wait_listening(&address).await?;
+        Ok(fleet)
+    }
+
+    /// Puts a relay before the peer address of each daemon that is started from now on.
+    pub fn relayed(&mut self) {
+        self.relayed = true;
+    }
+
+    /// Starts an engine or service with further options; gives its index.
+    pub async fn target(&mut self, kind: &str, options: &[&str]) -> Result<usize> {
+        let address = free_address()?;
+        let name = format!("{kind}-{}", self.targets.len());
+        let mut all = vec!["--address", address.as_str()];
+        all.extend(options);
+        let target =
+            spawn(&self.programs.join("standin"), kind, &address, &self.folder, &name, &all)?;
+        wait_listening(&address).await?;
+        self.targets.push(target);
+        Ok(self.targets.len() - 1)
+    }
+
+    /// Starts daemons that know each other as seeds.
+    pub async fn daemons(&mut self, count: usize) -> Result<()> {
+        let mut addresses = Vec::new();
+        for _ in 0..count {
+            addresses.push((free_address()?, free_address()?, free_address()?));
+        }
+        if self.relayed {
+            for (_, _, peers) in &addresses {
+                self.relays.push(PeerRelay::start(peers).await?);
+            }
+        }
+        let known = self.daemons.iter().map(|daemon| daemon.peers.clone());
+        let mut seeds: Vec<String> =
+            known.chain(addresses.iter().map(|all| all.2.clone())).collect();
+        if self.relayed {
+            seeds = self.relays.iter().map(|relay| relay.address.clone()).collect();
+        }
+        for (callers, operators, peers) in addresses {
+            let vm = format!("entry-{}", self.daemons.len());
+            let settings = self.write_settings(&vm, &callers, &operators, &peers, &seeds)?;
+            let process = self.spawn_daemon(&vm, &callers, &settings)?;
+            self.daemons.push(DeployedDaemon { process, vm, callers, operators, peers, settings });
+        }
+        for daemon in &self.daemons {
+            wait_listening(&daemon.operators).await?;
+        }
+        Ok(())
+    }
+
+    /// Starts a daemon again on the same VM and addresses after its end.
+    pub async fn restart(&mut self, index: usize) -> Result<()> {
+        self.daemons[index].process.kill();
+        let daemon = &self.daemons[index];
+        let process = self.spawn_daemon(&daemon.vm, &daemon.callers, &daemon.settings)?;
+        self.daemons[index].process = process;
+        wait_listening(&self.daemons[index].operators).await
+    }
+
+    /// Runs the operators' tool; gives its exit code and what it printed.
+    pub fn tool(&self, arguments: &[&str]) -> Result<(i32, String)> {
+        let output = self.start_tool(arguments)?.wait_with_output()?;
+        let mut text = String::from_utf8_lossy(&output.stdout).to_string();
+        text.push_str(&String::from_utf8_lossy(&output.stderr));
+        Ok((output.status.code().unwrap_or(-1), text))
+    }
+
+    /// Starts the operators' tool without waiting for its end.
+    pub fn start_tool(&self, arguments: &[&str]) -> Result<Child> {
+        let daemons: Vec<&str> =
+            self.daemons.iter().map(|daemon| daemon.operators.as_str()).collect();
+        let mut command = Command::new(self.programs.join("curlewcleat"));
+        command.args(["--platform", &self.platform.address]);
+        if !daemons.is_empty() {
+            command.args(["--daemons", &daemons.join(",")]);
+        }
+        command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
+        let _alone = alone();
+        command.spawn().context("deployment: run the tool")
+    }
+
+    /// Runs the daemon's program to its end; gives its exit code and what it printed.
+    pub fn daemon_program(&self, arguments: &[&str]) -> Result<(i32, String)> {
+        let mut command = Command::new(self.programs.join("curlewcleatd"));
+        command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
+        let child = {
+            let _alone = alone();
+            command.spawn().context("deployment: run the daemon")?
+        };
+        let output = child.wait_with_output()?;
+        let mut text = String::from_utf8_lossy(&output.stdout).to_string();
+        text.push_str(&String::from_utf8_lossy(&output.stderr));
+        Ok((output.status.code().unwrap_or(-1), text))
+    }
+
+    /// Writes a file into the fleet's folder.
+    pub fn write_file(&self, name: &str, text: &str) -> Result<String> {
+        let path = self.folder.join(name);
+        std::fs::write(&path, text)?;
+        Ok(path.display().to_string())
+    }
+
+    /// Applies a configuration text and waits until all daemons have it in force.
+    pub fn apply(&self, name: &str, text: &str) -> Result<()> {
+        let path = self.write_file(name, text)?;
+        let (code, output) = self.tool(&["apply", &path, "--wait", "--wait-seconds", "20"])?;
+        if code != 0 {
+            bail!("deployment: apply ended with {code}: {output}");
+        }
+        Ok(())
+    }
+
+    /// Sets the fault switches of a stand-in.
+    pub async fn fault(&self, address: &str, faults: Value) -> Result<()> {
+        post(address, "/_fault", &faults).await
+    }
+
+    /// Sets the platform's list of VMs.
+    pub async fn list_vms(&self, live: &[&str], leaving: &[&str]) -> Result<()> {
+        let line = |vm: &&str, state: &str| serde_json::json!({"vm": vm, "data_centre": "dc", "state": state});
+        let lines: Vec<Value> = live
+            .iter()
+            .map(|vm| line(vm, "live"))
+            .chain(leaving.iter().map(|vm| line(vm, "leaving")))
+            .collect();
+        let url = format!("http://{}/_vms", self.platform.address);
+        let call = Client::default().put(url).send_json(&lines).await;
+        call.map_err(|error| anyhow!("deployment: list of VMs: {error}"))?;
+        Ok(())
+    }
+
+    /// Waits until the key table is known to all daemons.
+    pub async fn key_table_ready(&self) -> Result<()> {
+        for daemon in &self.daemons {
+            wait_status(&daemon.operators, "the key table", |status| {
+                status["key_table"].as_u64() > Some(0)
+            })
+            .await?;
+        }
+        Ok(())
+    }
+
+    /// Waits until each daemon sees so many live peers.
+    pub async fn peers_ready(&self, peers: usize) -> Result<()> {
+        for daemon in &self.daemons {
+            wait_status(&daemon.operators, "its peers", |status| live_peers(status) >= peers)
+                .await?;
+        }
+        Ok(())
+    }
+
+    fn spawn_daemon(&self, vm: &str, callers: &str, settings: &Path) -> Result<ChildProcess> {
+        let settings = settings.display().to_string();
+        let options = ["--settings", settings.as_str()];
+        spawn(&self.programs.join("curlewcleatd"), "", callers, &self.folder, vm, &options)
+    }
+
+    fn write_settings(
+        &self,
+        vm: &str,
+        callers: &str,
+        operators: &str,
+        peers: &str,
+        seeds: &[String],
+    ) -> Result<PathBuf> {
+        let relay = self.relays.get(self.daemons.len());
+        let advertised = relay
+            .map_or(String::new(), |relay| format!("advertised_address = {}\n", relay.address));
+        let text = format!(
+            "[vm]\nname = {vm}\ndata_centre = dc\n\n[callers]\naddress = {callers}\ndrain_grace = 300ms\n{}\n\
+             [operators]\naddress = {operators}\n\n[peers]\naddress = {peers}\nseeds = {}\nbeat = 100ms\n\
+             suspect_after = 1s\n{advertised}\n[platform]\naddress = {}\ncall_limit = 2s\n\n{}",
+            self.caller_settings,
+            seeds.join(", "),
+            self.platform.address,
+            self.extra_settings
+        );
+        let path = self.folder.join(format!("{vm}.ini"));
+        std::fs::write(&path, text)?;
+        Ok(path)
+    }
+}
+
+impl Drop for Deployment {
+    fn drop(&mut self) {
+        if std::env::var_os("CURLEWCLEAT_KEEP_LOGS").is_none() {
+            // A folder that stays behind in the temporary files does no harm.
+            let _ = std::fs::remove_dir_all(&self.folder);
+        }
+    }
+}
+
+/// Live peers in a status.
+pub fn live_peers(status: &Value) -> usize {
+    status["peers"]
+        .as_array()
+        .map_or(0, |peers| peers.iter().filter(|peer| peer["live"] == true).count())
+}
+
+/// The status of a daemon.
+pub async fn status(operators: &str) -> Result<Value> {
+    get_json(operators, "/status").await
+}
+
+/// Waits until a daemon's status fits.
+pub async fn wait_status(
+    operators: &str,
+    what: &str,
+    fits: impl Fn(&Value) -> bool,
+) -> Result<Value> {
+    let begun = Instant::now();
+    loop {
+        if let Ok(status) = status(operators).await {
+            if fits(&status) {
+                return Ok(status);
+            }
+        }
+        if begun.elapsed() > WAIT_LIMIT {
+            bail!("deployment: daemon at {operators} did not reach {what} within {WAIT_LIMIT:?}");
+        }
+        tokio::time::sleep(LOOK_EVERY).await;
+    }
+}
+
+/// Waits until a condition holds.
+pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F) -> Result<()>
+where
+    F: std::future::Future<Output = bool>,
+{
+    let begun = Instant::now();
+    while !holds().await {
+        if begun.elapsed() > WAIT_LIMIT {
+            bail!("deployment: not within {WAIT_LIMIT:?}: {what}");
+        }
+        tokio::time::sleep(LOOK_EVERY).await;
+    }
+    Ok(())
+}
+
+/// Reads JSON from a stand-in or daemon.
+pub async fn get_json(address: &str, path: &str) -> Result<Value> {
+    let body = get(address, path).await?;
+    serde_json::from_slice(&body).with_context(|| format!("deployment: {address}{path}"))
+}
+
+/// Reads a text from a daemon.
+pub async fn get_text(address: &str, path: &str) -> Result<String> {
+    Ok(String::from_utf8_lossy(&get(address, path).await?).to_string())
+}
+
+async fn get(address: &str, path: &str) -> Result<Vec<u8>> {
+    let failed = |error: &dyn std::fmt::Display| anyhow!("deployment: {address}{path}: {error}");
+    let call = Client::default().get(format!("http://{address}{path}")).send().await;
+    let mut response = call.map_err(|error| failed(&error))?;
+    let body = response.body().limit(64 << 20).await.map_err(|error| failed(&error))?;
+    Ok(body.to_vec())
+}
+
+async fn post(address: &str, path: &str, value: &Value) -> Result<()> {
+    let call = Client::default().post(format!("http://{address}{path}")).send_json(value).await;
+    call.map_err(|error| anyhow!("deployment: {address}{path}: {error}"))?;
+    Ok(())
+}
+
+/// Folder in which the programs were built, beside the running one.
+///
+/// # Errors
+/// Where the daemon is not built.
+pub fn program_folder() -> Result<PathBuf> {
+    let own = std::env::current_exe()?;
+    let folders = own.ancestors().skip(1);
+    let found = folders.map(Path::to_path_buf).find(|folder| folder.join("curlewcleatd").is_file());
+    found.ok_or_else(|| {
+        anyhow!("deployment: curlewcleatd is not built; run `cargo build --workspace` first")
+    })
+}
+
+/// Starts a process whose output goes into a log file.
+///
+/// # Errors
+/// Where it cannot be started.
+pub fn spawn(
+    program: &Path,
+    kind: &str,
+    address: &str,
+    folder: &Path,
+    name: &str,
+    options: &[&str],
+) -> Result<ChildProcess> {
+    let log = std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(folder.join(format!("{name}.log")))?;
+    let mut command = Command::new(program);
+    if !kind.is_empty() {
+        command.arg(kind);
+    }
+    let command = command.args(options).stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
+    let _alone = alone();
+    let child =
+        command.spawn().with_context(|| format!("deployment: start {}", program.display()))?;
+    Ok(ChildProcess { name: name.to_string(), address: address.to_string(), child })
+}
+
+/// Waits until somebody listens at an address.
+///
+/// # Errors
+/// Where nobody does in time.
+pub async fn wait_listening(address: &str) -> Result<()> {
+    wait_until(&format!("{address} listens"), || async move {
+        tokio::net::TcpStream::connect(address).await.is_ok()
+    })
+    .await
+}
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -4,15 +4,15 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use anyhow::Result;
 use curlewcleat_core::{CacheEviction, TargetReport};
-use serde::{Deserialize, Serialize};
-use tokio::sync::Semaphore;
+use serde::Deserialize;
 
-use crate::http::{AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest};
-use crate::ledger::{token_event, LedgerEntry, RunLedger, END_EVENT};
+use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
+use crate::ledger::{token_event, END_EVENT};
+use crate::target::TargetBase;
 
 /// Characters of a prompt that count as one token.
 pub const CHARS_PER_TOKEN: usize = 4;
@@ -42,43 +42,6 @@
     pub prefixes: usize,
 }
 
-/// Fault switches of a target; all off by default.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct TargetFaults {
-    /// Times are multiplied by this, 0 counts as 1.
-    pub slow_factor: u64,
-    /// Answers this many requests with "not started" status 503.
-    pub not_started: u64,
-    /// Reads this many requests, runs them and closes without an answer.
-    pub close_after_read: u64,
-    /// Closes this many pooled connections under a written request without running it.
-    pub close_pooled: u64,
-    /// Cuts this many answers after `cut_bytes`.
-    pub cuts: u64,
-    /// Bytes after which an answer is cut.
-    pub cut_bytes: u64,
-    /// Stalls this many answers before their first byte for as long as the connection lives.
-    pub stalls: u64,
-    /// Writes this many answers twice.
-    pub doubles: u64,
-    /// Answers this many requests with a redirect to the same path.
-    pub redirects: u64,
-    /// Reports of load come this many milliseconds late.
-    pub report_lag_ms: u64,
-    /// Delays each answer by this many milliseconds.
-    pub delay_ms: u64,
-}
-
-impl TargetFaults {
-    /// Uses one occasion of a counted fault up.
-    pub fn use_up(counter: &mut u64) -> bool {
-        let left = *counter > 0;
-        *counter = counter.saturating_sub(1);
-        left
-    }
-}
-
 #[derive(Deserialize)]
 struct GenerateBody {
     prompt: String,
@@ -95,31 +58,25 @@
 /// A running engine.
 pub struct EngineStandIn {
     options: EngineOptions,
-    faults: RefCell<TargetFaults>,
-    ledger: RunLedger,
-    slots: Semaphore,
+    base: TargetBase,
     prefixes: RefCell<VecDeque<String>>,
     streams: RefCell<BTreeMap<String, KeptStream>>,
     running: Cell<usize>,
     evictions: RefCell<VecDeque<CacheEviction>>,
     evicted: Cell<u64>,
-    born: Instant,
 }
 
 impl EngineStandIn {
     /// An idle engine.
     pub fn new(options: EngineOptions) -> Rc<EngineStandIn> {
         Rc::new(EngineStandIn {
-            slots: Semaphore::new(options.slots),
+            base: TargetBase::new(options.slots),
             options,
-            faults: RefCell::default(),
-            ledger: RunLedger::default(),
             prefixes: RefCell::default(),
             streams: RefCell::default(),
             running: Cell::new(0),
             evictions: RefCell::default(),
             evicted: Cell::new(0),
-            born: Instant::now(),
         })
     }
 
@@ -128,14 +85,12 @@
         request: PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
+        if self.base.administer(&request, connection).await? {
+            return Ok(AfterAnswer::KeepOpen);
+        }
         match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/_ledger") => connection.answer_json(200, &self.ledger.entries()).await?,
-            ("POST", "/_fault") => {
-                *self.faults.borrow_mut() = serde_json::from_slice(&request.body)?;
-                connection.answer(200, &[], b"").await?;
-            }
             ("GET", "/load") => {
-                let lag = Duration::from_millis(self.faults.borrow().report_lag_ms);
+                let lag = Duration::from_millis(self.base.faults().report_lag_ms);
                 let report = TargetReport {
                     running: self.running.get() as u32,
                     evictions: self.evictions.borrow().iter().copied().collect(),
@@ -161,35 +116,24 @@
             connection.answer(400, &[], b"bad body").await?;
             return Ok(AfterAnswer::KeepOpen);
         };
-        let mut faults = self.faults.borrow().clone();
-        if TargetFaults::use_up(&mut self.faults.borrow_mut().not_started) {
-            connection.answer(503, &[], b"not started").await?;
-            return Ok(AfterAnswer::KeepOpen);
-        }
-        if TargetFaults::use_up(&mut self.faults.borrow_mut().close_pooled) {
-            return Ok(AfterAnswer::Close);
+        let mut faults = self.base.faults();
+        if let Some(declined) = self.base.decline(&request, connection).await? {
+            return Ok(declined);
         }
-        let _slot = self.slots.acquire().await?;
+        let _slot = self.base.slots.acquire().await?;
         let _running = RunningGuard::new(&self.running);
         let prompt_tokens = (body.prompt.len() / CHARS_PER_TOKEN) as u64;
         let prefill = prompt_tokens - self.cached_tokens(&body.prompt);
-        let entry = LedgerEntry {
-            nonce: body.nonce.clone(),
-            request: request.header("x-request-id").to_string(),
-            started_ms: self.born.elapsed().as_millis() as u64,
-            prefill,
-            whole: false,
-        };
-        let place = self.ledger.begin(entry);
-        if TargetFaults::use_up(&mut self.faults.borrow_mut().close_after_read) {
+        let place = self.base.begin(&body.nonce, &request, prefill);
+        if self.base.strikes(|faults| &mut faults.close_after_read) {
             return Ok(AfterAnswer::Close);
         }
         self.pause(prefill * self.options.prompt_token_us + faults.delay_ms * 1_000).await;
-        if TargetFaults::use_up(&mut self.faults.borrow_mut().stalls) {
+        if self.base.strikes(|faults| &mut faults.stalls) {
             connection.closed().await;
             return Ok(AfterAnswer::Close);
         }
-        if !TargetFaults::use_up(&mut self.faults.borrow_mut().cuts) {
+        if !self.base.strikes(|faults| &mut faults.cuts) {
             faults.cut_bytes = 0;
         }
         let stream_id = uuid::Uuid::new_v4().to_string();
@@ -200,7 +144,7 @@
         if !self.stream(&kept, 0, faults.cut_bytes, connection).await? {
             return Ok(AfterAnswer::Close);
         }
-        self.ledger.complete(place);
+        self.base.ledger.complete(place);
         Ok(AfterAnswer::KeepOpen)
     }
 
@@ -301,20 +245,12 @@
         if micros == 0 {
             return;
         }
-        let factor = self.faults.borrow().slow_factor.max(1);
+        let factor = self.base.faults().slow_factor.max(1);
         tokio::time::sleep(Duration::from_micros(micros * factor)).await;
     }
 }
 
-impl PlainHandler for EngineStandIn {
-    fn handle<'a>(
-        &'a self,
-        request: PlainRequest,
-        connection: &'a mut PlainConnection,
-    ) -> HandlerFuture<'a> {
-        Box::pin(self.route(request, connection))
-    }
-}
+handle_by_route!(EngineStandIn);
 
 struct RunningGuard<'a>(&'a Cell<usize>);
 
--- a/crates/standins/src/native/fleet.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -10,15 +10,15 @@
 use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, READY, SERVERS};
 use serde_json::to_value;
 
-use super::{NativeEngine, NativeStore};
+use super::{FleetEngine, FleetStore};
 use crate::address::free_address;
-use crate::fleet::{program_folder, spawn, wait_listening, FleetProcess};
+use crate::deployment::{program_folder, spawn, wait_listening, ChildProcess};
 use crate::http;
 
 /// A daemon of a test.
-pub struct NativeDaemon {
+pub struct FleetDaemon {
     /// Its process.
-    pub process: FleetProcess,
+    pub process: ChildProcess,
     /// Where callers reach it.
     pub callers: String,
     /// Where operators and the balancer reach it.
@@ -28,34 +28,34 @@
 }
 
 /// Store, engines and daemons.
-pub struct NativeFleet {
+pub struct FleetDeployment {
     /// The store.
-    pub store: Rc<NativeStore>,
+    pub store: Rc<FleetStore>,
     /// The engines.
-    pub engines: Vec<Rc<NativeEngine>>,
+    pub engines: Vec<Rc<FleetEngine>>,
     /// Their addresses.
     pub engine_addresses: Vec<String>,
     /// The daemons.
-    pub daemons: Vec<NativeDaemon>,
+    pub daemons: Vec<FleetDaemon>,
     /// The configuration that was stored last.
     pub config: Config,
     store_address: String,
     folder: PathBuf,
 }
 
-impl NativeFleet {
+impl FleetDeployment {
     /// A store with the small configuration.
-    pub async fn start(name: &str) -> Result<NativeFleet> {
-        let store = NativeStore::new();
+    pub async fn start(name: &str) -> Result<FleetDeployment> {
+        let store = FleetStore::new();
         let store_address = free_address()?;
         let folder =
-            std::env::temp_dir().join(format!("curlewcleat-native-{name}-{}", std::process::id()));
+            std::env::temp_dir().join(format!("curlewcleat-fleet-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let address = store_address.clone();
         let handler: Rc<dyn http::PlainHandler> = store.clone();
         actix_rt::spawn(async move { http::serve(&address, handler).await });
         wait_listening(&store_address).await?;
-        let fleet = NativeFleet {
+        let fleet = FleetDeployment {
             store,
             engines: Vec::new(),
             engine_addresses: Vec::new(),
@@ -77,7 +77,7 @@
     /// Starts an engine and announces it.
     pub async fn engine(&mut self, backend: &str, events: u64, pace: Duration) -> Result<()> {
         let address = free_address()?;
-        let engine = NativeEngine::new(&format!("i-{}", self.engines.len()), events, pace);
+        let engine = FleetEngine::new(&format!("i-{}", self.engines.len()), events, pace);
         let handler: Rc<dyn http::PlainHandler> = engine.clone();
         let bound = address.clone();
         actix_rt::spawn(async move { http::serve(&bound, handler).await });
@@ -118,7 +118,7 @@
             let settings = self.folder.join(format!("vm-{index}.ini"));
             std::fs::write(&settings, text)?;
             let process = self.spawn(&format!("vm-{index}"), &callers, &settings)?;
-            self.daemons.push(NativeDaemon { process, callers, operators, settings });
+            self.daemons.push(FleetDaemon { process, callers, operators, settings });
         }
         for daemon in &self.daemons {
             wait_listening(&daemon.operators).await?;
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    fn spawn(&self, name: &str, callers: &str, settings: &std::path::Path) -> Result<FleetProcess> {
+    fn spawn(&self, name: &str, callers: &str, settings: &std::path::Path) -> Result<ChildProcess> {
         let program = program_folder()?.join("curlewcleatd");
         let settings = settings.display().to_string();
         spawn(&program, "", callers, &self.folder, name, &["--settings", &settings])
--- a/crates/standins/src/native/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -7,7 +7,7 @@
 
 use curlewcleat_platform::names::{SEAL, WIRE_PROFILE};
 
-use crate::http::{AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest};
+use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
 /// What an engine does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 }
 
 /// An engine in this process.
-pub struct NativeEngine {
+pub struct FleetEngine {
     /// Name of this start of the engine.
     pub id: String,
     /// Events of a stream.
@@ -70,10 +70,10 @@
     runs: RefCell<Vec<EngineRun>>,
 }
 
-impl NativeEngine {
+impl FleetEngine {
     /// An engine that serves.
-    pub fn new(id: &str, events: u64, pace: Duration) -> Rc<NativeEngine> {
-        Rc::new(NativeEngine {
+    pub fn new(id: &str, events: u64, pace: Duration) -> Rc<FleetEngine> {
+        Rc::new(FleetEngine {
             id: id.to_string(),
             events,
             pace,
@@ -103,7 +103,7 @@
         (1..=events).map(|number| event(attempt, number)).collect()
     }
 
-    async fn answer(
+    async fn route(
         &self,
         request: PlainRequest,
         connection: &mut PlainConnection,
@@ -140,7 +140,7 @@
                     WIRE_PROFILE.attempt_id, self.id
                 );
                 let body = match streams {
-                    true => NativeEngine::expected_stream(&attempt, self.events),
+                    true => FleetEngine::expected_stream(&attempt, self.events),
                     false => record(&attempt),
                 };
                 connection.write_raw(format!("{head}{body}").as_bytes()).await?;
@@ -226,12 +226,4 @@
     format!("record of {attempt}")
 }
 
-impl PlainHandler for NativeEngine {
-    fn handle<'a>(
-        &'a self,
-        request: PlainRequest,
-        connection: &'a mut PlainConnection,
-    ) -> HandlerFuture<'a> {
-        Box::pin(self.answer(request, connection))
-    }
-}
+handle_by_route!(FleetEngine);
--- a/crates/standins/src/native/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 
-use crate::http::{AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest};
+use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
 /// Objects of one page.
 const PAGE_SIZE: usize = 3;
@@ -45,7 +45,7 @@
 
 /// A store in this process.
 #[derive(Default)]
-pub struct NativeStore {
+pub struct FleetStore {
     state: RefCell<StoreState>,
     changed: Notify,
     outage: Cell<Option<StoreOutage>>,
@@ -56,9 +56,9 @@
     hasty_watches: Cell<bool>,
 }
 
-impl NativeStore {
+impl FleetStore {
     /// An empty store.
-    pub fn new() -> Rc<NativeStore> {
+    pub fn new() -> Rc<FleetStore> {
         Rc::default()
     }
 
@@ -111,7 +111,7 @@
         state.kinds.get(kind).map(|kind| kind.keys().cloned().collect()).unwrap_or_default()
     }
 
-    async fn answer(
+    async fn route(
         &self,
         request: PlainRequest,
         connection: &mut PlainConnection,
@@ -267,12 +267,4 @@
     }
 }
 
-impl PlainHandler for NativeStore {
-    fn handle<'a>(
-        &'a self,
-        request: PlainRequest,
-        connection: &'a mut PlainConnection,
-    ) -> HandlerFuture<'a> {
-        Box::pin(self.answer(request, connection))
-    }
-}
+handle_by_route!(FleetStore);
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -117,6 +117,23 @@
     ) -> HandlerFuture<'a>;
 }
 
+/// Implements [`PlainHandler`] by a method `route(&self, request, connection)` of the type.
+macro_rules! handle_by_route {
+    ($handler:ty) => {
+        impl $crate::http::PlainHandler for $handler {
+            fn handle<'a>(
+                &'a self,
+                request: $crate::http::PlainRequest,
+                connection: &'a mut $crate::http::PlainConnection,
+            ) -> $crate::http::HandlerFuture<'a> {
+                Box::pin(self.route(request, connection))
+            }
+        }
+    };
+}
+
+pub(crate) use handle_by_route;
+
 /// Serves until the process ends.
 ///
 /// # Errors
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -3,13 +3,14 @@
 
 pub mod address;
 pub mod callers;
+pub mod deployment;
 pub mod engine;
 pub mod fleet;
 pub mod http;
 pub mod ledger;
 pub mod load;
-pub mod native;
 pub mod platform;
 pub mod relay;
 pub mod service;
+pub mod target;
 pub mod verdicts;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::http::{AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest};
+use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
 /// Largest value.
 const VALUE_LIMIT: usize = 1_000_000;
@@ -306,12 +306,4 @@
     }
 }
 
-impl PlainHandler for PlatformStandIn {
-    fn handle<'a>(
-        &'a self,
-        request: PlainRequest,
-        connection: &'a mut PlainConnection,
-    ) -> HandlerFuture<'a> {
-        Box::pin(self.route(request, connection))
-    }
-}
+handle_by_route!(PlatformStandIn);
--- a/crates/standins/src/verdicts.rs
+++ b/crates/standins/src/verdicts.rs
@@ -5,11 +5,11 @@
 use anyhow::Result;
 
 use crate::callers::{CallerEnd, CallerRecord};
-use crate::fleet::{get_json, Fleet};
+use crate::deployment::{get_json, Deployment};
 use crate::ledger::LedgerEntry;
 
 /// Reads the ledgers of all targets that still answer.
-pub async fn ledgers(fleet: &Fleet) -> Result<Vec<LedgerEntry>> {
+pub async fn ledgers(fleet: &Deployment) -> Result<Vec<LedgerEntry>> {
     let mut entries = Vec::new();
     for target in &fleet.targets {
         if let Ok(value) = get_json(&target.address, "/_ledger").await {
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -4,7 +4,7 @@
 use awc::http::StatusCode;
 use awc::Client;
 use curlewcleat_standins::address::free_address;
-use curlewcleat_standins::fleet::{get_json, wait_until};
+use curlewcleat_standins::deployment::{get_json, wait_until};
 use curlewcleat_standins::http::serve;
 use curlewcleat_standins::platform::{PlatformOptions, PlatformStandIn};
 
