--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -44,21 +44,21 @@
 pub enum PeerMessage {
     /// Liveness and what the sender knows.
     Heartbeat(Heartbeat),
-    /// Requests for what the receiver has newer.
+    /// Asks for what the receiver has newer.
     StatePull(StatePull),
     /// The whole configuration.
     ConfigPush(ConfigBundle),
     /// The key table.
     TablePush(TablePush),
-    /// Requests a daemon that reads the platform how old its latest read is.
+    /// Asks a daemon that reads the platform how old its latest read is.
     FreshnessQuery(FreshnessQuery),
     /// The answer.
     FreshnessAnswer(FreshnessAnswer),
-    /// Requests for the targets as the platform showed them after a revision.
+    /// Asks for the targets as the platform showed them after a revision.
     TargetsPull(ObjectVersion),
     /// The answer.
     TargetsPush(TargetsPush),
-    /// Requests the scheduler of a pool for a permit.
+    /// Asks the scheduler of a pool for a permit.
     PermitRequest(PermitRequest),
     /// The scheduler's answer.
     PermitAnswer(PermitAnswer),
@@ -70,7 +70,7 @@
     ShedRequest(ShedRequest),
     /// The receiver of a raise has done so; the number is that of the round.
     ShedConfirm(PoolId, u64),
-    /// Requests the holder of a key whether a request may run.
+    /// Asks the holder of a key whether a request may run.
     KeyClaim(KeyClaim),
     /// The holder's answer.
     KeyAnswer(KeyAnswer),
@@ -107,19 +107,19 @@
     pub known: Vec<String>,
 }
 
-/// Requests how old the receiver's latest read of the platform is.
+/// Asks how old the receiver's latest read of the platform is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessQuery {
     /// Start of the asking process; an answer to an earlier one is void.
     pub incarnation: Incarnation,
-    /// When the permit request was sent, by the asker's own clock.
+    /// When the query was sent, by the asker's own clock.
     pub sent: Uptime,
 }
 
-/// What the answering daemon knew when the permit request reached it.
+/// What the answering daemon knew when the query reached it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessAnswer {
-    /// The permit request, as it was.
+    /// The query, as it was sent.
     pub query: FreshnessQuery,
     /// Age of the latest own read that showed the configuration below to be the newest, counted from
     /// its sending; `None` where the answering daemon does not read the platform.
--- a/crates/core/src/message/keys.rs
+++ b/crates/core/src/message/keys.rs
@@ -8,7 +8,7 @@
     AccountId, IdempotencyKey, KeySlot, ObjectVersion, Refusal, RequestId, Verdict, WallTime,
 };
 
-/// Requests whether a keyed request may run.
+/// Asks whether a keyed request may run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyClaim {
     /// The request that wants to run.
--- a/crates/core/src/message/permits.rs
+++ b/crates/core/src/message/permits.rs
@@ -84,7 +84,7 @@
 /// Decision of a scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// The permit request is in the queue; says that the scheduler lives.
+    /// The request is in the queue; also shows that the scheduler lives.
     Queued,
     /// Go to the target.
     Granted(TargetId),
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -122,7 +122,7 @@
         ConnectFailed => "connect_failed",
         /// The target answered that it did not start the request.
         TargetNotStarted => "target_not_started",
-        /// The scheduler did not answer the permit request for a permit in time.
+        /// The scheduler did not answer the permit request in time.
         SchedulerSilent => "scheduler_silent",
         /// The scheduler of the pool moved to another daemon.
         SchedulerMoved => "scheduler_moved",
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -2,7 +2,7 @@
 //!
 //! Every call of the platform is counted, so only the first few daemons in the order of schedulers read
 //! it. The others ask those with each heartbeat how old their latest read is. The age of a proof that comes by way of a peer
-//! counts from the sending of the permit request, less the age that the peer states: whatever time the messages
+//! counts from the sending of the query, less the age that the peer states: whatever time the messages
 //! took, the read was sent no earlier. A daemon whose peers cannot prove enough reads for itself.
 //!
 //! Owns: when the configuration was last confirmed, and by whom. Relies on: peers that state an age no younger than it is.
@@ -157,7 +157,7 @@
         self.own.map(|own| now.saturating_sub(own))
     }
 
-    /// The permit request to send now and the daemons to send it to. A daemon that reads well asks nobody.
+    /// The query to send now and the daemons to send it to; none where this daemon reads well itself.
     pub fn query<'a>(
         &self,
         now: Uptime,
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Requests a peer for what it has newer; several peers may have it, and one is asked at a time.
+    /// Asks a peer for what it has newer; several peers may have it, and one is asked at a time.
     pub(super) fn pull_state(&mut self, from: &VmId) {
         if self.last_pull.is_some_and(|last| self.now < last + PULL_PAUSE) {
             return;
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -94,7 +94,7 @@
         self.freshness.as_ref().is_some_and(|freshness| freshness.is_doubtful(self.now))
     }
 
-    /// Requests the daemons that read the platform how old their reads are.
+    /// Asks the daemons that read the platform how old their reads are.
     pub(super) fn query_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_ref() else { return };
         let (query, readers) = freshness.query(self.now, &self.options.me, &self.order);
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -13,7 +13,7 @@
 /// Chosen, not measured.
 const LOG_LENGTH: usize = 256;
 
-/// An update is older than what the view has, or does not follow on it.
+/// Whether an update follows on what the view has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewUpdate {
     /// It was taken in.
--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -210,7 +210,7 @@
     }
 }
 
-/// The refusal of a permit request that would wait too long. It is for the permit request's own sake: whatever goes after
+/// The refusal of a permit request that would wait too long. It is for its own sake: whatever goes after
 /// it waits longer still, so no tier is shed for it.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
     let advice = spread_advice(request.permit, wait, request.time_left);
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -42,12 +42,12 @@
 }
 
 impl PoolThroughput {
-    /// A permit request with this work was taken in.
+    /// A request with this work was taken in.
     pub fn arrived(&mut self, tier: TierRank, work: WorkMicros) {
         self.arrived.entry(tier).or_default().above += work;
     }
 
-    /// A permit request with this work got its permit; `busy` says whether others wait.
+    /// A request with this work got its permit; `busy` says whether others wait.
     pub fn granted(&mut self, work: WorkMicros, busy: bool) {
         if busy {
             self.granted.above += work;
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -1,9 +1,10 @@
 //! Does a target have room, and how fast is it? What a scheduler knows of one target.
 //!
 //! The rules: a target has room while the permits in use, and what others sent by its latest report, are
-//! fewer than its slots (less a reserve for the top tier). It is ejected after [`EJECT_AFTER`] consecutive failures//! for [`EJECT_FIRST`], doubled with each further failure up to [`EJECT_LIMIT`]; then one
-//! request at a time tries it out. Its slowness is the ratio of seen to estimated time, in an
-//! exponentially weighted mean.
+//! fewer than its slots (less a reserve for the top tier). It is ejected after [`EJECT_AFTER`] consecutive
+//! failures for [`EJECT_FIRST`], doubled with each further failure up to [`EJECT_LIMIT`]; then one request
+//! at a time tries it out. Its slowness is the ratio of seen to estimated time, in an exponentially
+//! weighted mean.
 //!
 //! Owns: slots, permits in use, ejection, beliefs. Relies on: reports that may be late or missing.
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use anyhow::Result;
+use anyhow::{Context, Result};
 use clap::Parser;
 use curlewcleat_soak::{run_soak, SoakOptions, SoakReport};
 
@@ -14,6 +14,9 @@
     /// The one seed to play, with its faults printed.
     #[arg(long)]
     seed: Option<u64>,
+    /// All seeds of `kept-seeds.txt`, which failed once.
+    #[arg(long)]
+    kept: bool,
     /// The first of several seeds.
     #[arg(long, default_value_t = 1)]
     first: u64,
@@ -42,12 +45,14 @@
 
 fn main() -> Result<ExitCode> {
     let arguments = SoakArguments::parse();
-    let (first, count) = match arguments.seed {
-        Some(seed) => (seed, 1),
-        None => (arguments.first, arguments.seeds),
+    let seeds = match arguments.seed {
+        Some(seed) => vec![seed],
+        None if arguments.kept => kept_seeds()?,
+        None => (arguments.first..arguments.first + arguments.seeds).collect(),
     };
+    let count = seeds.len();
     let mut broken = 0;
-    for seed in first..first + count {
+    for seed in seeds {
         let options = options(&arguments, seed);
         let folder = options.folder.clone();
         let report = actix_rt::System::new().block_on(run_soak(options))?;
@@ -65,6 +70,16 @@
     Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
+/// Seeds that failed once.
+fn kept_seeds() -> Result<Vec<u64>> {
+    let lines = include_str!("../kept-seeds.txt").lines().filter(|line| !line.starts_with('#'));
+    let seeds = lines.map(|line| {
+        let (seed, _) = line.split_once(':').context("kept-seeds.txt: a line without a cause")?;
+        Ok(seed.parse()?)
+    });
+    seeds.collect()
+}
+
 fn options(arguments: &SoakArguments, seed: u64) -> SoakOptions {
     let folder = arguments.folder.clone().unwrap_or_else(std::env::temp_dir);
     SoakOptions {
