--- a/crates/daemon/src/request/profile/objectives.rs
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -17,13 +17,13 @@
 use curlewcleat_core::{AdmissionRule, LatencyObjectives, TierRank};
 
 /// Objectives for which a request may wait for a target. Callers of streams soon give up after that.
-/// From days of the users' bench; its own figure was not recorded.
+/// From docs/MEASUREMENTS.md, "a wait of one objective in place of two" (not better).
 const WAIT_OBJECTIVES: u32 = 2;
 /// Part of its time for which a request may wait, in percent; a longer wait only keeps its caller from
-/// a better use of the time. From days of the users' bench; its own figure was not recorded.
+/// a better use of the time. From docs/MEASUREMENTS.md, "no wait beyond two fifths of the time".
 const WAIT_PERCENT: u32 = 40;
-/// Forecast wait above which a new request is refused at once, in percent of its objective. From days
-/// of the users' bench; its own figure was not recorded.
+/// Forecast wait above which a new request is refused at once, in percent of its objective. From
+/// docs/MEASUREMENTS.md, "refusal by forecast" and "a forecast of 35 %" (worse).
 const FORECAST_PERCENT: u32 = 60;
 /// A caller that gives less than this part of the longest time, in percent, has come back after a
 /// refusal. Chosen, not measured: callers that come back have lost at least the advised wait.
