--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -21,7 +21,7 @@
 };
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_platform::format::{Daemon, Metadata, Object};
-use curlewcleat_standins::deployment::{get_json, Deployment};
+use curlewcleat_standins::deployment::{get_json, wait_until, Deployment};
 use rstest::rstest;
 use serde_json::Value;
 use uuid::Uuid;
@@ -353,6 +353,11 @@
         key_paths(&get_json(&daemon.operators, "/status").await?, "/status", &mut paths);
     }
     fleet.list_vms(&["vm-1"], &["vm-2"]).await?;
+    // The platform shows a changed list only after a moment.
+    wait_until("the list of VMs", || async {
+        fleet.tool(&["show", "vms", "--json"]).is_ok_and(|(_, output)| output.contains("vm-2"))
+    })
+    .await?;
     for what in ["status", "config", "vms", "targets", "accounts"] {
         let (_, output) = fleet.tool(&["show", what, "--json"])?;
         let value = serde_json::from_str(&output).with_context(|| format!("{what}: {output}"))?;
