--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -265,6 +265,24 @@
     Ok(())
 }
 
+/// The wait for the first byte ends with the request's deadline here, and both limits pass at once.
+#[actix_rt::test]
+async fn silent_target_is_the_reason_however_long_it_took_to_connect() -> Result<()> {
+    let fleet = ready("silent-together", 1, 2, 0).await?;
+    let entry = &fleet.daemons[0].callers;
+    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Silent));
+    // More failures than these would eject the targets.
+    let attempts: Vec<String> = (0..8).map(|number| format!("t{number}")).collect();
+    let calls = attempts.iter().map(|attempt| async move {
+        Call::new("/once/a", attempt).header(WIRE_PROFILE.time_left, "300").send(entry).await
+    });
+    for answer in futures_util::future::try_join_all(calls).await? {
+        assert_eq!(answer.status, 504, "{}", answer.text);
+        assert!(answer.text.contains("first_byte_timeout"), "{}", answer.text);
+    }
+    Ok(())
+}
+
 #[actix_rt::test]
 async fn declined_record_runs_at_another_engine_and_says_so_if_none_takes_it() -> Result<()> {
     let fleet = ready("declined", 1, 2, 0).await?;
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -5,10 +5,13 @@
 //!
 //! [`CallerProtocol`]: super::CallerProtocol
 
+use std::time::Instant;
+
 use curlewcleat_core::{RefusalReason, RetryReason, TargetEntry};
 use curlewcleat_targets::{Error, TargetAnswer};
 use spdlog::prelude::*;
 
+use super::admitted::AdmittedRequest;
 use super::protocol::{CallerProtocol, HeadVerdict, TargetAttempt};
 
 /// How an attempt began.
@@ -32,7 +35,8 @@
     let head = protocol.target_head(&attempt);
     let options = protocol.exchange_options(request);
     let exchange = connection.exchange_with(head, attempt.caller.body.sending(), &options);
-    let mut answer = match tokio::time::timeout(limits.head, exchange).await {
+    let head_by = head_limit(protocol, request, Instant::now() + limits.head);
+    let mut answer = match tokio::time::timeout_at(head_by.into(), exchange).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return AttemptStart::Failed(exchange_failed(attempt.target, &error)),
         Err(_) => return AttemptStart::Failed(RefusalReason::FirstByteTimeout),
@@ -44,6 +48,20 @@
     }
 }
 
+/// Until when the head of the answer is waited for. Where a request is cut at its deadline, the wait
+/// ends no later: at the same instant this limit is looked at first, so that a target that says nothing
+/// is always the reason, however long it took to connect.
+fn head_limit(
+    protocol: &dyn CallerProtocol,
+    request: &AdmittedRequest,
+    head_by: Instant,
+) -> Instant {
+    match protocol.options().cuts_at_deadline {
+        true => head_by.min(request.deadline),
+        false => head_by,
+    }
+}
+
 fn exchange_failed(target: &TargetEntry, error: &Error) -> RefusalReason {
     debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
     match error {
