--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -16,13 +16,13 @@
 use std::collections::BTreeMap;
 
 use curlewcleat_core::{
-    AttemptEnd, DaemonId, KeptAnswer, KeyAnswer, KeyDecision, PermitHeld, PermitId, PoolId,
-    Refusal, RefusalReason, RequestId, RetryReason, Uptime, Verdict, VmId,
+    AttemptEnd, DaemonId, KeptAnswer, KeyAnswer, KeyDecision, PermitId, PoolId, Refusal,
+    RefusalReason, RequestId, RetryReason, Uptime, Verdict, VmId,
 };
 
 pub use self::action::EntryAction;
 pub use self::options::{EntryOptions, RequestSpec};
-use self::request::{EntryRequest, RequestPhase};
+use self::request::{EntryRequest, PermitWait, RequestPhase};
 use crate::advice::DEFAULT_ADVICE;
 use crate::election::unresponsive::UnresponsiveSchedulers;
 use crate::retry::budget::RetryBudget;
@@ -181,16 +181,14 @@
                 continue;
             };
             match &request.phase {
-                RequestPhase::Waiting { scheduler, .. } if *scheduler != best => {
+                RequestPhase::Waiting(wait) if wait.scheduler != best => {
                     actions.extend(request.return_permit(AttemptEnd::Unused));
                     actions.push(EntryAction::Count(RetryReason::SchedulerMoved));
                     actions.extend(self.request_permit(now, id, order));
                 }
                 RequestPhase::Dispatched { scheduler, target } if *scheduler != best => {
-                    let held =
-                        PermitHeld { request: request.permit_request(now), target: target.clone() };
-                    actions.push(EntryAction::HoldPermit(best.clone(), held));
                     let target = target.clone();
+                    actions.push(request.hold_permit(now, best.clone(), target.clone()));
                     self.set_phase(id, RequestPhase::Dispatched { scheduler: best, target });
                 }
                 _ => {}
@@ -223,13 +221,8 @@
                 .drop_refused(id, Refusal::not_run(RefusalReason::NoTarget, Some(DEFAULT_ADVICE)));
         };
         let request = request.permit_request(now);
-        let phase = RequestPhase::Waiting {
-            scheduler: scheduler.clone(),
-            sent: now,
-            acknowledged: false,
-            timeouts: 0,
-        };
-        self.set_phase(id, phase);
+        let wait = PermitWait::begin(scheduler.clone(), now, 0);
+        self.set_phase(id, RequestPhase::Waiting(wait));
         vec![EntryAction::RequestPermit(scheduler, request)]
     }
 
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -3,7 +3,7 @@
 //! Owns: nothing; these are methods of `EntryRequests`. Relies on: schedulers that may repeat or delay an answer.
 
 use curlewcleat_core::{
-    AttemptEnd, PermitAnswer, PermitDecision, PermitHeld, PermitId, PermitReturn, PoolId, Refusal,
+    AttemptEnd, PermitAnswer, PermitDecision, PermitId, PermitReturn, PoolId, Refusal,
     RefusalReason, RequestId, RetryReason, TargetId, Uptime, Verdict, VmId,
 };
 
@@ -72,13 +72,11 @@
 
     fn queued(&mut self, now: Uptime, from: &VmId, permit: PermitId) -> Vec<EntryAction> {
         if let Some(request) = self.requests.get_mut(&permit.request) {
-            if let RequestPhase::Waiting { scheduler, sent, acknowledged, timeouts } =
-                &mut request.phase
-            {
-                if scheduler == from && request.attempt == permit.attempt {
-                    *acknowledged = true;
-                    *timeouts = 0;
-                    *sent = now;
+            if let RequestPhase::Waiting(wait) = &mut request.phase {
+                if wait.scheduler == *from && request.attempt == permit.attempt {
+                    wait.acknowledged = true;
+                    wait.timeouts = 0;
+                    wait.sent = now;
                 }
             }
         }
@@ -103,30 +101,27 @@
         }
         match &request.phase {
             RequestPhase::Claiming { .. } => vec![unused],
-            RequestPhase::Waiting { .. } if now >= request.deadline => {
+            RequestPhase::Waiting(_) if now >= request.deadline => {
                 let mut actions = vec![unused];
                 actions.extend(self.deadline_passed(permit.request));
                 actions
             }
-            RequestPhase::Waiting { scheduler, .. } => {
+            RequestPhase::Waiting(wait) => {
                 let mut actions = Vec::new();
                 // A late grant of an earlier scheduler is good; the present one has to know of it.
-                if scheduler != from {
-                    let held =
-                        PermitHeld { request: request.permit_request(now), target: target.clone() };
-                    actions.push(EntryAction::HoldPermit(scheduler.clone(), held));
+                if wait.scheduler != *from {
+                    let present = wait.scheduler.clone();
+                    actions.push(request.hold_permit(now, present, target.clone()));
                 }
-                let phase =
-                    RequestPhase::Dispatched { scheduler: from.clone(), target: target.clone() };
+                let scheduler = from.clone();
+                let phase = RequestPhase::Dispatched { scheduler, target: target.clone() };
                 self.set_phase(permit.request, phase);
                 actions.push(EntryAction::Dispatch { permit, target });
                 actions
             }
             RequestPhase::Dispatched { target: used, .. } if *used == target => Vec::new(),
             RequestPhase::Dispatched { target: used, .. } => {
-                let held =
-                    PermitHeld { request: request.permit_request(now), target: used.clone() };
-                vec![EntryAction::HoldPermit(from.clone(), held)]
+                vec![request.hold_permit(now, from.clone(), used.clone())]
             }
         }
     }
@@ -134,7 +129,7 @@
     fn refused(&mut self, from: &VmId, permit: PermitId, refusal: Refusal) -> Vec<EntryAction> {
         let Some(request) = self.requests.get(&permit.request) else { return Vec::new() };
         let waits_there =
-            matches!(&request.phase, RequestPhase::Waiting { scheduler, .. } if scheduler == from);
+            matches!(&request.phase, RequestPhase::Waiting(wait) if wait.scheduler == *from);
         if !waits_there || request.attempt != permit.attempt {
             return Vec::new();
         }
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -3,8 +3,9 @@
 //! Owns: the phase of one request. Relies on: `EntryRequests` for the transitions.
 
 use curlewcleat_core::{
-    AttemptEnd, KeptAnswer, KeyClaim, KeyOutcome, LatencyObjectives, PermitId, PermitRequest,
-    PermitReturn, Refusal, RefusalReason, RetryReason, TargetId, Uptime, Verdict, VmId,
+    AttemptEnd, KeptAnswer, KeyClaim, KeyOutcome, LatencyObjectives, PermitHeld, PermitId,
+    PermitRequest, PermitReturn, Refusal, RefusalReason, RetryReason, TargetId, Uptime, Verdict,
+    VmId,
 };
 
 use super::action::EntryAction;
@@ -17,11 +18,30 @@
     /// Waits for the holder of its key.
     Claiming { tries: u32, sent: Uptime },
     /// Waits for a permit.
-    Waiting { scheduler: VmId, sent: Uptime, acknowledged: bool, timeouts: u32 },
+    Waiting(PermitWait),
     /// Was sent to a target.
     Dispatched { scheduler: VmId, target: TargetId },
 }
 
+/// The wait for a scheduler's answer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PermitWait {
+    pub scheduler: VmId,
+    /// When it was asked last, or answered that the request is queued.
+    pub sent: Uptime,
+    /// Whether it has answered since it was asked last.
+    pub acknowledged: bool,
+    /// Times that it did not answer within the limit, in succession.
+    pub timeouts: u32,
+}
+
+impl PermitWait {
+    /// The wait that begins when a scheduler is asked.
+    pub fn begin(scheduler: VmId, sent: Uptime, timeouts: u32) -> PermitWait {
+        PermitWait { scheduler, sent, acknowledged: false, timeouts }
+    }
+}
+
 /// A request that the entry owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EntryRequest {
@@ -106,6 +126,12 @@
         }
     }
 
+    /// Asks its scheduler once more.
+    pub fn ask_again(&mut self, now: Uptime, scheduler: VmId, timeouts: u32) -> EntryAction {
+        self.phase = RequestPhase::Waiting(PermitWait::begin(scheduler.clone(), now, timeouts));
+        EntryAction::RequestPermit(scheduler, self.permit_request(now))
+    }
+
     /// What is left of the caller's objectives. A request that was offered once is kept as long as it may
     /// wait.
     pub fn objectives(&self, now: Uptime) -> LatencyObjectives {
@@ -119,12 +145,17 @@
         LatencyObjectives { wait_limit, forecast_limit, first_part_by, ..*objectives }
     }
 
+    /// Tells a scheduler that the request uses a target.
+    pub fn hold_permit(&self, now: Uptime, scheduler: VmId, target: TargetId) -> EntryAction {
+        EntryAction::HoldPermit(scheduler, PermitHeld { request: self.permit_request(now), target })
+    }
+
     /// Gives the permit or the permit request back to its scheduler.
     pub fn return_permit(&self, end: AttemptEnd) -> Vec<EntryAction> {
         let scheduler = match &self.phase {
             RequestPhase::Claiming { .. } => return Vec::new(),
-            RequestPhase::Waiting { scheduler, .. }
-            | RequestPhase::Dispatched { scheduler, .. } => scheduler,
+            RequestPhase::Waiting(wait) => &wait.scheduler,
+            RequestPhase::Dispatched { scheduler, .. } => scheduler,
         };
         let back = PermitReturn { permit: self.permit(), pool: self.spec.pool.clone(), end };
         vec![EntryAction::ReturnPermit(scheduler.clone(), back)]
--- a/crates/sched/src/entry/timeouts.rs
+++ b/crates/sched/src/entry/timeouts.rs
@@ -14,11 +14,13 @@
 //!
 //! Owns: nothing; these are methods of `EntryRequests`. Relies on: a tick every few milliseconds.
 
+use std::time::Duration;
+
 use curlewcleat_core::{
-    AttemptEnd, Refusal, RefusalReason, RequestId, RetryReason, Uptime, Verdict, VmId,
+    AttemptEnd, Refusal, RefusalReason, RequestId, RetryReason, Uptime, Verdict,
 };
 
-use super::request::RequestPhase;
+use super::request::{PermitWait, RequestPhase};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
 use crate::advice::DEFAULT_ADVICE;
 
@@ -36,24 +38,10 @@
                 RequestPhase::Claiming { tries, sent } if now >= sent + self.options.key_limit => {
                     actions.extend(self.key_silent(now, id, tries, order));
                 }
-                RequestPhase::Waiting { sent, acknowledged, timeouts, scheduler } => {
-                    let limit = if acknowledged {
-                        self.options.refresh_every
-                    } else {
-                        self.options.answer_timeout
-                    };
-                    if now >= sent + limit {
-                        actions.extend(self.repeat_request(
-                            now,
-                            id,
-                            scheduler,
-                            acknowledged,
-                            timeouts,
-                            order,
-                        ));
-                    }
+                RequestPhase::Waiting(wait) if now >= wait.sent + self.answer_limit(&wait) => {
+                    actions.extend(self.repeat_request(now, id, wait, order));
                 }
-                RequestPhase::Claiming { .. } => {}
+                RequestPhase::Claiming { .. } | RequestPhase::Waiting(_) => {}
             }
         }
         actions
@@ -100,36 +88,30 @@
         actions
     }
 
+    /// Time after which a scheduler is asked again.
+    fn answer_limit(&self, wait: &PermitWait) -> Duration {
+        match wait.acknowledged {
+            true => self.options.refresh_every,
+            false => self.options.answer_timeout,
+        }
+    }
+
     fn repeat_request(
         &mut self,
         now: Uptime,
         id: RequestId,
-        scheduler: VmId,
-        acknowledged: bool,
-        timeouts: u32,
+        wait: PermitWait,
         order: SchedulerOrder<'_>,
     ) -> Vec<EntryAction> {
         let Some(request) = self.requests.get_mut(&id) else { return Vec::new() };
+        let PermitWait { scheduler, acknowledged, timeouts, .. } = wait;
         if acknowledged {
             // The scheduler answered last time; it is asked again so that its end is noticed.
-            request.phase = RequestPhase::Waiting {
-                scheduler: scheduler.clone(),
-                sent: now,
-                acknowledged: false,
-                timeouts: 0,
-            };
-            return vec![EntryAction::RequestPermit(scheduler, request.permit_request(now))];
+            return vec![request.ask_again(now, scheduler, 0)];
         }
         let mut actions = vec![EntryAction::Count(RetryReason::SchedulerSilent)];
         if timeouts + 1 < self.options.answer_tries {
-            let timeouts = timeouts + 1;
-            request.phase = RequestPhase::Waiting {
-                scheduler: scheduler.clone(),
-                sent: now,
-                acknowledged,
-                timeouts,
-            };
-            actions.push(EntryAction::RequestPermit(scheduler, request.permit_request(now)));
+            actions.push(request.ask_again(now, scheduler, timeouts + 1));
             return actions;
         }
         actions.extend(request.return_permit(AttemptEnd::Unused));
