--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -471,7 +471,12 @@
 
 #[test]
 fn metrics_keep_their_names() -> Result<()> {
-    let text = std::fs::read_to_string(root().join("crates/daemon/src/metrics.rs"))?;
+    let mut paths = vec![root().join("crates/daemon/src/metrics.rs")];
+    sources(&root().join("crates/daemon/src/metrics"), &mut paths)?;
+    let mut text = String::new();
+    for path in paths {
+        text += &std::fs::read_to_string(path)?;
+    }
     let names: BTreeSet<&str> = text
         .split('"')
         .skip(1)
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -2,12 +2,14 @@
 //!
 //! Owns: the rules that files have to meet. Relies on: `reader` for sections and values.
 
+mod pool;
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use curlewcleat_core::{
-    ActiveConfig, AdmissionRule, ClientAccount, Generation, PoolKind, PoolShare, RateUnit,
-    ServiceTerms, SharedRate, TargetEntry, TargetLimits, TargetPool, TierRule, TokenHash,
+    ActiveConfig, AdmissionRule, ClientAccount, Generation, PoolShare, RateUnit, ServiceTerms,
+    SharedRate, TargetEntry, TierRule, TokenHash,
 };
 
 use crate::problem::CheckReport;
@@ -139,52 +141,7 @@
 
     fn pool(&mut self, mut section: IniSection<'_>, report: &mut CheckReport) {
         let id = self.claim(&section, report);
-        let kind = pool_kind(&mut section, report);
-        let defaults = default_limits(kind);
-        let not_started_status = not_started_status(&mut section, report);
-        let engine = kind == PoolKind::Engine;
-        let pool = TargetPool {
-            id: id.clone(),
-            kind,
-            queue_limit: section.number("queue_limit", 1_000, 1..=1_000_000, report) as u32,
-            reserve_percent: section.number("reserve_percent", 0, 0..=90, report) as u32,
-            cached_prefixes: section.number("cached_prefixes", 16, 0..=100_000, report) as u32,
-            prompt_token_us: section.number(
-                "prompt_token_us",
-                if engine { 100 } else { 0 },
-                0..=1_000_000,
-                report,
-            ),
-            output_token_us: section.number(
-                "output_token_us",
-                if engine { 10_000 } else { 0 },
-                0..=1_000_000,
-                report,
-            ),
-            base_us: section.number("base_us", 5_000, 1..=600_000_000, report),
-            limits: TargetLimits {
-                connect: section.duration("connect_limit", defaults.connect, report),
-                first_byte: section.duration("first_byte_limit", defaults.first_byte, report),
-                between_bytes: section.duration(
-                    "between_bytes_limit",
-                    defaults.between_bytes,
-                    report,
-                ),
-            },
-            not_started_status,
-            end_event: section.text("end_event").filter(|text| !text.is_empty()),
-            resumable: section.flag("resumable", false, report),
-            reuse_connections: section.flag("reuse_connections", false, report),
-            connection_limit: match section.number("connection_limit", 0, 0..=1 << 20, report) {
-                0 => None,
-                limit => Some(limit as u32),
-            },
-            report_path: section.text("report_path").filter(|text| !text.is_empty()),
-            targets: BTreeMap::new(),
-        };
-        if pool.report_path.as_ref().is_some_and(|path| !path.starts_with('/')) {
-            section.fault("report_path", "should begin with /", report);
-        }
+        let pool = pool::target_pool(id.clone(), &mut section, report);
         section.finish(report);
         self.config.pools.insert(id, pool);
     }
@@ -323,39 +280,3 @@
         resumable: section.flag("resumable", false, report),
     }
 }
-
-fn default_limits(kind: PoolKind) -> TargetLimits {
-    match kind {
-        PoolKind::Engine => TargetLimits {
-            connect: Duration::from_secs(1),
-            first_byte: Duration::from_secs(60),
-            between_bytes: Duration::from_secs(20),
-        },
-        PoolKind::Service => TargetLimits {
-            connect: Duration::from_millis(500),
-            first_byte: Duration::from_secs(5),
-            between_bytes: Duration::from_secs(2),
-        },
-    }
-}
-
-fn pool_kind(section: &mut IniSection<'_>, report: &mut CheckReport) -> PoolKind {
-    match section.required("kind", report).as_str() {
-        "engine" => PoolKind::Engine,
-        "service" | "" => PoolKind::Service,
-        other => {
-            section.fault("kind", format!("'{other}' should be engine or service"), report);
-            PoolKind::Service
-        }
-    }
-}
-
-/// Status with which a target says that it did not start a request; 0 for none.
-fn not_started_status(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u16> {
-    let status = section.number("not_started_status", 0, 0..=599, report) as u16;
-    if status != 0 && status < 400 {
-        let message = format!("{status} should be a status from 400 to 599");
-        section.fault("not_started_status", message, report);
-    }
-    (status > 0).then_some(status)
-}
--- /dev/null
+++ b/crates/config/src/check/pool.rs
@@ -0,0 +1,110 @@
+//! The section of a pool.
+//!
+//! Owns: nothing; pure functions. Relies on: the section's reader, which reports what is wrong.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use curlewcleat_core::{PoolId, PoolKind, TargetLimits, TargetPool};
+
+use crate::problem::CheckReport;
+use crate::reader::IniSection;
+
+/// Work of a prompt's token on an engine, in microseconds. A default, not measured.
+const PROMPT_TOKEN_US: u64 = 100;
+/// Work of an answer's token on an engine, in microseconds. A default, not measured.
+const OUTPUT_TOKEN_US: u64 = 10_000;
+
+/// A pool without targets.
+pub fn target_pool(
+    id: PoolId,
+    section: &mut IniSection<'_>,
+    report: &mut CheckReport,
+) -> TargetPool {
+    let kind = pool_kind(section, report);
+    let (prompt_token, output_token) = match kind {
+        PoolKind::Engine => (PROMPT_TOKEN_US, OUTPUT_TOKEN_US),
+        PoolKind::Service => (0, 0),
+    };
+    TargetPool {
+        id,
+        kind,
+        not_started_status: not_started_status(section, report),
+        queue_limit: section.number("queue_limit", 1_000, 1..=1_000_000, report) as u32,
+        reserve_percent: section.number("reserve_percent", 0, 0..=90, report) as u32,
+        cached_prefixes: section.number("cached_prefixes", 16, 0..=100_000, report) as u32,
+        prompt_token_us: section.number("prompt_token_us", prompt_token, 0..=1_000_000, report),
+        output_token_us: section.number("output_token_us", output_token, 0..=1_000_000, report),
+        base_us: section.number("base_us", 5_000, 1..=600_000_000, report),
+        limits: target_limits(kind, section, report),
+        end_event: section.text("end_event").filter(|text| !text.is_empty()),
+        resumable: section.flag("resumable", false, report),
+        reuse_connections: section.flag("reuse_connections", false, report),
+        connection_limit: connection_limit(section, report),
+        report_path: report_path(section, report),
+        targets: BTreeMap::new(),
+    }
+}
+
+fn target_limits(
+    kind: PoolKind,
+    section: &mut IniSection<'_>,
+    report: &mut CheckReport,
+) -> TargetLimits {
+    let defaults = default_limits(kind);
+    TargetLimits {
+        connect: section.duration("connect_limit", defaults.connect, report),
+        first_byte: section.duration("first_byte_limit", defaults.first_byte, report),
+        between_bytes: section.duration("between_bytes_limit", defaults.between_bytes, report),
+    }
+}
+
+/// Connections to a target at most; 0 for no limit.
+fn connection_limit(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u32> {
+    let limit = section.number("connection_limit", 0, 0..=1 << 20, report) as u32;
+    (limit > 0).then_some(limit)
+}
+
+fn report_path(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<String> {
+    let path = section.text("report_path").filter(|text| !text.is_empty());
+    if path.as_ref().is_some_and(|path| !path.starts_with('/')) {
+        section.fault("report_path", "should begin with /", report);
+    }
+    path
+}
+
+fn default_limits(kind: PoolKind) -> TargetLimits {
+    match kind {
+        PoolKind::Engine => TargetLimits {
+            connect: Duration::from_secs(1),
+            first_byte: Duration::from_secs(60),
+            between_bytes: Duration::from_secs(20),
+        },
+        PoolKind::Service => TargetLimits {
+            connect: Duration::from_millis(500),
+            first_byte: Duration::from_secs(5),
+            between_bytes: Duration::from_secs(2),
+        },
+    }
+}
+
+fn pool_kind(section: &mut IniSection<'_>, report: &mut CheckReport) -> PoolKind {
+    match section.required("kind", report).as_str() {
+        "engine" => PoolKind::Engine,
+        "service" | "" => PoolKind::Service,
+        other => {
+            section.fault("kind", format!("'{other}' should be engine or service"), report);
+            PoolKind::Service
+        }
+    }
+}
+
+/// Status with which a target says that it did not start a request; 0 for none.
+fn not_started_status(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u16> {
+    let status = section.number("not_started_status", 0, 0..=599, report) as u16;
+    if status != 0 && status < 400 {
+        let message = format!("{status} should be a status from 400 to 599");
+        section.fault("not_started_status", message, report);
+    }
+    (status > 0).then_some(status)
+}
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -121,7 +121,7 @@
     let server = builder
         .bind("callers", settings.caller_address.as_str(), move || {
             let context = caller_context.clone();
-            let protocol = Box::new(OwnProtocol::new(context.clone()));
+            let protocol = Box::<OwnProtocol>::default();
             let service = RequestService::new(context, protocol);
             HttpService::build()
                 .client_request_timeout(head_limit)
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -49,14 +49,14 @@
 /// What the node and the tasks that follow the platform tell each other.
 pub struct FleetLink {
     /// How old the proof of the configuration is.
-    pub proof: Rc<ConfigFreshness>,
+    pub freshness: Rc<ConfigFreshness>,
     duty: watch::Sender<ReadRole>,
 }
 
 impl Default for FleetLink {
     /// A daemon reads for itself until it knows that others do.
     fn default() -> FleetLink {
-        FleetLink { proof: Rc::default(), duty: watch::Sender::new(ReadRole::Reader) }
+        FleetLink { freshness: Rc::default(), duty: watch::Sender::new(ReadRole::Reader) }
     }
 }
 
@@ -107,7 +107,7 @@
         context: &'a DaemonContext,
     ) -> LocalFuture<'a, Result<Box<dyn CallerServer>>> {
         Box::pin(async move {
-            serve(context, self.platform.as_ref(), &self.link.proof).await?;
+            serve(context, self.platform.as_ref(), &self.link.freshness).await?;
             Ok(Box::new(LocalServer) as Box<dyn CallerServer>)
         })
     }
@@ -127,7 +127,7 @@
     fn call(&self, context: &DaemonContext, call: PlatformCall) {
         match call {
             PlatformCall::ConfigConfirmed(at) => {
-                self.link.proof.confirm_by_peer(context.moment_of(at));
+                self.link.freshness.confirm_by_peer(context.moment_of(at));
             }
             PlatformCall::Read(duty) => self.link.set_duty(duty),
             // Requests carry their own ids, so a fleet has no key table.
@@ -188,7 +188,7 @@
 async fn serve(
     context: &DaemonContext,
     platform: &dyn FleetPlatform,
-    proof: &Rc<ConfigFreshness>,
+    freshness: &Rc<ConfigFreshness>,
 ) -> Result<()> {
     let settings = &context.settings;
     let caller_context = context.clone();
@@ -199,16 +199,16 @@
     };
     let operators = ListenOptions { idle_limit: Rc::new(|| OPERATOR_IDLE), ..callers.clone() };
     let profile = platform.profile().clone();
-    let protocol = ProfileProtocol::new(context.clone(), profile, Rc::clone(proof));
+    let protocol = ProfileProtocol::new(context.clone(), profile, Rc::clone(freshness));
     let service = RequestService::new(context.clone(), Box::new(protocol));
     let serve_caller = move |request: Request| Rc::clone(&service).serve(request);
     listen("callers", &settings.caller_address, callers, serve_caller).await?;
     let context = context.clone();
-    let proof = Rc::clone(proof);
+    let freshness = Rc::clone(freshness);
     let serve_operator = move |request: Request| {
         let context = context.clone();
-        let proof = Rc::clone(&proof);
-        async move { operator_answer(context, proof, request).await }
+        let freshness = Rc::clone(&freshness);
+        async move { operator_answer(context, freshness, request).await }
     };
     listen("operators", &settings.operator_address, operators, serve_operator).await
 }
@@ -216,11 +216,11 @@
 /// The health check fails where requests with a key would be refused for want of proof.
 async fn operator_answer(
     context: DaemonContext,
-    proof: Rc<ConfigFreshness>,
+    freshness: Rc<ConfigFreshness>,
     request: Request,
 ) -> Response<BoxBody> {
     let limit = context.bounds().config_age_limit;
-    let stale = limit.is_some_and(|limit| !proof.is_within(limit));
+    let stale = limit.is_some_and(|limit| !freshness.is_within(limit));
     if stale && request.path() == "/readyz" {
         return Response::with_body(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -98,7 +98,7 @@
                     tokio::time::sleep(self.limits.read_every.saturating_sub(sent.elapsed())).await;
                 }
                 Err(error) => {
-                    self.link.proof.fail();
+                    self.link.freshness.fail();
                     self.failures.set(self.failures.get() + 1);
                     self.context.tell(NodeEvent::PlatformFailed);
                     pause.failed("read_config", &error, &self.context);
@@ -115,10 +115,10 @@
     }
 
     fn proved(&self, sent: Instant) {
-        if self.link.proof.is_failing() {
+        if self.link.freshness.is_failing() {
             info!("platform_regained", kv: { call = "read_config" });
         }
-        self.link.proof.prove(sent);
+        self.link.freshness.prove(sent);
         self.context.tell(NodeEvent::PlatformRead(self.context.uptime_at(sent)));
         self.read.notify_waiters();
     }
@@ -145,7 +145,7 @@
                 }
             }
             // There is no use in listing while nothing can be read.
-            if self.link.proof.is_failing() {
+            if self.link.freshness.is_failing() {
                 self.read.notified().await;
             }
             tokio::time::sleep(FLOOR).await;
--- a/crates/daemon/src/listen.rs
+++ b/crates/daemon/src/listen.rs
@@ -14,7 +14,7 @@
 use actix_service::{fn_service, Service, ServiceFactory};
 use anyhow::{Context, Result};
 use spdlog::prelude::*;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// Connections that wait to be accepted.
 /// Chosen, not measured.
@@ -56,20 +56,10 @@
     let open = Rc::new(Cell::new(0usize));
     actix_rt::spawn(async move {
         loop {
-            if open.get() >= options.connection_limit {
+            while open.get() >= options.connection_limit {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
-                continue;
             }
-            let (stream, peer) = match listener.accept().await {
-                Ok(accepted) => accepted,
-                Err(error) => {
-                    warn!("accept_failed", kv: { listener = name, error = error.to_string() });
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
-                    continue;
-                }
-            };
-            // A connection that does not take the option is served all the same.
-            let _ = stream.set_nodelay(true);
+            let Some((stream, peer)) = accept(name, &listener).await else { continue };
             let factory = HttpService::build()
                 .client_request_timeout(options.head_limit)
                 .keep_alive(KeepAlive::Timeout((options.idle_limit)()))
@@ -89,6 +79,22 @@
     Ok(())
 }
 
+/// Accepts a connection, or pauses where that fails.
+async fn accept(name: &str, listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
+    match listener.accept().await {
+        Ok((stream, peer)) => {
+            // A connection that does not take the option is served all the same.
+            let _ = stream.set_nodelay(true);
+            Some((stream, peer))
+        }
+        Err(error) => {
+            warn!("accept_failed", kv: { listener = name, error = error.to_string() });
+            tokio::time::sleep(ACCEPT_PAUSE).await;
+            None
+        }
+    }
+}
+
 fn bind(address: &str) -> std::io::Result<TcpListener> {
     let address: SocketAddr = address.parse().map_err(std::io::Error::other)?;
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
--- /dev/null
+++ b/crates/daemon/src/metrics/gauges.rs
@@ -0,0 +1,74 @@
+//! Gauges of a node's status and of its peer frames.
+//!
+//! Owns: the gauges, which are set when the metrics are read. Relies on: [`NodeStatus`] and the counts of
+//! the transport.
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+use curlewcleat_node::NodeStatus;
+use curlewcleat_peers::TransportCounts;
+use prometheus::{IntGauge, IntGaugeVec, Result};
+
+use super::registry::MetricRegistry;
+
+/// Gauges of one daemon.
+pub struct StatusGauges {
+    generation: IntGauge,
+    table: IntGauge,
+    key_slots: IntGauge,
+    keys: IntGauge,
+    in_progress: IntGauge,
+    peers_live: IntGauge,
+    waiting: IntGaugeVec,
+    in_flight: IntGaugeVec,
+    frames: IntGaugeVec,
+    counts: Arc<TransportCounts>,
+}
+
+impl StatusGauges {
+    /// Registers all gauges.
+    pub fn new(registry: &MetricRegistry, counts: Arc<TransportCounts>) -> Result<StatusGauges> {
+        let frames_help = "Peer frames and their bytes since the start";
+        Ok(StatusGauges {
+            generation: registry.gauge("config_generation", "Configuration in force")?,
+            table: registry.gauge("key_table_version", "Known key table")?,
+            key_slots: registry.gauge("key_slots", "Key slots held")?,
+            keys: registry.gauge("keys", "Keys held")?,
+            in_progress: registry.gauge("requests_in_progress", "Requests in progress")?,
+            peers_live: registry.gauge("peers_live", "Reachable peers")?,
+            waiting: registry.gauges("queue_length", "Asks that wait at this scheduler", "pool")?,
+            in_flight: registry.gauges(
+                "permits_in_use",
+                "Permits given by this scheduler",
+                "pool",
+            )?,
+            frames: registry.gauges("peer_frames", frames_help, "kind")?,
+            counts,
+        })
+    }
+
+    /// Sets all gauges.
+    pub fn set(&self, status: &NodeStatus) {
+        self.generation.set(status.generation as i64);
+        self.table.set(status.table as i64);
+        self.key_slots.set(status.key_slots as i64);
+        self.keys.set(status.keys as i64);
+        self.in_progress.set(status.requests as i64);
+        self.peers_live.set(status.peers.iter().filter(|(_, peer)| peer.live).count() as i64);
+        for pool in &status.pools {
+            self.waiting.with_label_values(&[&pool.id]).set(pool.waiting as i64);
+            self.in_flight.with_label_values(&[&pool.id]).set(pool.in_flight as i64);
+        }
+        let kinds = [
+            ("sent", &self.counts.sent),
+            ("sent_bytes", &self.counts.sent_bytes),
+            ("dropped", &self.counts.dropped),
+            ("received", &self.counts.received),
+            ("unreadable", &self.counts.unreadable),
+        ];
+        for (kind, count) in kinds {
+            self.frames.with_label_values(&[kind]).set(count.load(Ordering::Relaxed) as i64);
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/metrics/registry.rs
@@ -0,0 +1,65 @@
+//! Registers metrics under the prefix `curlewcleat`.
+//!
+//! Owns: the registry. Relies on: prometheus, which refuses a name that is registered twice.
+
+use prometheus::core::Collector;
+use prometheus::{
+    HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
+    Result, TextEncoder,
+};
+
+/// Bounds of times in seconds. Chosen, not measured: from a millisecond, a permit from another daemon,
+/// to the longest answers.
+const TIME_BUCKETS: &[f64] = &[
+    0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.56, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0,
+];
+
+/// The metrics of one daemon.
+#[derive(Default)]
+pub struct MetricRegistry {
+    registry: Registry,
+}
+
+impl MetricRegistry {
+    /// A counter without labels.
+    pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter> {
+        self.register(IntCounter::with_opts(options(name, help)))
+    }
+
+    /// Counters by labels.
+    pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
+        self.register(IntCounterVec::new(options(name, help), labels))
+    }
+
+    /// A gauge without labels.
+    pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge> {
+        self.register(IntGauge::with_opts(options(name, help)))
+    }
+
+    /// Gauges by a label.
+    pub fn gauges(&self, name: &str, help: &str, label: &str) -> Result<IntGaugeVec> {
+        self.register(IntGaugeVec::new(options(name, help), &[label]))
+    }
+
+    /// Times in seconds by tier and pool.
+    pub fn times(&self, name: &str, help: &str) -> Result<HistogramVec> {
+        let options =
+            HistogramOpts { common_opts: options(name, help), buckets: TIME_BUCKETS.into() };
+        self.register(HistogramVec::new(options, &["tier", "pool"]))
+    }
+
+    /// All metrics as text.
+    pub fn render(&self) -> Result<String> {
+        TextEncoder::new().encode_to_string(&self.registry.gather())
+    }
+
+    fn register<C: Collector + Clone + 'static>(&self, metric: Result<C>) -> Result<C> {
+        let metric = metric?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
+    }
+}
+
+fn options(name: &str, help: &str) -> Opts {
+    Opts::new(name, help).namespace("curlewcleat")
+}
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -33,10 +33,11 @@
 use actix_http::body::BoxBody;
 use actix_http::header::HeaderMap;
 use actix_http::{HttpMessage, Method, Request, Response, Uri};
-use curlewcleat_core::{Refusal, RequestId};
+use curlewcleat_core::{Refusal, RefusalReason, RequestId};
 use tokio::sync::oneshot;
 
 use crate::context::DaemonContext;
+use admitted::AdmittedRequest;
 use answer::{AnswerChannel, CallerAnswer};
 use body::RequestBody;
 use run::RequestRun;
@@ -65,11 +66,26 @@
         Rc::new(RequestService { context, protocol })
     }
 
+    /// Finds rule, account, tier, pool and deadline of a request, where there is a configuration.
+    fn admit(
+        &self,
+        id: RequestId,
+        arrived: Instant,
+        request: &Request,
+    ) -> Result<AdmittedRequest, Refusal> {
+        let config = self.context.config();
+        if config.generation == 0 {
+            let wait = self.protocol.options().unserved_wait;
+            return Err(Refusal::not_run(RefusalReason::NoConfiguration, Some(wait)));
+        }
+        self.protocol.admit(&config, id, arrived, request)
+    }
+
     /// Serves one request.
     pub async fn serve(self: Rc<Self>, mut request: Request) -> Response<BoxBody> {
         let id = RequestId::now_v7();
         let arrived = Instant::now();
-        let mut admitted = match self.protocol.admit(id, arrived, &request) {
+        let mut admitted = match self.admit(id, arrived, &request) {
             Ok(admitted) => admitted,
             Err(refusal) => {
                 let attempt = self.protocol.attempt_id(request.headers());
--- a/crates/daemon/src/request/own.rs
+++ b/crates/daemon/src/request/own.rs
@@ -1,6 +1,6 @@
 //! The product's own interface towards callers and targets, as docs/CALLERS.md tells it.
 //!
-//! Owns: the connections of this thread to the targets of each pool. Relies on: files applied by
+//! Owns: the connections of its thread to the targets of each pool. Relies on: files applied by
 //! operators for rules, pools and targets.
 
 mod prompt;
@@ -13,7 +13,8 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{HttpMessage, Request, RequestHead, ResponseHead, StatusCode};
 use curlewcleat_core::{
-    hash_token, LatencyObjectives, PoolId, Refusal, RefusalReason, RequestId, TargetPool,
+    hash_token, ActiveConfig, LatencyObjectives, PoolId, Refusal, RefusalReason, RequestId,
+    TargetPool,
 };
 use curlewcleat_targets::{ConnectionOptions, ConnectionPool, ExchangeOptions, TargetAnswer};
 
@@ -23,7 +24,6 @@
 use super::form::{AnswerForm, ByteForm};
 use super::problem::{problem_answer, REQUEST_ID};
 use super::protocol::{AttemptLimits, CallerProtocol, HeadVerdict, ProtocolOptions, TargetAttempt};
-use crate::context::DaemonContext;
 use crate::headers;
 
 /// Header with the urgency of a request (RFC 9218).
@@ -36,24 +36,18 @@
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: 64 << 10, empty: BodySize::None },
     retry_after: Duration::from_secs(1),
+    unserved_wait: Duration::from_secs(1),
     cuts_at_deadline: false,
 };
 
 /// Callers and targets that speak the product's own interface.
+#[derive(Default)]
 pub struct OwnProtocol {
-    context: DaemonContext,
     /// Connections by pool and whether they are used again. Pools share none, so that no request
     /// waits behind one of another pool.
     connections: RefCell<BTreeMap<(PoolId, bool), ConnectionPool>>,
 }
 
-impl OwnProtocol {
-    /// The protocol for one thread.
-    pub fn new(context: DaemonContext) -> OwnProtocol {
-        OwnProtocol { context, connections: RefCell::default() }
-    }
-}
-
 impl CallerProtocol for OwnProtocol {
     fn options(&self) -> &ProtocolOptions {
         &OPTIONS
@@ -61,15 +55,11 @@
 
     fn admit(
         &self,
+        config: &ActiveConfig,
         id: RequestId,
         arrived: Instant,
         request: &Request,
     ) -> Result<AdmittedRequest, Refusal> {
-        let config = self.context.config();
-        if config.generation == 0 {
-            let retry_after = Some(OPTIONS.retry_after);
-            return Err(Refusal::not_run(RefusalReason::NoConfiguration, retry_after));
-        }
         let not_run = |reason| Refusal::not_run(reason, None);
         let head = request.headers();
         let token = headers::bearer_token(head).ok_or(not_run(RefusalReason::Unauthorized))?;
--- a/crates/daemon/src/request/pass_on.rs
+++ b/crates/daemon/src/request/pass_on.rs
@@ -92,6 +92,11 @@
         }
         // An answer without a single part begins here.
         self.begin_answer(&head);
+        self.finish_parts(sent).await
+    }
+
+    /// Passes on what the form has held back, and ends the answer.
+    async fn finish_parts(&mut self, sent: Instant) -> AttemptVerdict {
         let rest = self.form.rest();
         if !rest.is_empty() && !self.pass(rest).await {
             return AttemptVerdict::Stalled;
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -15,7 +15,7 @@
 use actix_http::body::BodySize;
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Request, RequestHead, ResponseHead, StatusCode};
-use curlewcleat_core::{Refusal, RefusalReason, RequestId, TargetPool, Verdict};
+use curlewcleat_core::{ActiveConfig, Refusal, RefusalReason, RequestId, TargetPool, Verdict};
 use curlewcleat_store::WireProfile;
 use curlewcleat_targets::{ConnectionOptions, ConnectionPool, ExchangeOptions, TargetAnswer};
 
@@ -50,6 +50,7 @@
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: usize::MAX, empty: BodySize::Sized(0) },
     retry_after: Duration::from_millis(200),
+    unserved_wait: admission::UNSERVED_WAIT,
     cuts_at_deadline: true,
 };
 
@@ -58,7 +59,7 @@
     context: DaemonContext,
     profile: WireProfile,
     connections: ConnectionPool,
-    proof: Rc<ConfigFreshness>,
+    freshness: Rc<ConfigFreshness>,
     /// Longest time that callers of each rule have given.
     longest: RefCell<BTreeMap<String, Duration>>,
 }
@@ -68,7 +69,7 @@
     pub fn new(
         context: DaemonContext,
         profile: WireProfile,
-        proof: Rc<ConfigFreshness>,
+        freshness: Rc<ConfigFreshness>,
     ) -> ProfileProtocol {
         let options = ConnectionOptions {
             idle_limit: IDLE_LIMIT,
@@ -79,7 +80,7 @@
             context,
             profile,
             connections: ConnectionPool::new(options),
-            proof,
+            freshness,
             longest: RefCell::default(),
         }
     }
@@ -114,11 +115,12 @@
 
     fn admit(
         &self,
+        config: &ActiveConfig,
         id: RequestId,
         arrived: Instant,
         request: &Request,
     ) -> Result<AdmittedRequest, Refusal> {
-        self.admit_request(id, arrived, request)
+        self.admit_request(config, id, arrived, request)
     }
 
     fn attempt_id<'r>(&self, headers: &'r HeaderMap) -> &'r str {
@@ -239,7 +241,7 @@
     }
 
     fn config_age(&self) -> Option<Duration> {
-        self.proof.age()
+        self.freshness.age()
     }
 }
 
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -24,7 +24,7 @@
 
 /// `Retry-After` where the daemon itself cannot serve. Chosen, not measured: about the time in which
 /// another read of the platform may have succeeded.
-const UNSERVED_WAIT: Duration = Duration::from_millis(300);
+pub(super) const UNSERVED_WAIT: Duration = Duration::from_millis(300);
 /// Deadline of a request that names none and whose rule names none. Chosen, not measured.
 const DEADLINE: Duration = Duration::from_secs(30);
 
@@ -32,28 +32,24 @@
     /// Finds rule, account and pool of a request.
     pub(super) fn admit_request(
         &self,
+        config: &ActiveConfig,
         id: RequestId,
         arrived: Instant,
         request: &Request,
     ) -> Result<AdmittedRequest, Refusal> {
-        let config = self.context.config();
-        if config.generation == 0 {
-            return Err(unserved(RefusalReason::NoConfiguration));
-        }
         let head = request.headers();
         let rule = config
             .route(host_name(head), request.method().as_str(), request.path())
             .ok_or_else(|| self.denied(RefusalReason::NoRule))?;
-        let account = self.account(&config, rule, head)?;
-        let attempt_id = headers::text(head, self.profile.attempt_id).unwrap_or_default();
-        if attempt_id.is_empty() {
-            return Err(bad_header());
-        }
+        let account = self.account(config, rule, head)?;
+        let attempt_id = headers::text(head, self.profile.attempt_id);
+        let attempt_id = attempt_id.filter(|id| !id.is_empty()).ok_or_else(bad_header)?;
         let asked = self.asked_time(head).map_err(|_| bad_header())?;
         let time = asked.into_iter().chain(rule.service.timeout).min().unwrap_or(DEADLINE);
         let pool = config.pools.get(rule.pool_for(rand::random()));
         let pool = pool.ok_or_else(|| self.denied(RefusalReason::NoRule))?;
-        let tier_rank = config.tiers.get(&rule.tier).map(|tier| tier.rank);
+        // The check of the configuration has found the tier of each rule.
+        let tier_rank = config.tiers.get(&rule.tier).map(|tier| tier.rank).unwrap_or_default();
         let account_rank = account.and_then(|account| account.rank);
         let tokens = work::token_counts(head, self.profile.tokens);
         let longest = self.note_time(rule, asked);
@@ -64,15 +60,9 @@
             deadline: arrived + time,
             account: account.map(|account| account.id.clone()),
             tier: rule.tier.clone(),
-            rank: account_rank.or(tier_rank).unwrap_or_default(),
+            rank: account_rank.unwrap_or(tier_rank),
             pool: pool.clone(),
-            objectives: objectives::objectives(
-                rule,
-                asked,
-                longest,
-                time,
-                tier_rank.unwrap_or_default(),
-            ),
+            objectives: objectives::objectives(rule, asked, longest, time, tier_rank),
             attempt_limit: Some(rule.service.attempt_limit),
             cost: account.map_or(0, |account| work::cost(account, tokens)),
             work: work::estimate(&self.profile, pool, head, tokens),
@@ -103,12 +93,12 @@
     /// Whether the configuration is proved young enough for requests with a token.
     pub(super) fn is_proved(&self) -> bool {
         let limit = self.context.bounds().config_age_limit;
-        limit.is_none_or(|limit| self.proof.is_within(limit))
+        limit.is_none_or(|limit| self.freshness.is_within(limit))
     }
 
     /// What is unknown here is refused for good only where the configuration is surely the newest.
     fn denied(&self, reason: RefusalReason) -> Refusal {
-        if self.proof.is_within(self.context.bounds().config_apply_limit) {
+        if self.freshness.is_within(self.context.bounds().config_apply_limit) {
             return Refusal::not_run(reason, None);
         }
         unserved(RefusalReason::ConfigurationStale)
--- a/crates/daemon/src/request/protocol.rs
+++ b/crates/daemon/src/request/protocol.rs
@@ -7,7 +7,7 @@
 
 use actix_http::header::HeaderMap;
 use actix_http::{Request, RequestHead, ResponseHead, StatusCode};
-use curlewcleat_core::{Refusal, RefusalReason, RequestId, TargetEntry, TargetPool};
+use curlewcleat_core::{ActiveConfig, Refusal, RefusalReason, RequestId, TargetEntry, TargetPool};
 use curlewcleat_targets::{ConnectionPool, ExchangeOptions, TargetAnswer};
 
 use super::admitted::AdmittedRequest;
@@ -23,6 +23,8 @@
     pub body: BodyOptions,
     /// `Retry-After` where this daemon or a target failed a request.
     pub retry_after: Duration,
+    /// `Retry-After` where there is no configuration yet.
+    pub unserved_wait: Duration,
     /// Whether an answer that is still in progress at the deadline is cut.
     pub cuts_at_deadline: bool,
 }
@@ -66,9 +68,10 @@
     /// Fixed properties.
     fn options(&self) -> &ProtocolOptions;
 
-    /// Finds rule, account, tier, pool and deadline of a request.
+    /// Finds rule, account, tier, pool and deadline of a request in the configuration in force.
     fn admit(
         &self,
+        config: &ActiveConfig,
         id: RequestId,
         arrived: Instant,
         request: &Request,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -162,8 +162,7 @@
             NodeEvent::TableRead(read) => self.table_read(read),
             NodeEvent::TableWritten(write) => self.table_written(write),
             NodeEvent::TargetReported(pool, target, report) => {
-                let actions = self.pool(&pool).reported(now, &target, &report);
-                self.send_answers(actions);
+                self.target_reported(&pool, &target, &report);
             }
             NodeEvent::TargetsListed(targets, at) => self.targets_listed(targets, at),
             NodeEvent::TargetsChanged { from, changes, at } => {
@@ -172,9 +171,7 @@
             NodeEvent::PlatformRead(sent) => self.platform_read(sent),
             NodeEvent::PlatformFailed => self.platform_failed(),
             NodeEvent::PeersRecorded { addresses, complete } => {
-                self.members.hint(addresses, complete);
-                // A new daemon is known to the others at once, and they to it.
-                self.last_heartbeat = None;
+                self.peers_recorded(addresses, complete);
             }
             NodeEvent::VmsRead(list) => self.vms_read(&list),
             NodeEvent::Drain => self.begin_drain(),
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -11,6 +11,13 @@
 use crate::event::ListedVm;
 
 impl Node {
+    /// The platform has named addresses of daemons; `complete` where it knows no others.
+    pub(super) fn peers_recorded(&mut self, addresses: Vec<String>, complete: bool) {
+        self.members.hint(addresses, complete);
+        // A new daemon is known to the others at once, and they to it.
+        self.last_heartbeat = None;
+    }
+
     pub(super) fn entry_ended(&mut self, daemon: &DaemonId) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, Heartbeat, KeyAnswer, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
-    PermitDecision, PermitRequest, PoolId, ShedRequest, StatePull, TablePush, VmId,
+    DaemonId, Heartbeat, KeyAnswer, KeyClaim, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
+    PermitDecision, PermitHeld, PermitRequest, PermitReturn, PoolId, ShedRequest, StatePull,
+    TablePush, TargetId, TargetReport, VmId,
 };
 use curlewcleat_keys::KeyTable;
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
@@ -67,37 +68,16 @@
             PeerMessage::FreshnessAnswer(answer) => self.freshness_answered(from, &answer),
             PeerMessage::TargetsPull(known) => self.targets_pulled(&from.vm, known),
             PeerMessage::TargetsPush(push) => self.targets_pushed(&from.vm, push),
-            PeerMessage::PermitRequest(request) => {
-                self.permit_requested(from, request);
-            }
+            PeerMessage::PermitRequest(request) => self.permit_requested(from, request),
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
-            PeerMessage::PermitReturn(back) => {
-                let now = self.now;
-                let actions = self.pool(&back.pool.clone()).give_back(now, &back);
-                self.send_answers(actions);
-            }
-            PeerMessage::PermitHeld(held) => {
-                let now = self.now;
-                self.pool(&held.request.pool.clone()).hold(now, from.clone(), held);
-            }
-            PeerMessage::ShedRequest(raise) => {
-                let now = self.now;
-                let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
-                // What is shed here is shed on behalf of a round that has begun already.
-                self.post_answers(actions);
-                self.post(&from.vm, PeerMessage::ShedConfirm(raise.pool, raise.round));
-            }
+            PeerMessage::PermitReturn(back) => self.permit_returned(&back),
+            PeerMessage::PermitHeld(held) => self.permit_held(from, held),
+            PeerMessage::ShedRequest(raise) => self.shed_requested(&from.vm, raise),
             PeerMessage::ShedConfirm(pool, round) => {
                 let actions = self.guards.entry(pool).or_default().confirmed(from, round);
                 self.post_answers(actions);
             }
-            PeerMessage::KeyClaim(claim) => {
-                let decision = self.home.claim(self.wall, &claim);
-                self.post(
-                    &from.vm,
-                    PeerMessage::KeyAnswer(KeyAnswer { request: claim.request, decision }),
-                );
-            }
+            PeerMessage::KeyClaim(claim) => self.key_claimed(&from.vm, &claim),
             PeerMessage::KeyAnswer(answer) => self.key_answered(answer),
             PeerMessage::KeyOutcome(outcome) => self.home.outcome(self.wall, outcome),
             PeerMessage::KeyHandOver(hand_over) => {
@@ -131,6 +111,42 @@
         self.send_answers(actions);
     }
 
+    pub(super) fn target_reported(
+        &mut self,
+        pool: &PoolId,
+        target: &TargetId,
+        report: &TargetReport,
+    ) {
+        let now = self.now;
+        let actions = self.pool(pool).reported(now, target, report);
+        self.send_answers(actions);
+    }
+
+    fn permit_returned(&mut self, back: &PermitReturn) {
+        let now = self.now;
+        let actions = self.pool(&back.pool).give_back(now, back);
+        self.send_answers(actions);
+    }
+
+    fn permit_held(&mut self, from: &DaemonId, held: PermitHeld) {
+        let now = self.now;
+        self.pool(&held.request.pool.clone()).hold(now, from.clone(), held);
+    }
+
+    fn shed_requested(&mut self, from: &VmId, raise: ShedRequest) {
+        let now = self.now;
+        let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
+        // What is shed here is shed on behalf of a round that has begun already.
+        self.post_answers(actions);
+        self.post(from, PeerMessage::ShedConfirm(raise.pool, raise.round));
+    }
+
+    fn key_claimed(&mut self, from: &VmId, claim: &KeyClaim) {
+        let decision = self.home.claim(self.wall, claim);
+        let answer = KeyAnswer { request: claim.request, decision };
+        self.post(from, PeerMessage::KeyAnswer(answer));
+    }
+
     pub(super) fn heard(&mut self, from: &DaemonId, beat: &Heartbeat) {
         if let Some(ended) = self.members.heard(self.now, from, beat) {
             self.actions.push(NodeAction::Note(NodeNote::PeerReplaced(ended.clone())));
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -91,10 +91,8 @@
         pool: PoolId,
         target: TargetId,
     ) -> Vec<EntryAction> {
-        let unused = EntryAction::ReturnPermit(
-            from.clone(),
-            PermitReturn { permit, pool, end: AttemptEnd::Unused },
-        );
+        let back = PermitReturn { permit, pool, end: AttemptEnd::Unused };
+        let unused = EntryAction::ReturnPermit(from.clone(), back);
         let Some(request) = self.requests.get(&permit.request) else { return vec![unused] };
         if request.attempt != permit.attempt {
             return vec![unused];
--- a/crates/tool/src/apply.rs
+++ b/crates/tool/src/apply.rs
@@ -58,43 +58,44 @@
         applied_at,
         expected: options.expect_generation,
     };
-    let generation = match run_apply(&store, apply, texts).await {
+    let result = run_apply(&store, apply, texts).await;
+    let exit = print_result(&result);
+    match result {
+        ApplyResult::Applied(generation) | ApplyResult::Unchanged(generation) if options.wait => {
+            let limit = Duration::from_secs(options.wait_seconds);
+            daemons::wait_for(arguments, generation, limit).await
+        }
+        _ => Ok(exit),
+    }
+}
+
+fn print_result(result: &ApplyResult) -> ToolExit {
+    match result {
         ApplyResult::Applied(generation) => {
             println!("applied as generation {generation}");
-            generation
+            ToolExit::Done
         }
         ApplyResult::Unchanged(generation) => {
             println!("unchanged, in force since generation {generation} or before");
-            generation
+            ToolExit::Done
         }
         ApplyResult::Conflict { file, by } => {
-            let by = by.map(|by| {
-                format!(
-                    " by {} at {} (generation {})",
-                    by.operator,
-                    daemons::utc(by.applied_at),
-                    by.generation
-                )
+            let by = by.as_ref().map_or(String::new(), |by| {
+                let at = daemons::utc(by.applied_at);
+                format!(" by {} at {at} (generation {})", by.operator, by.generation)
             });
-            eprintln!(
-                "conflict: {file} was changed{}; nothing was applied",
-                by.unwrap_or_default()
-            );
-            return Ok(ToolExit::Conflict);
+            eprintln!("conflict: {file} was changed{by}; nothing was applied");
+            ToolExit::Conflict
         }
         ApplyResult::Invalid(report) => {
             eprintln!("{report}");
-            return Ok(ToolExit::Invalid);
+            ToolExit::Invalid
         }
         ApplyResult::Unclear => {
             eprintln!("the platform does not answer; it is not clear whether the apply took effect: see history");
-            return Ok(ToolExit::Unreachable);
+            ToolExit::Unreachable
         }
-    };
-    if !options.wait {
-        return Ok(ToolExit::Done);
     }
-    daemons::wait_for(arguments, generation, Duration::from_secs(options.wait_seconds)).await
 }
 
 /// `diff`: compares files with what is in force.
--- a/crates/tool/src/show.rs
+++ b/crates/tool/src/show.rs
@@ -64,26 +64,7 @@
         println!("{}", json!(statuses));
         return Ok(exit_of(&statuses));
     }
-    let rows = statuses.iter().map(|status| {
-        let live = status["peers"]
-            .as_array()
-            .map_or(0, |peers| peers.iter().filter(|p| p["live"] == true).count());
-        let own = |pool: &&Value| pool["scheduler"] == status["vm"];
-        let pools = status["pools"].as_array().into_iter().flatten().filter(own);
-        let pools: Vec<String> = pools.map(|pool| text(&pool["id"])).collect();
-        vec![
-            text(&status["daemon"]),
-            text(&status["vm"]),
-            text(&status["data_centre"]),
-            text(&status["generation"]),
-            text(&status["drain"]),
-            text(&status["requests"]),
-            live.to_string(),
-            text(&status["key_slots"]),
-            pools.join(","),
-            text(&status["error"]),
-        ]
-    });
+    let rows = statuses.iter().map(status_row);
     let titles = [
         "DAEMON",
         "VM",
@@ -100,6 +81,27 @@
     Ok(exit_of(&statuses))
 }
 
+fn status_row(status: &Value) -> Vec<String> {
+    let live = status["peers"]
+        .as_array()
+        .map_or(0, |peers| peers.iter().filter(|peer| peer["live"] == true).count());
+    let own = |pool: &&Value| pool["scheduler"] == status["vm"];
+    let pools = status["pools"].as_array().into_iter().flatten().filter(own);
+    let pools: Vec<String> = pools.map(|pool| text(&pool["id"])).collect();
+    vec![
+        text(&status["daemon"]),
+        text(&status["vm"]),
+        text(&status["data_centre"]),
+        text(&status["generation"]),
+        text(&status["drain"]),
+        text(&status["requests"]),
+        live.to_string(),
+        text(&status["key_slots"]),
+        pools.join(","),
+        text(&status["error"]),
+    ]
+}
+
 async fn targets(arguments: &Arguments) -> Result<ToolExit> {
     let statuses = all_statuses(arguments).await?;
     let mut rows = Vec::new();
