--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -50,25 +50,25 @@
 pub struct FleetLink {
     /// How old the proof of the configuration is.
     pub freshness: Rc<ConfigFreshness>,
-    duty: watch::Sender<ReadRole>,
+    read_role: watch::Sender<ReadRole>,
 }
 
 impl Default for FleetLink {
     /// A daemon reads for itself until it knows that others do.
     fn default() -> FleetLink {
-        FleetLink { freshness: Rc::default(), duty: watch::Sender::new(ReadRole::Reader) }
+        FleetLink { freshness: Rc::default(), read_role: watch::Sender::new(ReadRole::Reader) }
     }
 }
 
 impl FleetLink {
     /// Whether this daemon reads the platform, and changes of that.
-    pub fn duty(&self) -> watch::Receiver<ReadRole> {
-        self.duty.subscribe()
+    pub fn read_role(&self) -> watch::Receiver<ReadRole> {
+        self.read_role.subscribe()
     }
 
     /// From now on this daemon reads the platform, or others do for it.
-    pub fn set_duty(&self, duty: ReadRole) {
-        self.duty.send_replace(duty);
+    pub fn set_read_role(&self, role: ReadRole) {
+        self.read_role.send_replace(role);
     }
 }
 
@@ -129,7 +129,7 @@
             PlatformCall::ConfigConfirmed(at) => {
                 self.link.freshness.confirm_by_peer(context.moment_of(at));
             }
-            PlatformCall::Read(duty) => self.link.set_duty(duty),
+            PlatformCall::Read(role) => self.link.set_read_role(role),
             // Requests carry their own ids, so a fleet has no key table.
             PlatformCall::ProposeTable(..) | PlatformCall::ReadTable => {}
         }
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -76,13 +76,13 @@
     /// Reads the configuration often enough to prove that it has not changed. The age of the proof
     /// counts from the sending of a read.
     async fn follow_config(self: Rc<Self>) {
-        let mut duty = self.link.duty();
+        let mut role = self.link.read_role();
         let mut known: ObjectVersion = 0;
         // What was read last may not pass the checks; then the one in force is not the newest.
         let mut newest: Generation = 0;
         let mut pause = CallPause::default();
         loop {
-            until_reading(&mut duty).await;
+            until_reading(&mut role).await;
             let sent = Instant::now();
             match self.platform.read_config(known).await {
                 Ok(read) => {
@@ -102,11 +102,11 @@
                     self.failures.set(self.failures.get() + 1);
                     self.context.tell(NodeEvent::PlatformFailed);
                     pause.failed("read_config", &error, &self.context);
-                    let limit = match *duty.borrow_and_update() {
+                    let limit = match *role.borrow_and_update() {
                         ReadRole::Reader => READER_PAUSE,
                         ReadRole::Fallback | ReadRole::Idle => FALLBACK_PAUSE,
                     };
-                    let changed = async { drop(duty.changed().await) };
+                    let changed = async { drop(role.changed().await) };
                     pause.wait(limit, changed).await;
                 }
             }
@@ -126,17 +126,17 @@
     /// While this daemon reads: lists the targets, then watches; lists again when the history is gone
     /// or the watch may be deaf.
     async fn follow_targets(self: Rc<Self>) {
-        let mut duty = self.link.duty();
+        let mut role = self.link.read_role();
         let mut pause = CallPause::default();
         loop {
-            until_reading(&mut duty).await;
+            until_reading(&mut role).await;
             match self.platform.list_targets().await {
                 Ok(list) => {
                     pause = CallPause::default();
                     self.context.tell(NodeEvent::TargetsListed(list.targets, list.revision));
                     tokio::select! {
                         _ = self.watch_targets(list.revision) => {}
-                        _ = until_resting(&mut duty) => {}
+                        _ = until_resting(&mut role) => {}
                     }
                 }
                 Err(error) => {
@@ -221,15 +221,15 @@
 }
 
 /// Ends when this daemon has to read the platform.
-async fn until_reading(duty: &mut watch::Receiver<ReadRole>) {
+async fn until_reading(role: &mut watch::Receiver<ReadRole>) {
     // The sender lives as long as the process.
-    let _ = duty.wait_for(|duty| *duty != ReadRole::Idle).await;
+    let _ = role.wait_for(|role| *role != ReadRole::Idle).await;
 }
 
 /// Ends when others read the platform for this daemon.
-async fn until_resting(duty: &mut watch::Receiver<ReadRole>) {
+async fn until_resting(role: &mut watch::Receiver<ReadRole>) {
     // The sender lives as long as the process.
-    let _ = duty.wait_for(|duty| *duty == ReadRole::Idle).await;
+    let _ = role.wait_for(|role| *role == ReadRole::Idle).await;
 }
 
 /// Pauses between calls, longer each time, with jitter.
--- a/crates/explain/src/book.rs
+++ b/crates/explain/src/merged.rs
@@ -5,12 +5,12 @@
 
 /// Lines of the logs of many daemons.
 #[derive(Clone, Debug, Default)]
-pub struct LogBook {
+pub struct MergedLog {
     lines: Vec<LogLine>,
     unreadable: usize,
 }
 
-impl LogBook {
+impl MergedLog {
     /// Takes the text of a log in; `file` names it.
     pub fn read(&mut self, file: &str, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Stories out of logs with missing daemons, cut lines and clocks that differ.
 
-use curlewcleat_explain::LogBook;
+use curlewcleat_explain::MergedLog;
 use rstest::rstest;
 
 fn line(at: u64, event: &str, fields: &str) -> String {
@@ -15,7 +15,7 @@
 #[case::by_the_systems_id("r1")]
 #[case::by_the_callers_id("a1")]
 fn refusal_by_a_daemon_that_lost_the_store(#[case] id: &str) {
-    let mut book = LogBook::default();
+    let mut log = MergedLog::default();
     let text =
         line(1_000, "platform_call_failed", "\"call\":\"read_config\",\"error\":\"no answer\"")
             + &line(
@@ -23,8 +23,8 @@
                 "request_refused",
                 &request("\"reason\":\"configuration_stale\",\"may_have_run\":false,\"held_ms\":0"),
             );
-    book.read("vm-1.log", &text);
-    let story = book.story(id).expect("a story");
+    log.read("vm-1.log", &text);
+    let story = log.story(id).expect("a story");
     assert_eq!(story.outcome, "refused (configuration_stale); it did not run");
     assert!(
         story.cause.text.contains("lost the platform's store")
@@ -36,7 +36,7 @@
 
 #[test]
 fn attempts_are_told_in_order_with_their_targets() {
-    let mut book = LogBook::default();
+    let mut log = MergedLog::default();
     let text =
         line(5_000, "attempt_failed", &request("\"target\":\"i-1\",\"reason\":\"stream_resumed\""))
             + &line(4_900, "pool_waits", "\"pool\":\"p\",\"waiting\":12")
@@ -45,8 +45,8 @@
                 "request_served",
                 &request("\"target\":\"i-2\",\"attempts\":2,\"end_ms\":1500"),
             );
-    book.read("vm-1.log", &text);
-    let story = book.story("r1").expect("a story");
+    log.read("vm-1.log", &text);
+    let story = log.story("r1").expect("a story");
     assert_eq!(story.outcome, "served");
     assert!(story.cause.text.contains("1 failed attempt(s), the last at i-1"));
     let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
@@ -55,21 +55,21 @@
 
 #[test]
 fn cut_lines_are_counted_and_a_missing_daemon_is_said() {
-    let mut book = LogBook::default();
+    let mut log = MergedLog::default();
     let whole =
         line(5_000, "attempt_failed", &request("\"target\":\"i-1\",\"reason\":\"target_closed\""));
-    book.read("vm-1.log", &format!("{whole}{{\"level\":\"info\",\"timest"));
-    let story = book.story("r1").expect("a story");
+    log.read("vm-1.log", &format!("{whole}{{\"level\":\"info\",\"timest"));
+    let story = log.story("r1").expect("a story");
     assert!(story.outcome.contains("no end in these logs"));
     assert!(story.cause.text.contains("broken off after a failed attempt at i-1"));
-    assert_eq!(book.unreadable(), 1);
-    assert!(book.story("r2").is_none() && book.story("").is_none());
+    assert_eq!(log.unreadable(), 1);
+    assert!(log.story("r2").is_none() && log.story("").is_none());
 }
 
 #[test]
 fn states_of_other_daemons_and_other_times_are_left_out() {
-    let mut book = LogBook::default();
-    book.read(
+    let mut log = MergedLog::default();
+    log.read(
         "vm-1.log",
         &line(
             100_000,
@@ -77,25 +77,25 @@
             &request("\"reason\":\"draining\",\"may_have_run\":false"),
         ),
     );
-    book.read("vm-1.log", &line(50_000, "drain_begun", ""));
-    book.read("vm-1.log", &line(99_000, "drain_closing", ""));
+    log.read("vm-1.log", &line(50_000, "drain_begun", ""));
+    log.read("vm-1.log", &line(99_000, "drain_closing", ""));
     // The clock of another daemon is far off; only its own lines of the request would be told.
-    book.read("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
-    let story = book.story("r1").expect("a story");
+    log.read("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
+    let story = log.story("r1").expect("a story");
     let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["drain_closing", "request_refused"]);
 }
 
 #[test]
 fn lines_of_many_daemons_in_one_file_are_told_apart_by_what_stands_before() {
-    let mut book = LogBook::default();
+    let mut log = MergedLog::default();
     let text = format!(
         "   1.5 front-1 {}   1.6 front-2 {}",
         line(1_500, "started", "\"vm\":\"x\""),
         line(1_600, "request_refused", &request("\"reason\":\"no_rule\",\"may_have_run\":false"))
     );
-    book.read("", &text);
-    let story = book.story("a1").expect("a story");
+    log.read("", &text);
+    let story = log.story("a1").expect("a story");
     assert_eq!(story.steps.len(), 1);
     assert_eq!(story.steps[0].source, "front-2");
     assert!(story.to_text().contains("no route has this host and path"));
--- a/crates/keys/src/home.rs
+++ b/crates/keys/src/home.rs
@@ -155,28 +155,29 @@
     pub fn reassign(
         &self,
         gone: &BTreeSet<VmId>,
-        takers: &[DaemonId],
+        eligible: &[DaemonId],
         now: WallTime,
     ) -> Option<KeyTable> {
-        self.table.reassign(gone, &self.me, takers, now)
+        self.table.reassign(gone, &self.me, eligible, now)
     }
 
     /// Begins to hand all slots over, or goes on with it: from now on no unclaimed key is let run
     /// here. Returns what to send to whom; send it again until each slot is acknowledged.
-    pub fn hand_over(&mut self, takers: &[DaemonId]) -> Vec<(DaemonId, KeyHandOver)> {
-        let takers: Vec<DaemonId> =
-            takers.iter().filter(|taker| **taker != self.me).cloned().collect();
+    pub fn hand_over(&mut self, eligible: &[DaemonId]) -> Vec<(DaemonId, KeyHandOver)> {
+        let eligible: Vec<DaemonId> =
+            eligible.iter().filter(|receiver| **receiver != self.me).cloned().collect();
         let mut sends = Vec::new();
         for (index, (slot, records)) in self.slots.iter_mut().enumerate() {
-            let usable = records.passing.as_ref().is_some_and(|(taker, _)| takers.contains(taker));
+            let usable =
+                records.passing.as_ref().is_some_and(|(receiver, _)| eligible.contains(receiver));
             if !usable {
-                if takers.is_empty() {
+                if eligible.is_empty() {
                     continue;
                 }
-                records.passing = Some((takers[index % takers.len()].clone(), false));
+                records.passing = Some((eligible[index % eligible.len()].clone(), false));
             }
-            if let Some((taker, false)) = &records.passing {
-                sends.push((taker.clone(), hand_over_of(*slot, self.version, records)));
+            if let Some((receiver, false)) = &records.passing {
+                sends.push((receiver.clone(), hand_over_of(*slot, self.version, records)));
             }
         }
         sends
@@ -184,10 +185,10 @@
 
     /// The next holder has the records of a slot.
     pub fn hand_over_acked(&mut self, from: &DaemonId, slot: KeySlot) {
-        if let Some((taker, acked)) =
+        if let Some((receiver, acked)) =
             self.slots.get_mut(&slot).and_then(|records| records.passing.as_mut())
         {
-            *acked |= taker == from;
+            *acked |= receiver == from;
         }
     }
 
@@ -211,7 +212,9 @@
         let mut passed = Vec::new();
         for (slot, records) in &self.slots {
             match &records.passing {
-                Some((taker, true)) => passed.push((*slot, taker.clone(), records.complete_since)),
+                Some((receiver, true)) => {
+                    passed.push((*slot, receiver.clone(), records.complete_since))
+                }
                 _ => return None,
             }
         }
--- a/crates/keys/src/table.rs
+++ b/crates/keys/src/table.rs
@@ -21,12 +21,12 @@
 
 impl KeyTable {
     /// The first table: slots dealt out in turn. No key has been used before it exists.
-    pub fn deal(slots: KeySlot, takers: &[DaemonId]) -> KeyTable {
+    pub fn deal(slots: KeySlot, eligible: &[DaemonId]) -> KeyTable {
         let holders =
-            takers.iter().cycle().take(if takers.is_empty() { 0 } else { usize::from(slots) });
+            eligible.iter().cycle().take(if eligible.is_empty() { 0 } else { usize::from(slots) });
         KeyTable {
             slots: holders
-                .map(|taker| SlotHolder { holder: taker.clone(), complete_since_ms: 0 })
+                .map(|holder| SlotHolder { holder: holder.clone(), complete_since_ms: 0 })
                 .collect(),
         }
     }
@@ -43,13 +43,13 @@
     }
 
     /// The table after the end of some holders: those on VMs that are gone, and earlier daemons of
-    /// the own VM. Their slots go to the takers with the fewest, with a history that begins now.
+    /// the own VM. Their slots go to the eligible daemons with the fewest, with a history that begins now.
     /// `None` where nothing changes.
     pub fn reassign(
         &self,
         gone: &BTreeSet<VmId>,
         me: &DaemonId,
-        takers: &[DaemonId],
+        eligible: &[DaemonId],
         now: WallTime,
     ) -> Option<KeyTable> {
         let mut next = self.clone();
@@ -58,16 +58,16 @@
             let holder = &next.slots[index].holder;
             // The process that has bound the VM's peer address knows that the earlier one has ended.
             let own_earlier = holder.vm == me.vm && holder.incarnation != me.incarnation;
-            let taker = if own_earlier {
+            let holder = if own_earlier {
                 Some(me.clone())
             } else if gone.contains(&holder.vm) && holder != me {
-                next.least_loaded(takers, gone)
+                next.least_loaded(eligible, gone)
             } else {
                 None
             };
-            if let Some(taker) = taker {
+            if let Some(holder) = holder {
                 next.slots[index] =
-                    SlotHolder { holder: taker, complete_since_ms: now.as_millis() as u64 };
+                    SlotHolder { holder, complete_since_ms: now.as_millis() as u64 };
                 changed = true;
             }
         }
@@ -77,19 +77,19 @@
     /// The table after a hand-over of slots with their complete records.
     pub fn pass(&self, passed: &[(KeySlot, DaemonId, WallTime)]) -> KeyTable {
         let mut next = self.clone();
-        for (slot, taker, complete_since) in passed {
+        for (slot, holder, complete_since) in passed {
             if let Some(entry) = next.slots.get_mut(usize::from(*slot)) {
                 let complete_since_ms = complete_since.as_millis() as u64;
-                *entry = SlotHolder { holder: taker.clone(), complete_since_ms };
+                *entry = SlotHolder { holder: holder.clone(), complete_since_ms };
             }
         }
         next
     }
 
-    /// The taker that holds the fewest slots.
-    pub fn least_loaded(&self, takers: &[DaemonId], gone: &BTreeSet<VmId>) -> Option<DaemonId> {
-        let usable = takers.iter().filter(|taker| !gone.contains(&taker.vm));
-        usable.min_by_key(|taker| (self.held_by(taker).len(), (*taker).clone())).cloned()
+    /// The eligible daemon that holds the fewest slots.
+    pub fn least_loaded(&self, eligible: &[DaemonId], gone: &BTreeSet<VmId>) -> Option<DaemonId> {
+        let usable = eligible.iter().filter(|holder| !gone.contains(&holder.vm));
+        usable.min_by_key(|holder| (self.held_by(holder).len(), (*holder).clone())).cloned()
     }
 }
 
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -217,7 +217,7 @@
 
     fn moves(&self, state: &KeyState) -> Vec<(String, KeyState)> {
         let mut steps = Vec::new();
-        let takers: Vec<DaemonId> = state.homes.keys().cloned().collect();
+        let eligible: Vec<DaemonId> = state.homes.keys().cloned().collect();
         for (id, home) in &state.homes {
             let mut gone = state.gone.clone();
             if self.fault == KeyFault::MoveByTimeOut {
@@ -225,7 +225,7 @@
                 gone.remove(&id.vm);
             }
             let usable: Vec<DaemonId> =
-                takers.iter().filter(|taker| !gone.contains(&taker.vm)).cloned().collect();
+                eligible.iter().filter(|daemon| !gone.contains(&daemon.vm)).cloned().collect();
             if let Some(mut table) = home.reassign(&gone, &usable, state.wall) {
                 if self.fault == KeyFault::HistoryClaimed {
                     table.slots.iter_mut().for_each(|slot| slot.complete_since_ms = 0);
@@ -251,7 +251,7 @@
                 continue;
             }
             let others: Vec<DaemonId> =
-                takers.iter().filter(|taker| *taker != id).cloned().collect();
+                eligible.iter().filter(|daemon| *daemon != id).cloned().collect();
             let mut next = state.clone();
             if self.fault == KeyFault::GrantsWhilePassing && home.slots_held() > 0 {
                 next.careless.entry(id.clone()).or_insert_with(|| home.clone());
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -174,7 +174,7 @@
     }
 
     /// Lets time pass; says whether this daemon has to read.
-    pub fn duty(&mut self, now: Uptime, me: &DaemonId, order: &[DaemonId]) -> ReadRole {
+    pub fn read_role(&mut self, now: Uptime, me: &DaemonId, order: &[DaemonId]) -> ReadRole {
         if self.proved.is_some() && !self.is_within(now, self.limits.lost_after * 2) {
             self.reach = PlatformReach::Lost;
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,10 +5,10 @@
 mod event;
 mod freshness;
 mod node;
+mod pool_options;
 mod status;
 mod target_view;
 mod vms;
-mod wiring;
 
 pub use event::{
     CallerDecision, ListedVm, NodeAction, NodeEvent, NodeNote, PlatformCall, TableWrite,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -76,7 +76,7 @@
     discovered: Vec<DiscoveredTarget>,
     targets: TargetView,
     freshness: Option<PlatformFreshness>,
-    duty: ReadRole,
+    read_role: ReadRole,
     home: KeyHome,
     rates: AccountRates,
     pools: BTreeMap<PoolId, PoolScheduler>,
@@ -84,7 +84,8 @@
     entry: EntryRequests,
     drain: DrainState,
     vms: VmView,
-    takers: Vec<DaemonId>,
+    /// Reachable daemons that may take roles, this one too.
+    eligible: Vec<DaemonId>,
     /// Order of schedulers over all pools.
     order: Vec<DaemonId>,
     /// When the latest pull of a peer's state was sent.
@@ -115,7 +116,7 @@
             freshness: options
                 .freshness
                 .map(|limits| PlatformFreshness::new(limits, me.incarnation)),
-            duty: ReadRole::Idle,
+            read_role: ReadRole::Idle,
             home: KeyHome::new(me.clone(), options.keys.clone()),
             rates: AccountRates::new(options.rate_margin),
             pools: BTreeMap::new(),
@@ -124,7 +125,7 @@
             drain: DrainState::new(options.drain_grace, options.hand_over_limit),
             vms: VmView::default(),
             order: vec![me.clone()],
-            takers: vec![me],
+            eligible: vec![me],
             last_pull: None,
             orders: BTreeMap::new(),
             table_absent: false,
--- a/crates/node/src/node/configuration.rs
+++ b/crates/node/src/node/configuration.rs
@@ -10,7 +10,7 @@
 
 use super::Node;
 use crate::event::{NodeAction, NodeNote};
-use crate::wiring::pool_options;
+use crate::pool_options::pool_options;
 
 impl Node {
     pub(super) fn config_offered(&mut self, bundle: ConfigBundle) {
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -67,7 +67,7 @@
 
     pub(super) fn first_table(&self) -> Option<KeyTable> {
         let due = self.table_absent && self.now >= SETTLE && self.proposes_tables();
-        due.then(|| KeyTable::deal(self.options.key_slots, &self.takers))
+        due.then(|| KeyTable::deal(self.options.key_slots, &self.eligible))
             .filter(|table| !table.slots.is_empty())
     }
 
@@ -82,7 +82,7 @@
         if !own_earlier && !self.proposes_tables() {
             return None;
         }
-        self.home.reassign(&gone, &self.takers, self.wall)
+        self.home.reassign(&gone, &self.eligible, self.wall)
     }
 
     pub(super) fn proposes_tables(&self) -> bool {
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Role takers, ended peers, and the VM list.
+//! Eligible daemons, ended peers, and the VM list.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `MemberView` for the peers.
 
@@ -13,7 +13,7 @@
 impl Node {
     /// The platform has named addresses of daemons; `complete` where it knows no others.
     pub(super) fn peers_recorded(&mut self, addresses: Vec<String>, complete: bool) {
-        self.members.hint(addresses, complete);
+        self.members.add_addresses(addresses, complete);
         // A new daemon is known to the others at once, and they to it.
         self.last_heartbeat = None;
     }
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Moves asks to the right schedulers when the set of role takers has changed.
-    pub(super) fn review_takers(&mut self) {
+    /// Moves asks to the right schedulers when the set of eligible daemons has changed.
+    pub(super) fn review_roles(&mut self) {
         if !self.members.take_changed() {
             return;
         }
-        self.takers = self.members.role_takers();
+        self.eligible = self.members.eligible_daemons();
         self.order = self.members.scheduler_order(ALL_POOLS);
         let before = std::mem::take(&mut self.orders);
         self.renew_orders();
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -58,7 +58,7 @@
 
     pub(super) fn message(&mut self, from: &DaemonId, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(beat) => self.heard(from, &beat),
+            PeerMessage::Heartbeat(beat) => self.heartbeat_received(from, &beat),
             PeerMessage::StatePull(pull) => self.state_pulled(&from.vm, pull),
             PeerMessage::ConfigPush(bundle) => self.config_offered(bundle),
             PeerMessage::TablePush(push) => {
@@ -147,13 +147,13 @@
         self.post(from, PeerMessage::KeyAnswer(answer));
     }
 
-    pub(super) fn heard(&mut self, from: &DaemonId, beat: &Heartbeat) {
-        if let Some(ended) = self.members.heard(self.now, from, beat) {
+    pub(super) fn heartbeat_received(&mut self, from: &DaemonId, beat: &Heartbeat) {
+        if let Some(ended) = self.members.heartbeat_received(self.now, from, beat) {
             self.actions.push(NodeAction::Note(NodeNote::PeerReplaced(ended.clone())));
             self.entry_ended(&ended);
         }
-        self.entry.heard(self.now, &from.vm);
-        self.review_takers();
+        self.entry.heartbeat_received(self.now, &from.vm);
+        self.review_roles();
         if beat.generation > self.store.generation() || beat.table > self.home.version() {
             self.pull_state(&from.vm);
         }
@@ -206,7 +206,7 @@
         for action in actions {
             let pool = action.answer.pool.clone();
             let lowest = self.pools.get(&pool).map_or(0, PoolScheduler::lowest);
-            let peers = self.other_takers();
+            let peers = self.eligible_peers();
             let step =
                 self.guards.entry(pool.clone()).or_default().pass(self.now, action, lowest, &peers);
             self.take_guard_step(&pool, step);
@@ -223,8 +223,8 @@
     }
 
     /// Reachable daemons other than this one that take roles.
-    pub(super) fn other_takers(&self) -> Vec<DaemonId> {
-        self.takers.iter().filter(|taker| **taker != self.options.me).cloned().collect()
+    pub(super) fn eligible_peers(&self) -> Vec<DaemonId> {
+        self.eligible.iter().filter(|daemon| **daemon != self.options.me).cloned().collect()
     }
 
     pub(super) fn post_answers(&mut self, actions: Vec<SchedulerAction>) {
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -108,10 +108,10 @@
     pub(super) fn step_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         let me = &self.options.me;
-        let duty = freshness.duty(self.now, me, &self.order);
-        if self.duty != duty {
-            self.duty = duty;
-            self.actions.push(NodeAction::Platform(PlatformCall::Read(duty)));
+        let role = freshness.read_role(self.now, me, &self.order);
+        if self.read_role != role {
+            self.read_role = role;
+            self.actions.push(NodeAction::Platform(PlatformCall::Read(role)));
         }
         if !freshness.is_doubtful(self.now) && self.targets.settle() {
             self.renew_discovered();
@@ -124,7 +124,7 @@
         let Some(freshness) = self.freshness.as_ref() else { return };
         if self.members.set_stale(freshness.is_stale(self.now)) {
             self.last_heartbeat = None;
-            self.review_takers();
+            self.review_roles();
         }
     }
 }
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -13,7 +13,7 @@
             self.members.set_draining();
             self.actions.push(NodeAction::Note(NodeNote::DrainBegun));
             self.last_heartbeat = None;
-            self.review_takers();
+            self.review_roles();
         }
     }
 
@@ -23,9 +23,9 @@
         self.drain.tick(self.now, input);
         let phase = self.drain.phase();
         if phase == DrainPhase::Closing {
-            let takers: Vec<DaemonId> = self.takers.clone();
-            for (taker, hand_over) in self.home.hand_over(&takers) {
-                self.post(&taker.vm, PeerMessage::KeyHandOver(hand_over));
+            let eligible: Vec<DaemonId> = self.eligible.clone();
+            for (receiver, hand_over) in self.home.hand_over(&eligible) {
+                self.post(&receiver.vm, PeerMessage::KeyHandOver(hand_over));
             }
         }
         if before != phase {
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -25,7 +25,7 @@
             self.actions.push(NodeAction::Note(NodeNote::PeerLost(lost.clone())));
             self.entry_ended(&lost);
         }
-        self.review_takers();
+        self.review_roles();
         self.entry.set_daemons(self.members.fleet_size() as u64);
         let orders = &self.orders;
         let members = &self.members;
@@ -38,7 +38,7 @@
                 .map(|scheduler| scheduler.tick(self.now))
                 .unwrap_or_default();
             self.send_answers(actions);
-            let peers = self.other_takers();
+            let peers = self.eligible_peers();
             let step = self.guards.entry(pool.clone()).or_default().tick(self.now, &peers);
             self.take_guard_step(&pool, step);
         }
--- a/crates/sched/src/election/addresses.rs
+++ b/crates/sched/src/election/addresses.rs
@@ -16,7 +16,7 @@
 
 impl MemberView {
     /// Addresses at which daemons may live; `complete` where they are all that the platform has.
-    pub fn hint(&mut self, addresses: Vec<String>, complete: bool) {
+    pub fn add_addresses(&mut self, addresses: Vec<String>, complete: bool) {
         for address in addresses {
             let own = address == self.options.address;
             if !own && self.known_addresses.insert(address.clone()) && !self.is_heard(&address) {
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -106,7 +106,7 @@
     pub(super) known_addresses: BTreeSet<String>,
     /// Place in the peers from which the next heartbeat names addresses.
     pub(super) named: usize,
-    /// Whether the set of role takers may have changed since it was last asked for.
+    /// Whether the set of eligible daemons may have changed since it was last asked for.
     pub(super) changed: bool,
     /// Whether the platform has named the daemons that it knows.
     pub(super) records_known: bool,
@@ -161,11 +161,16 @@
     }
 
     /// Takes a heartbeat. Returns the daemon that ended, where the VM has started a new one.
-    pub fn heard(&mut self, now: Uptime, from: &DaemonId, beat: &Heartbeat) -> Option<DaemonId> {
+    pub fn heartbeat_received(
+        &mut self,
+        now: Uptime,
+        from: &DaemonId,
+        beat: &Heartbeat,
+    ) -> Option<DaemonId> {
         if from.vm == self.me.vm {
             return None;
         }
-        self.hint(beat.known.clone(), false);
+        self.add_addresses(beat.known.clone(), false);
         let mut peer = PeerState::from_heartbeat(now, from, beat);
         let earlier = self.peers.get(&from.vm);
         peer.near_since = earlier.and_then(|earlier| earlier.near_since);
@@ -199,7 +204,7 @@
         self.peers.get(vm).map(|peer| peer.address.as_str())
     }
 
-    /// Whether the set of role takers may have changed since the last call.
+    /// Whether the set of eligible daemons may have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/sched/src/election/order.rs
+++ b/crates/sched/src/election/order.rs
@@ -28,31 +28,31 @@
 
 impl MemberView {
     /// Reachable daemons that take roles, this one among them.
-    pub fn role_takers(&self) -> Vec<DaemonId> {
+    pub fn eligible_daemons(&self) -> Vec<DaemonId> {
         let peers = self.peers.iter().filter(|(_, peer)| peer.live && !peer.draining);
-        let mut takers: Vec<DaemonId> = peers
+        let mut eligible: Vec<DaemonId> = peers
             .map(|(vm, peer)| DaemonId { vm: vm.clone(), incarnation: peer.incarnation })
             .collect();
         if !self.draining {
-            takers.push(self.me.clone());
+            eligible.push(self.me.clone());
         }
-        takers.sort();
-        takers
+        eligible.sort();
+        eligible
     }
 
     /// Daemons to ask for permits of a pool, best first; this one alone if no daemon takes roles.
     pub fn scheduler_order(&self, pool: &str) -> Vec<DaemonId> {
-        let mut takers = self.role_takers();
-        takers.sort_by_cached_key(|taker| self.rank_of(taker, pool));
-        if takers.is_empty() {
-            takers.push(self.me.clone());
+        let mut eligible = self.eligible_daemons();
+        eligible.sort_by_cached_key(|daemon| self.rank_of(daemon, pool));
+        if eligible.is_empty() {
+            eligible.push(self.me.clone());
         }
-        takers
+        eligible
     }
 
-    fn rank_of(&self, taker: &DaemonId, pool: &str) -> CandidateRank {
-        let weight = Reverse(hash_of_pair(pool, &taker.vm));
-        match self.peers.get(&taker.vm) {
+    fn rank_of(&self, daemon: &DaemonId, pool: &str) -> CandidateRank {
+        let weight = Reverse(hash_of_pair(pool, &daemon.vm));
+        match self.peers.get(&daemon.vm) {
             Some(peer) => CandidateRank {
                 stale: peer.stale,
                 capacity: Reverse(peer.capacity),
--- a/crates/sched/src/election/unresponsive.rs
+++ b/crates/sched/src/election/unresponsive.rs
@@ -46,7 +46,7 @@
     }
 
     /// A heartbeat of a daemon has arrived.
-    pub fn heard(&mut self, now: Uptime, vm: &VmId) {
+    pub fn heartbeat_received(&mut self, now: Uptime, vm: &VmId) {
         if self.since.get(vm).is_some_and(|since| now >= *since + self.at_least) {
             self.since.remove(vm);
         }
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -164,7 +164,7 @@
         actions
     }
 
-    /// The set of role takers has changed: asks go to the right scheduler, and it learns what is
+    /// The set of eligible daemons has changed: asks go to the right scheduler, and it learns what is
     /// in flight.
     pub fn schedulers_changed(
         &mut self,
@@ -198,8 +198,8 @@
     }
 
     /// A daemon was heard of, so it may be asked again.
-    pub fn heard(&mut self, now: Uptime, vm: &VmId) {
-        self.unresponsive.heard(now, vm);
+    pub fn heartbeat_received(&mut self, now: Uptime, vm: &VmId) {
+        self.unresponsive.heartbeat_received(now, vm);
     }
 
     fn drop_refused(&mut self, id: RequestId, refusal: Refusal) -> Vec<EntryAction> {
--- a/crates/sched/tests/members.rs
+++ b/crates/sched/tests/members.rs
@@ -54,15 +54,15 @@
     let now = Duration::from_secs(1);
     let mut view = view(12, 12, 5);
     for index in 1..6 {
-        view.heard(now, &daemon(index), &beat(index, 12, 5));
+        view.heartbeat_received(now, &daemon(index), &beat(index, 12, 5));
     }
-    view.heard(now, &daemon(6), &beat(6, 50, 9));
+    view.heartbeat_received(now, &daemon(6), &beat(6, 50, 9));
     assert_eq!(first(&view), "vm-6");
-    view.heard(now, &daemon(7), &beat(7, 50, 8));
+    view.heartbeat_received(now, &daemon(7), &beat(7, 50, 8));
     assert_eq!(first(&view), "vm-7");
     // It starts again and is the youngest now.
     let again = DaemonId { incarnation: 2, ..daemon(7) };
-    view.heard(now, &again, &beat(7, 50, 20));
+    view.heartbeat_received(now, &again, &beat(7, 50, 20));
     assert_eq!(first(&view), "vm-6");
 }
 
@@ -70,7 +70,7 @@
 fn daemon_with_an_old_view_is_asked_last_however_strong() {
     let now = Duration::from_secs(1);
     let mut view = view(12, 12, 5);
-    view.heard(now, &daemon(1), &Heartbeat { stale: true, ..beat(1, 50, 1) });
+    view.heartbeat_received(now, &daemon(1), &Heartbeat { stale: true, ..beat(1, 50, 1) });
     assert_eq!(first(&view), "vm-0");
 }
 
@@ -87,7 +87,7 @@
     let begin = Duration::from_secs(1);
     for index in 1..30 {
         let capacity = if index <= 4 { 50 } else { 12 };
-        view.heard(begin, &daemon(index), &beat(index, capacity, 5));
+        view.heartbeat_received(begin, &daemon(index), &beat(index, capacity, 5));
     }
     let silent = if strong { 2 } else { 20 };
     let order = view.scheduler_order(SUBJECT);
@@ -95,7 +95,7 @@
     let now = begin + silence;
     for index in (1..30).filter(|index| *index != silent) {
         let capacity = if index <= 4 { 50 } else { 12 };
-        view.heard(now, &daemon(index), &beat(index, capacity, 5));
+        view.heartbeat_received(now, &daemon(index), &beat(index, capacity, 5));
     }
     assert_eq!(view.tick(now).contains(&daemon(silent)), lost);
 }
@@ -105,7 +105,7 @@
     let mut view = view(12, 12, 5);
     let begin = Duration::from_secs(1);
     for index in 1..30 {
-        view.heard(begin, &daemon(index), &beat(index, 12, 5));
+        view.heartbeat_received(begin, &daemon(index), &beat(index, 12, 5));
     }
     assert_eq!(view.tick(begin + SUSPECT_AFTER).len(), 29);
     assert_eq!(view.scheduler_order(SUBJECT), [daemon(0)]);
@@ -116,7 +116,7 @@
     let mut view = view(12, 12, 5);
     let now = Duration::from_secs(1);
     for index in 1..30 {
-        view.heard(now, &daemon(index), &beat(index, 50, 5));
+        view.heartbeat_received(now, &daemon(index), &beat(index, 50, 5));
     }
     let order = view.scheduler_order(SUBJECT);
     // The first heartbeats of a process go to everyone.
@@ -131,6 +131,6 @@
     let unasked = (0..10).filter(|_| sent(&mut view)).count();
     assert!(unasked <= 1 || order.iter().take(4).any(|taker| *taker == daemon(asker)));
     let wanted = Heartbeat { answer_wanted: true, ..beat(asker, 50, 5) };
-    view.heard(now, &daemon(asker), &wanted);
+    view.heartbeat_received(now, &daemon(asker), &wanted);
     assert!(sent(&mut view));
 }
--- a/crates/tool/src/explain.rs
+++ b/crates/tool/src/explain.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 
 use anyhow::{Context, Result};
-use curlewcleat_explain::LogBook;
+use curlewcleat_explain::MergedLog;
 
 use crate::arguments::{Arguments, ExplainArguments};
 use crate::ToolExit;
@@ -13,7 +13,7 @@
 
 /// Prints the story of a request; none is reported as invalid.
 pub fn explain(arguments: &Arguments, options: &ExplainArguments) -> Result<ToolExit> {
-    let mut book = LogBook::default();
+    let mut log = MergedLog::default();
     for file in &options.logs {
         let name = file.display().to_string();
         let bytes = match name.as_str() {
@@ -25,12 +25,12 @@
             _ => std::fs::read(file).with_context(|| format!("logs: cannot read {name}"))?,
         };
         let source = if name == STANDARD_INPUT { "" } else { name.as_str() };
-        book.read(source, &String::from_utf8_lossy(&bytes));
+        log.read(source, &String::from_utf8_lossy(&bytes));
     }
-    if book.unreadable() > 0 {
-        eprintln!("{} line(s) are no log lines, or were cut", book.unreadable());
+    if log.unreadable() > 0 {
+        eprintln!("{} line(s) are no log lines, or were cut", log.unreadable());
     }
-    let Some(story) = book.story(&options.request) else {
+    let Some(story) = log.story(&options.request) else {
         eprintln!("no line tells of {}", options.request);
         return Ok(ToolExit::Invalid);
     };
