--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -170,6 +170,7 @@
     }
 
     fn manifest_read(&mut self, read: Option<(ObjectVersion, ConfigManifest)>) -> ApplyAction {
+        // Nothing applied yet: an empty manifest, which the store creates at version 0.
         let (version, manifest) = read.unwrap_or_default();
         // An update whose answer was lost has taken effect if the history knows its id.
         if let Some(record) = manifest.record(self.options.apply) {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -133,6 +133,7 @@
     }
 
     fn callers(&mut self, mut section: IniSection<'_>, report: &mut CheckReport) {
+        // The name is of no use; a second section of the kind is reported.
         let _ = self.claim(&section, report);
         let idle = section.duration("idle_limit", Duration::from_secs(15), report);
         self.config.idle_limit = Some(idle);
@@ -153,6 +154,7 @@
             id,
             address: section.address("address", report),
             vm: section.required("vm", report),
+            // A target without one counts as near to all daemons.
             data_centre: section.text("data_centre").unwrap_or_default(),
             slots: section.number("slots", 8, 1..=4_096, report) as u32,
         };
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -309,6 +309,7 @@
 }
 
 fn read_seeds(section: &mut IniSection<'_>, report: &mut CheckReport) -> Vec<String> {
+    // Seeds are optional.
     let text = section.text("seeds").unwrap_or_default();
     let seeds: Vec<String> =
         text.split(',').map(|seed| seed.trim().to_string()).filter(|s| !s.is_empty()).collect();
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -205,8 +205,9 @@
         self.rules.iter().find(|rule| rule.takes(host, method, path))
     }
 
-    /// Rank of the highest tier.
+    /// Rank of the highest tier, 0 where there is none.
     pub fn top_rank(&self) -> TierRank {
+        // Without tiers no rule passes the check, so that no request asks.
         self.tiers.values().map(|tier| tier.rank).min().unwrap_or(0)
     }
 }
--- a/crates/daemon/src/request/admitted.rs
+++ b/crates/daemon/src/request/admitted.rs
@@ -61,6 +61,7 @@
             request: self.id,
             pool: self.pool.id.clone(),
             tier: self.rank,
+            // Requests without an account share one queue.
             account: self.account.clone().unwrap_or_default(),
             time_left: self.time_left(),
             objectives: self.objectives,
--- a/crates/daemon/src/request/form.rs
+++ b/crates/daemon/src/request/form.rs
@@ -104,8 +104,9 @@
 impl AnswerForm for ByteForm {
     fn begin(&mut self, head: &ResponseHead) {
         self.status = head.status.as_u16();
-        self.content_type =
-            headers::text(&head.headers, "content-type").unwrap_or_default().to_string();
+        // A kept answer without a type is replayed with an empty one.
+        let content_type = headers::text(&head.headers, "content-type").unwrap_or_default();
+        self.content_type = content_type.to_string();
         let stream_id = headers::text(&head.headers, STREAM_ID).filter(|_| self.resumable);
         self.stream_id = stream_id.map(str::to_string);
     }
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -97,7 +97,7 @@
 
     /// A resting connection is used only for as long as its target says that it keeps it.
     fn note_idle_limit(&self, answer: &mut TargetAnswer) {
-        let text = headers::text(&answer.head.headers, "keep-alive").unwrap_or_default();
+        let Some(text) = headers::text(&answer.head.headers, "keep-alive") else { return };
         let seconds = text.split([',', ';']).find_map(|part| {
             let part = part.trim();
             part.strip_prefix("timeout=").unwrap_or(part).parse::<u64>().ok()
@@ -124,6 +124,7 @@
     }
 
     fn attempt_id<'r>(&self, headers: &'r HeaderMap) -> &'r str {
+        // It goes into a log line only.
         headers::text(headers, self.profile.attempt_id).unwrap_or_default()
     }
 
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -135,6 +135,7 @@
 
 /// Host of a request without its port.
 fn host_name(head: &HeaderMap) -> &str {
+    // A request without a readable host matches only rules that name none.
     let host = head.get(header::HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -260,9 +260,10 @@
         let since = |then: Option<Instant>| {
             then.map_or(-1, |then| then.duration_since(request.arrived).as_millis() as i64)
         };
+        // A public rule asks for no account.
+        let account = request.account.as_deref().unwrap_or_default();
         info!("request_served", kv: {
-            request = request.id.to_string(), attempt = request.attempt_id.as_str(),
-            account = request.account.as_deref().unwrap_or_default(),
+            request = request.id.to_string(), attempt = request.attempt_id.as_str(), account,
             cost = request.cost, rule = request.rule.id.as_str(),
             pool = request.pool.id.as_str(),
             target = target.id.as_str(), attempts = progress.attempts,
@@ -301,6 +302,7 @@
 ) {
     let tier = request.map_or("", |request| request.tier.as_str());
     let pool = request.map_or("", |request| request.pool.id.as_str());
+    // Unknown before the admission, and not asked for by a public rule.
     let account = request.and_then(|request| request.account.as_deref()).unwrap_or_default();
     let config_age = service.protocol.config_age();
     service.context.metrics.refusal(refusal.reason, tier, pool);
@@ -316,8 +318,9 @@
 
 /// The answer that an earlier attempt with the same idempotency key got.
 fn replayed_answer(id: RequestId, kept: KeptAnswer) -> CallerAnswer {
-    // Both were taken from a target's answer; what the daemon that kept them sent amiss is left out.
+    // Both were taken from a target's answer; what cannot be read any more is left out.
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
+    // As above.
     let content_type = HeaderValue::from_str(&kept.content_type).ok();
     let mut headers = vec![(REPLAYED, HeaderValue::from_static("true"))];
     headers.extend(content_type.map(|value| (header::CONTENT_TYPE, value)));
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -48,6 +48,7 @@
 
     /// A field as text, empty where it is missing.
     pub fn text(&self, name: &str) -> &str {
+        // Stories show a missing field as empty.
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/story.rs
@@ -105,8 +105,10 @@
 fn held_ms(own: &[&LogLine]) -> u64 {
     let begin_of = |line: &&LogLine| {
         let held = line.fields.get("held_ms").or(line.fields.get("end_ms"));
+        // A line without either says nothing of the time before it.
         held.and_then(serde_json::Value::as_u64).unwrap_or(0)
     };
+    // A story has at least one line.
     own.first().map(begin_of).unwrap_or(0)
 }
 
--- a/crates/keys/src/slot.rs
+++ b/crates/keys/src/slot.rs
@@ -26,6 +26,7 @@
 }
 
 impl SlotRecords {
+    /// A slot without records, whose history begins at a time.
     pub fn new(complete_since: WallTime) -> SlotRecords {
         SlotRecords { complete_since, passing: None, records: BTreeMap::new() }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -249,14 +249,11 @@
             leaving: state.leaving,
             ejected: state.ejected(),
         });
+        // The order names at least this daemon.
+        let order = self.members.scheduler_order(self.subject_of(id));
         PoolStatus {
             id: id.clone(),
-            scheduler: self
-                .members
-                .scheduler_order(self.subject_of(id))
-                .first()
-                .map(|daemon| daemon.vm.clone())
-                .unwrap_or_default(),
+            scheduler: order[0].vm.clone(),
             waiting: pool.waiting(),
             in_flight: pool.in_flight(),
             lowest_open: pool.level().lowest_open(),
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -32,11 +32,8 @@
         let actions = self.entry.tick(self.now, &|pool| order_of(orders, members, pool));
         self.perform(actions);
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
-            let actions = self
-                .pools
-                .get_mut(&pool)
-                .map(|scheduler| scheduler.tick(self.now))
-                .unwrap_or_default();
+            let now = self.now;
+            let actions = self.pool(&pool).tick(now);
             self.send_answers(actions);
             let peers = self.eligible_peers();
             let step = self.guards.entry(pool.clone()).or_default().tick(self.now, &peers);
--- a/crates/node/src/pool_options.rs
+++ b/crates/node/src/pool_options.rs
@@ -17,12 +17,14 @@
         };
         (account.id.clone(), limit)
     });
+    // Without tiers no rule passes the check, so that no request asks.
+    let lowest = config.tiers.values().map(|tier| tier.rank).max().unwrap_or(0);
     PoolOptions {
         queue_limit: pool.queue_limit as usize,
         reserve_percent: pool.reserve_percent,
         cached_prefixes: pool.cached_prefixes as usize,
         top: config.top_rank(),
-        lowest: config.tiers.values().map(|tier| tier.rank).max().unwrap_or(0),
+        lowest,
         age_per_work,
         accounts: accounts.collect(),
     }
--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -206,6 +206,7 @@
     }
 
     pub(crate) fn limit_of(&self, account: &AccountId) -> AccountLimit {
+        // An account that the configuration no longer has keeps its queue with the defaults.
         self.options.accounts.get(account).cloned().unwrap_or_default()
     }
 }
--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -28,6 +28,7 @@
         let usable = self.targets.values().filter(|state| !state.leaving && !state.ejected());
         if request.objectives.length_guessed {
             let times = usable.filter_map(|state| self.stream_time(request, state));
+            // Without a usable target there is nothing to forecast from.
             return times.min().unwrap_or(0) / GUESS_DIVISOR;
         }
         let fastest = usable.map(|state| state.estimate(request)).min();
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -27,6 +27,7 @@
 /// Work in a second: above the line in microseconds of work, below it in microseconds of time.
 fn per_second(flow: &DecayingRatio) -> u64 {
     let flow = DecayingRatio { below: flow.below.max(1), ..*flow };
+    // `below` is at least 1, so that there always is a ratio.
     flow.of(MICROS_PER_SECOND).unwrap_or(0)
 }
 
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -18,7 +18,7 @@
 pub const MOST_ADVICE: Duration = Duration::from_secs(60);
 /// Advice where nothing better is known, and the least for a pool without room. Chosen, not measured.
 pub const DEFAULT_ADVICE: Duration = Duration::from_secs(1);
-/// Part of the time left over which returns are spread, in percent. From docs/MEASUREMENTS.md, row
+/// Part of the remaining time over which returns are spread, in percent. From docs/MEASUREMENTS.md, row
 /// "forecasts shed no tier, returns spread"; the figure itself is chosen.
 const SPREAD_PERCENT: u32 = 25;
 /// Part of the time left after which there is no use in coming back, in percent. Chosen; all of the time
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -257,5 +257,6 @@
 }
 
 fn class_of(work: WorkMicros) -> usize {
+    // No work at all belongs to the lowest class.
     (work.checked_ilog2().unwrap_or(0) as usize).min(CLASSES - 1)
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -127,6 +127,7 @@
     async fn exchange(&self, request: StoreRequest, limit: Duration) -> Result<StoreReply> {
         let connection = self.connections.connect(&self.address, limit).await.map_err(unclear)?;
         let head = request.head()?;
+        // Reads have no body.
         let body = request.body.map(Bytes::from).unwrap_or_default();
         let TargetAnswer { head, mut body } =
             connection.exchange(head, body).await.map_err(unclear)?;
--- a/crates/tool/src/apply.rs
+++ b/crates/tool/src/apply.rs
@@ -102,6 +102,7 @@
 pub async fn diff(arguments: &Arguments, options: &FileArguments) -> Result<ToolExit> {
     let edited = files::read(&options.files)?;
     let store = store(arguments);
+    // Before the first apply nothing is in force.
     let manifest = manifest(&store).await?.unwrap_or_default();
     let theirs = texts(&store, &manifest).await?;
     let mut same = true;
--- a/crates/tool/src/show.rs
+++ b/crates/tool/src/show.rs
@@ -24,6 +24,7 @@
 
 /// `history`: who applied what and when.
 pub async fn history(arguments: &Arguments) -> Result<ToolExit> {
+    // Before the first apply the history is empty.
     let manifest = manifest(&store(arguments)).await?.unwrap_or_default();
     if arguments.json {
         println!("{}", json!(manifest.history));
