--- a/crates/acceptance/tests/operators.rs
+++ b/crates/acceptance/tests/operators.rs
@@ -1,5 +1,9 @@
 //! The operators' side: the tool, its exit codes, checked settings, status and metrics.
 
+use std::ffi::OsStr;
+use std::os::unix::ffi::OsStrExt;
+use std::path::Path;
+
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet};
 use curlewcleat_core::{RefusalReason, RetryReason};
@@ -30,6 +34,20 @@
     Ok(())
 }
 
+/// Files are known by their names, so that one without a readable name cannot be put in force.
+#[actix_rt::test]
+async fn file_without_a_readable_name_is_refused() -> Result<()> {
+    let fleet = Deployment::start("unreadable-name").await?;
+    let path = fleet.write_file("right.ini", "[tier a]\nrank = 1\n")?;
+    let folder = Path::new(&path).with_file_name("files");
+    std::fs::create_dir(&folder)?;
+    std::fs::rename(&path, folder.join(OsStr::from_bytes(b"\xff.ini")))?;
+    let (code, output) = fleet.tool(&["check", &folder.display().to_string()])?;
+    assert_ne!(code, 0, "{output}");
+    assert!(output.contains("is not UTF-8"), "{output}");
+    Ok(())
+}
+
 #[rstest]
 #[case::sahel_volt("sahel-volt")]
 #[case::atlas("atlas")]
--- a/crates/tool/src/files.rs
+++ b/crates/tool/src/files.rs
@@ -34,7 +34,9 @@
 }
 
 fn read_one(path: &Path, texts: &mut FileTexts) -> Result<()> {
-    let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default().to_string();
+    let name = path.file_name().and_then(|name| name.to_str()).map(str::to_string);
+    let name =
+        name.with_context(|| format!("files: the name of {} is not UTF-8", path.display()))?;
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("files: cannot read {}", path.display()))?;
     if texts.insert(name.clone(), text).is_some() {
