--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -1,19 +1,29 @@
 //! Daemons on a platform that keeps the configuration: routes, answers, failures of engines and of the
 //! store, and the planned stop. The verdict always compares what engines ran with what callers got.
 
+use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead};
 use anyhow::Result;
 use bytes::Bytes;
-use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST};
-use curlewcleat_platform::names::{SEAL, SERVERS, WIRE_PROFILE};
+use curlewcleat_platform::example::{
+    example_config, DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST,
+};
+use curlewcleat_platform::names::{CONFIG_NAME, SEAL, SERVERS, WIRE_PROFILE};
+use curlewcleat_platform::FleetClient;
+use curlewcleat_standins::address::free_address;
 use curlewcleat_standins::deployment::{get_text, wait_until};
 use curlewcleat_standins::fleet::{EngineStep, FleetDeployment, FleetEngine, StoreOutage};
+use curlewcleat_standins::http::{
+    serve, AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest,
+};
+use curlewcleat_store::{Error, FleetPlatform};
 use curlewcleat_targets::{AnswerBody, ConnectionPool};
 use futures_util::StreamExt;
 use rstest::rstest;
+use serde_json::json;
 
 const PACE: Duration = Duration::from_millis(10);
 const EVENTS: u64 = 8;
@@ -538,3 +548,38 @@
     assert_eq!(Call::new("/again/a", "t2").send(entry).await?.status, 200);
     Ok(())
 }
+
+/// A store that answers each read with an object that has no revision.
+struct UnversionedStore;
+
+impl PlainHandler for UnversionedStore {
+    fn handle<'a>(
+        &'a self,
+        _: PlainRequest,
+        connection: &'a mut PlainConnection,
+    ) -> HandlerFuture<'a> {
+        Box::pin(async move {
+            let object = json!({ "metadata": { "name": CONFIG_NAME }, "spec": example_config() });
+            connection.answer_json(200, &object).await?;
+            Ok(AfterAnswer::KeepOpen)
+        })
+    }
+}
+
+/// Taken as version 0 it would count as read before, and prove what was never read.
+#[actix_rt::test]
+async fn configuration_without_a_revision_is_no_answer() -> Result<()> {
+    let address = free_address()?;
+    let served = address.clone();
+    actix_rt::spawn(async move { serve(&served, Rc::new(UnversionedStore)).await });
+    let client = FleetClient::new(&address, Duration::from_secs(2));
+    wait_until("the store listens", || async {
+        !matches!(client.read_config(0).await, Err(Error::Unclear(_)))
+    })
+    .await?;
+    for known in [0, 7] {
+        let read = client.read_config(known).await;
+        assert!(matches!(read, Err(Error::Protocol(_))), "{read:?}");
+    }
+    Ok(())
+}
