--- a/crates/daemon/src/files/follow.rs
+++ b/crates/daemon/src/files/follow.rs
@@ -11,18 +11,20 @@
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_node::{ListedVm, NodeEvent};
 use curlewcleat_store::{ObjectStore, Result, StoredObject, VmState};
-use spdlog::prelude::*;
 
+use crate::back_off::{BackOff, BackOffOptions};
 use crate::context::DaemonContext;
 
 /// Longest wait of a watch.
 /// Chosen, not measured.
 const WATCH_LIMIT: Duration = Duration::from_secs(30);
-/// First pause after a failed call; doubles up to the limit.
-/// Chosen, not measured.
-const PAUSE_FIRST: Duration = Duration::from_millis(200);
-/// Chosen, not measured.
-const PAUSE_LIMIT: Duration = Duration::from_secs(5);
+/// Pauses after failed calls. Chosen, not measured: an outage of the store delays changes only, so that
+/// its calls need not be frequent.
+const BACK_OFF: BackOffOptions = BackOffOptions {
+    first: Duration::from_millis(200),
+    limit: Duration::from_secs(5),
+    jitter: 1.0..=1.0,
+};
 /// Time between reads of the VM list.
 /// Chosen, not measured.
 const VM_LIST_EVERY: Duration = Duration::from_secs(1);
@@ -36,11 +38,14 @@
 
 /// Reads the key table once and tells the node, again and again until an answer comes.
 pub async fn read_table(store: &dyn ObjectStore, context: &DaemonContext) {
-    let mut pause = FailurePause::default();
+    let mut pause = BackOff::new(BACK_OFF);
     loop {
         match store.get(TABLE_KEY).await.and_then(|read| tell_table(read, context)) {
             Ok(()) => return,
-            Err(error) => pause.failed("get_table", &error, context).await,
+            Err(error) => {
+                pause.failed("get_table", &error, context);
+                pause.wait().await;
+            }
         }
     }
 }
@@ -48,16 +53,19 @@
 async fn follow_config(store: Rc<dyn ObjectStore>, context: DaemonContext) {
     let mut known = 0;
     let mut contents = BTreeMap::new();
-    let mut pause = FailurePause::default();
+    let mut pause = BackOff::new(BACK_OFF);
     loop {
         match next_config(store.as_ref(), known, &mut contents).await {
             Ok(Some((version, bundle))) => {
                 known = version;
                 context.tell(NodeEvent::ConfigRead(bundle));
-                pause = FailurePause::default();
+                pause.reset();
+            }
+            Ok(None) => pause.reset(),
+            Err(error) => {
+                pause.failed("watch_config", &error, &context);
+                pause.wait().await;
             }
-            Ok(None) => pause = FailurePause::default(),
-            Err(error) => pause.failed("watch_config", &error, &context).await,
         }
     }
 }
@@ -104,7 +112,7 @@
 async fn follow_table(store: Rc<dyn ObjectStore>, context: DaemonContext) {
     read_table(store.as_ref(), &context).await;
     let mut known = 0;
-    let mut pause = FailurePause::default();
+    let mut pause = BackOff::new(BACK_OFF);
     loop {
         match store.watch(TABLE_KEY, known, WATCH_LIMIT).await {
             Ok(Some(object)) => {
@@ -112,13 +120,19 @@
                 match tell_table(Some(object), &context) {
                     Ok(()) => {
                         known = version;
-                        pause = FailurePause::default();
+                        pause.reset();
+                    }
+                    Err(error) => {
+                        pause.failed("watch_table", &error, &context);
+                        pause.wait().await;
                     }
-                    Err(error) => pause.failed("watch_table", &error, &context).await,
                 }
             }
-            Ok(None) => pause = FailurePause::default(),
-            Err(error) => pause.failed("watch_table", &error, &context).await,
+            Ok(None) => pause.reset(),
+            Err(error) => {
+                pause.failed("watch_table", &error, &context);
+                pause.wait().await;
+            }
         }
     }
 }
@@ -141,7 +155,7 @@
 }
 
 async fn follow_vms(store: Rc<dyn ObjectStore>, context: DaemonContext) {
-    let mut pause = FailurePause::default();
+    let mut pause = BackOff::new(BACK_OFF);
     loop {
         match store.vms().await {
             Ok(records) => {
@@ -149,37 +163,13 @@
                 let list = lines
                     .map(|line| ListedVm { vm: line.vm, leaving: line.state == VmState::Leaving });
                 context.tell(NodeEvent::VmsRead(list.collect()));
-                pause = FailurePause::default();
+                pause.reset();
                 tokio::time::sleep(VM_LIST_EVERY).await;
             }
-            Err(error) => pause.failed("vms", &error, &context).await,
-        }
-    }
-}
-
-/// Pauses after failed calls, longer each time.
-struct FailurePause {
-    next: Duration,
-}
-
-impl Default for FailurePause {
-    fn default() -> FailurePause {
-        FailurePause { next: PAUSE_FIRST }
-    }
-}
-
-impl FailurePause {
-    async fn failed(
-        &mut self,
-        call: &str,
-        error: &curlewcleat_store::Error,
-        context: &DaemonContext,
-    ) {
-        context.metrics.platform_error(call);
-        if self.next == PAUSE_FIRST {
-            warn!("platform_call_failed", kv: { call, error = error.to_string() });
+            Err(error) => {
+                pause.failed("vms", &error, &context);
+                pause.wait().await;
+            }
         }
-        tokio::time::sleep(self.next).await;
-        self.next = (self.next * 2).min(PAUSE_LIMIT);
     }
 }
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -6,29 +6,29 @@
 //! Owns: the reads of the platform. Relies on: the node for whether this daemon reads.
 
 use std::cell::Cell;
-use std::future::Future;
+use std::future::pending;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use curlewcleat_core::{Generation, ObjectVersion};
 use curlewcleat_node::{FreshnessLimits, NodeEvent, ReadRole};
-use curlewcleat_store::{ConfigRead, DaemonRecord, Error, FleetPlatform, TargetWatch};
-use rand::Rng;
+use curlewcleat_store::{ConfigRead, DaemonRecord, FleetPlatform, TargetWatch};
 use spdlog::prelude::*;
 use tokio::sync::{watch, Notify};
 
 use super::FleetLink;
+use crate::back_off::{BackOff, BackOffOptions};
 use crate::context::DaemonContext;
 
-/// First pause after a failed call; doubles up to a limit.
-/// Chosen, not measured.
-const PAUSE_FIRST: Duration = Duration::from_millis(50);
 /// Longest pause of a daemon that reads for the others.
 /// Chosen, not measured.
 const READER_PAUSE: Duration = Duration::from_millis(800);
 /// Longest pause of one that reads for itself because the others prove too little: where the platform
 /// fails for all of them, the readers notice its return.
 const FALLBACK_PAUSE: Duration = Duration::from_millis(2_400);
+/// Pauses after failed calls. Chosen, not measured: daemons that fail together come back apart.
+const BACK_OFF: BackOffOptions =
+    BackOffOptions { first: Duration::from_millis(50), limit: FALLBACK_PAUSE, jitter: 0.5..=1.0 };
 /// Least time between two calls of one loop.
 /// Chosen, not measured.
 const FLOOR: Duration = Duration::from_millis(50);
@@ -80,13 +80,13 @@
         let mut known: ObjectVersion = 0;
         // What was read last may not pass the checks; then the one in force is not the newest.
         let mut newest: Generation = 0;
-        let mut pause = CallPause::default();
+        let mut pause = BackOff::new(BACK_OFF);
         loop {
             until_reading(&mut role).await;
             let sent = Instant::now();
             match self.platform.read_config(known).await {
                 Ok(read) => {
-                    pause = CallPause::default();
+                    pause.reset();
                     if let ConfigRead::Changed(version, bundle) = read {
                         newest = bundle.generation;
                         self.context.apply(bundle).await;
@@ -107,7 +107,7 @@
                         ReadRole::Fallback | ReadRole::Idle => FALLBACK_PAUSE,
                     };
                     let changed = async { drop(role.changed().await) };
-                    pause.wait(limit, changed).await;
+                    pause.wait_until(limit, changed).await;
                 }
             }
             tokio::time::sleep(FLOOR.saturating_sub(sent.elapsed())).await;
@@ -127,12 +127,12 @@
     /// or the watch may be deaf.
     async fn follow_targets(self: Rc<Self>) {
         let mut role = self.link.read_role();
-        let mut pause = CallPause::default();
+        let mut pause = BackOff::new(BACK_OFF);
         loop {
             until_reading(&mut role).await;
             match self.platform.list_targets().await {
                 Ok(list) => {
-                    pause = CallPause::default();
+                    pause.reset();
                     self.context.tell(NodeEvent::TargetsListed(list.targets, list.revision));
                     tokio::select! {
                         _ = self.watch_targets(list.revision) => {}
@@ -141,7 +141,7 @@
                 }
                 Err(error) => {
                     pause.failed("list_targets", &error, &self.context);
-                    pause.wait(READER_PAUSE, std::future::pending()).await;
+                    pause.wait_until(READER_PAUSE, pending()).await;
                 }
             }
             // There is no use in listing while nothing can be read.
@@ -154,7 +154,7 @@
 
     /// Watches until the list has to be read again.
     async fn watch_targets(&self, mut revision: ObjectVersion) {
-        let mut pause = CallPause::default();
+        let mut pause = BackOff::new(BACK_OFF);
         let floor = self.limits.read_every / WATCHES_PER_READ;
         // A new daemon may find by then that others read for it.
         tokio::time::sleep(floor).await;
@@ -168,9 +168,9 @@
             match watched {
                 Ok(TargetWatch::Changes(changes, at)) => {
                     if changes.is_empty() {
-                        pause.after_quiet_watch(begun).await;
+                        after_quiet_watch(&mut pause, begun).await;
                     } else {
-                        pause = CallPause::default();
+                        pause.reset();
                     }
                     let from = revision;
                     revision = at;
@@ -197,12 +197,12 @@
 
     /// Records this daemon, then learns of the others; from then on they tell each other.
     async fn find_peers(self: Rc<Self>, record: DaemonRecord) {
-        let mut pause = CallPause::default();
+        let mut pause = BackOff::new(BACK_OFF);
         while let Err(error) = self.platform.record_daemon(&record).await {
             pause.failed("record_daemon", &error, &self.context);
-            pause.wait(READER_PAUSE, std::future::pending()).await;
+            pause.wait_until(READER_PAUSE, pending()).await;
         }
-        let mut pause = CallPause::default();
+        let mut pause = BackOff::new(BACK_OFF);
         loop {
             match self.platform.list_daemons().await {
                 Ok(records) => {
@@ -213,13 +213,21 @@
                 }
                 Err(error) => {
                     pause.failed("list_daemons", &error, &self.context);
-                    pause.wait(READER_PAUSE, std::future::pending()).await;
+                    pause.wait_until(READER_PAUSE, pending()).await;
                 }
             }
         }
     }
 }
 
+/// A watch that has nothing to tell should have waited; one that did not is asked again later and later.
+async fn after_quiet_watch(pause: &mut BackOff, begun: Instant) {
+    if begun.elapsed() >= WATCH_LIMIT / 2 {
+        return pause.reset();
+    }
+    pause.wait_until(READER_PAUSE, pending()).await;
+}
+
 /// Ends when this daemon has to read the platform.
 async fn until_reading(role: &mut watch::Receiver<ReadRole>) {
     // The sender lives as long as the process.
@@ -231,41 +239,3 @@
     // The sender lives as long as the process.
     let _ = role.wait_for(|role| *role == ReadRole::Idle).await;
 }
-
-/// Pauses between calls, longer each time, with jitter.
-struct CallPause {
-    next: Duration,
-}
-
-impl Default for CallPause {
-    fn default() -> CallPause {
-        CallPause { next: PAUSE_FIRST }
-    }
-}
-
-impl CallPause {
-    /// Waits, `limit` at most, or until something happens.
-    async fn wait(&mut self, limit: Duration, happens: impl Future<Output = ()>) {
-        let jitter = rand::rng().random_range(0.5..1.0);
-        // Whether the time or the event ended the wait makes no difference.
-        let _ = tokio::time::timeout(self.next.min(limit).mul_f64(jitter), happens).await;
-        self.next = (self.next * 2).min(FALLBACK_PAUSE);
-    }
-
-    /// A watch that has nothing to tell should have waited; one that did not is asked again later and
-    /// later.
-    async fn after_quiet_watch(&mut self, begun: Instant) {
-        if begun.elapsed() >= WATCH_LIMIT / 2 {
-            *self = CallPause::default();
-            return;
-        }
-        self.wait(READER_PAUSE, std::future::pending()).await;
-    }
-
-    fn failed(&self, call: &str, error: &Error, context: &DaemonContext) {
-        context.metrics.platform_error(call);
-        if self.next == PAUSE_FIRST {
-            warn!("platform_call_failed", kv: { call, error = error.to_string() });
-        }
-    }
-}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,6 +2,7 @@
 //! HTTP, peers, the platform, clocks, logs and metrics.
 
 mod assembly;
+mod back_off;
 mod config_freshness;
 mod context;
 mod files;
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -16,8 +16,8 @@
 use std::collections::BTreeMap;
 
 use curlewcleat_core::{
-    AttemptEnd, DaemonId, KeptAnswer, KeyAnswer, KeyDecision, PermitId, PoolId, Refusal,
-    RefusalReason, RequestId, RetryReason, Uptime, Verdict, VmId,
+    AttemptEnd, DaemonId, KeptAnswer, KeyAnswer, KeyDecision, PoolId, Refusal, RefusalReason,
+    RequestId, RetryReason, Uptime, Verdict, VmId,
 };
 
 pub use self::action::EntryAction;
@@ -129,15 +129,6 @@
             KeyDecision::NotHolder(_) => Vec::new(),
         }
     }
-
-    /// Whether a dispatch may still begin; consumes nothing and changes nothing.
-    pub fn may_dispatch(&self, now: Uptime, permit: PermitId) -> bool {
-        self.requests.get(&permit.request).is_some_and(|request| {
-            let dispatched = matches!(request.phase, RequestPhase::Dispatched { .. });
-            dispatched && request.attempt == permit.attempt && now < request.deadline
-        })
-    }
-
     /// An attempt ended for good: the request is answered and forgotten.
     pub fn finished(
         &mut self,
--- a/crates/sched/src/entry/options.rs
+++ b/crates/sched/src/entry/options.rs
@@ -29,6 +29,8 @@
     pub retries: RetryLimits,
 }
 
+/// The settings `[peers] ask_limit` and `ask_tries` give the times of schedulers; the others are
+/// chosen, not measured.
 impl Default for EntryOptions {
     fn default() -> EntryOptions {
         EntryOptions {
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -92,12 +92,6 @@
     pub fn contains(&self, permit: &PermitId) -> bool {
         self.places.contains_key(permit)
     }
-
-    /// Number of waiting requests of a tier.
-    pub fn tier_len(&self, tier: TierRank) -> usize {
-        self.tiers.get(&tier).map_or(0, |queue| queue.length)
-    }
-
     /// Number of waiting requests of an account in all tiers.
     pub fn account_len(&self, account: &AccountId) -> usize {
         self.tiers
