--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -13,6 +13,7 @@
 //! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: [`pace`] and [`prefix`] for beliefs
 //! about targets.
 
+pub mod ejection;
 pub mod pace;
 pub mod prefix;
 pub mod target;
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -1,28 +1,23 @@
 //! Does a target have room, and how fast is it? What a scheduler knows of one target.
 //!
 //! The rules: a target has room while the permits in use, and what others sent by its latest report, are
-//! fewer than its slots (less a reserve for the top tier). It is ejected after [`EJECT_AFTER`] consecutive
-//! failures for [`EJECT_FIRST`], doubled with each further failure up to [`EJECT_LIMIT`]; then one request
-//! at a time tries it out. Its slowness is the ratio of seen to estimated time, in an exponentially
-//! weighted mean.
+//! fewer than its slots (less a reserve for the top tier), and it is not ejected ([`ejection`]). Its
+//! slowness is the ratio of seen to estimated time, in an exponentially weighted mean.
 //!
-//! Owns: slots, permits in use, ejection, beliefs. Relies on: reports that may be late or missing.
+//! Owns: slots, permits in use, beliefs. Relies on: reports that may be late or missing.
+//!
+//! [`ejection`]: super::ejection
 
 use std::time::Duration;
 
 use curlewcleat_core::{PermitRequest, TargetReport, Uptime, VmId, WorkMicros};
 
+use super::ejection::TargetEjection;
 use super::pace::StreamPace;
 use super::prefix::PrefixCache;
 
 /// Slowness of a target that takes exactly the estimated time, in thousandths. Chosen as the unit.
 const NORMAL: u64 = 1_000;
-/// Consecutive failures after which a target is ejected. Chosen, not measured.
-const EJECT_AFTER: u32 = 3;
-/// First time of ejection; doubles while the target keeps failing. Chosen, not measured.
-const EJECT_FIRST: Duration = Duration::from_secs(2);
-/// Longest time of ejection. Chosen, not measured.
-const EJECT_LIMIT: Duration = Duration::from_secs(60);
 /// Time for which a report counts. Chosen: some reports may be lost, which come once a second.
 const REPORT_LIFE: Duration = Duration::from_secs(5);
 /// Share of the prompt work that is left when the prefix is cached, in percent. Chosen, not measured.
@@ -52,9 +47,7 @@
     /// Prefixes that it is believed to hold.
     pub prefixes: PrefixCache,
     slowness: u64,
-    failures: u32,
-    ejected_until: Option<Uptime>,
-    eject_for: Duration,
+    ejection: TargetEjection,
     /// Requests there that others sent, by its latest report, and until when that counts.
     foreign: (u32, Uptime),
     /// Permits in use when the report before came.
@@ -80,9 +73,7 @@
             leaving: false,
             prefixes: PrefixCache::default(),
             slowness: NORMAL,
-            failures: 0,
-            ejected_until: None,
-            eject_for: EJECT_FIRST,
+            ejection: TargetEjection::default(),
             foreign: (0, Duration::ZERO),
             in_flight_before: 0,
             last_eviction: None,
@@ -141,9 +132,9 @@
         if self.leaving {
             return false;
         }
-        if let Some(until) = self.ejected_until {
+        if self.ejection.is_ejected() {
             // After the ejection one request at a time tries the target out.
-            return now >= until && self.in_flight == 0;
+            return self.ejection.admits(now) && self.in_flight == 0;
         }
         let reserve =
             if top { 0 } else { (self.slots * reserve_percent).div_ceil(100).min(self.slots - 1) };
@@ -152,17 +143,17 @@
 
     /// Whether the target takes new work at all.
     pub fn usable(&self, now: Uptime) -> bool {
-        !self.leaving && self.ejected_until.is_none_or(|until| now >= until)
+        !self.leaving && self.ejection.admits(now)
     }
 
     /// Time until an ejected target is tried out again.
     pub fn back_after(&self, now: Uptime) -> Option<Duration> {
-        self.ejected_until.filter(|_| !self.leaving).map(|until| until.saturating_sub(now))
+        self.ejection.time_left(now).filter(|_| !self.leaving)
     }
 
     /// Whether the target is ejected for failures.
     pub fn ejected(&self) -> bool {
-        self.ejected_until.is_some()
+        self.ejection.is_ejected()
     }
 
     /// Estimated time of the request on this target, with its speed and prompt cache.
@@ -200,9 +191,7 @@
     /// A whole answer took this long for work that was estimated at normal speed.
     pub fn succeeded(&mut self, expected: WorkMicros, took: Duration) {
         self.failing -= self.failing / FAILING_WEIGHT;
-        self.failures = 0;
-        self.ejected_until = None;
-        self.eject_for = EJECT_FIRST;
+        self.ejection.succeeded();
         let ratio = took.as_micros() as u64 * NORMAL / expected.max(1);
         let ratio = ratio.clamp(NORMAL / 10, NORMAL * 20);
         self.slowness = (self.slowness * (SLOWNESS_WEIGHT - 1) + ratio) / SLOWNESS_WEIGHT;
@@ -210,13 +199,7 @@
 
     /// The target failed a request; `may_eject` says whether it may be ejected for that.
     pub fn failed(&mut self, now: Uptime, may_eject: bool) {
-        self.failures += 1;
         self.failing += (ALL_FAILING - self.failing) / FAILING_WEIGHT;
-        if self.ejected_until.is_some() {
-            self.eject_for = (self.eject_for * 2).min(EJECT_LIMIT);
-            self.ejected_until = Some(now + self.eject_for);
-        } else if self.failures >= EJECT_AFTER && may_eject {
-            self.ejected_until = Some(now + self.eject_for);
-        }
+        self.ejection.failed(now, may_eject);
     }
 }
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -18,14 +18,12 @@
 
 use crate::admission::overload::OverloadLevel;
 use crate::admission::{is_for_capacity, wait_too_long};
+use crate::placement::ejection::may_eject_one_more;
 use crate::placement::target::TargetState;
 use crate::pool::{PermitRecord, PoolOptions, PoolScheduler, SchedulerAction};
 
 /// Permits older than this are confirmed with their entry. Chosen, not measured.
 const CONFIRM_AFTER: Duration = Duration::from_secs(5);
-/// Share of the targets that may be ejected at the same time, in percent. Where all fail, the fault is
-/// hardly theirs, and refusing everything would help no caller. Chosen, not measured.
-const EJECT_PERCENT: usize = 50;
 /// Of the time to the first part, at least one part in this many is for the own prompt. Chosen, not
 /// measured.
 const OWN_PART: u32 = 4;
@@ -246,7 +244,7 @@
 
     fn settle(&mut self, now: Uptime, record: &PermitRecord, end: AttemptEnd) {
         let ejected = self.targets.values().filter(|target| target.ejected()).count();
-        let may_eject = (ejected + 1) * 100 <= self.targets.len() * EJECT_PERCENT;
+        let may_eject = may_eject_one_more(ejected, self.targets.len());
         let Some(state) = self.targets.get_mut(&record.target) else { return };
         state.in_flight = state.in_flight.saturating_sub(1);
         match end {
