--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -5,6 +5,8 @@
 
 mod admission;
 mod objectives;
+#[cfg(test)]
+mod tests;
 mod work;
 
 use std::cell::RefCell;
--- /dev/null
+++ b/crates/daemon/src/request/profile/tests/mod.rs
@@ -0,0 +1,167 @@
+//! Rules of the admission of a fleet's requests as tables: inputs and outcome. Times are in milliseconds.
+
+use std::time::Duration;
+
+use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
+use actix_http::StatusCode;
+use curlewcleat_core::{
+    AdmissionRule, ClientAccount, PoolKind, RateUnit, Refusal, RefusalReason, ServiceTerms,
+    SharedRate, TargetPool, Verdict,
+};
+use curlewcleat_store::WireProfile;
+use rstest::rstest;
+
+use super::objectives::objectives;
+use super::work::{cost, estimate, token_counts, TokenCounts};
+use super::{status_of, OPTIONS};
+
+const PROFILE: WireProfile = WireProfile {
+    attempt_id: "attempt",
+    time_left: "time-left",
+    account: "account",
+    instance: "instance",
+    not_run: "not-run",
+    misdirected_status: 421,
+    tokens: "tokens",
+    length_hint: "hint",
+    prompt_parts: "parts",
+    last_event: "last",
+    load: "load",
+};
+
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn rule(objective: Option<Duration>) -> AdmissionRule {
+    AdmissionRule {
+        id: "r".to_string(),
+        host: None,
+        split: Vec::new(),
+        public: false,
+        service: ServiceTerms { objective, ..ServiceTerms::default() },
+        order: 0,
+        method: None,
+        path: "/".to_string(),
+        account: None,
+        header: None,
+        tier: "t".to_string(),
+        pool: "p".to_string(),
+        repeatable: false,
+        body_limit: 0,
+    }
+}
+
+fn head(headers: &[(&'static str, &'static str)]) -> HeaderMap {
+    let headers = headers
+        .iter()
+        .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
+    headers.collect()
+}
+
+/// How long may a request with an objective of 500 wait, above which forecast is it refused, and is it
+/// taken for a retry? Callers of its rule have given 10,000 at most.
+#[rstest]
+#[case::new_one(10_000, 1_000, 300, false)]
+#[case::a_little_less_than_others(9_500, 1_000, 300, false)]
+#[case::retry(9_499, 1_000, 1_000, true)]
+#[case::retry_with_little_time(1_000, 400, 400, true)]
+#[case::retry_with_less_than_the_objective(200, 80, 80, true)]
+fn wait(
+    #[case] time: u64,
+    #[case] wait_limit: u64,
+    #[case] forecast_limit: u64,
+    #[case] is_retry: bool,
+) {
+    let objectives = objectives(&rule(Some(ms(500))), Some(ms(time)), ms(10_000), ms(time), 3);
+    assert_eq!(objectives.wait_limit, ms(wait_limit));
+    assert_eq!(objectives.forecast_limit, ms(forecast_limit));
+    assert_eq!((objectives.first_part_by, objectives.urgency), (ms(500), 3));
+    assert_eq!(objectives.is_retry, is_retry);
+}
+
+/// Without an objective, or where the caller gives no time, a request waits until its deadline.
+#[rstest]
+#[case::no_objective(None, Some(ms(800)))]
+#[case::no_time(Some(ms(500)), None)]
+fn wait_until_the_deadline(#[case] objective: Option<Duration>, #[case] asked: Option<Duration>) {
+    let objectives = objectives(&rule(objective), asked, ms(800), ms(800), 0);
+    assert_eq!((objectives.wait_limit, objectives.forecast_limit), (ms(800), Duration::MAX));
+    assert!(!objectives.is_retry);
+}
+
+#[rstest]
+#[case::both("120,40", Some((120, 40)))]
+#[case::spaces(" 120 , 40 ", Some((120, 40)))]
+#[case::one("120", None)]
+#[case::not_a_number("120,many", None)]
+#[case::negative("-1,40", None)]
+fn tokens(#[case] text: &'static str, #[case] counts: Option<(u64, u64)>) {
+    let counts = counts.map(|(prompt, output)| TokenCounts { prompt, output });
+    assert_eq!(token_counts(&head(&[("tokens", text)]), PROFILE.tokens), counts);
+}
+
+/// What does a request of 120 and 40 tokens, or without counts, cost its account?
+#[rstest]
+#[case::no_rate(None, true, 1)]
+#[case::rate_in_requests(Some(RateUnit::Request), true, 1)]
+#[case::rate_in_tokens(Some(RateUnit::Tokens(200)), true, 160)]
+#[case::plain_cost_without_counts(Some(RateUnit::Tokens(200)), false, 200)]
+fn units(#[case] unit: Option<RateUnit>, #[case] counted: bool, #[case] expected: u64) {
+    let account = ClientAccount {
+        id: "a".to_string(),
+        tokens: Vec::new(),
+        rank: None,
+        shared_rate: unit.map(|unit| SharedRate { per_s: 1, burst: 1, unit }),
+        weight: 1,
+        rate_per_s: None,
+        queue_limit: 1,
+    };
+    let counts = counted.then_some(TokenCounts { prompt: 120, output: 40 });
+    assert_eq!(cost(&account, counts), expected);
+}
+
+/// Work in microseconds, where a prompt token takes 2, an answer token 10 and a request 5 besides.
+#[rstest]
+#[case::engine(PoolKind::Engine, &[], (240, 405), false)]
+#[case::engine_with_a_hint(PoolKind::Engine, &[("hint", "7.9")], (240, 75), false)]
+#[case::hint_that_is_no_number(PoolKind::Engine, &[("hint", "soon")], (240, 405), false)]
+#[case::half_of_the_prompt_shared(PoolKind::Engine, &[("parts", "s:60,u:60")], (240, 405), true)]
+#[case::less_than_half_shared(PoolKind::Engine, &[("parts", "s:59,u:61")], (240, 405), false)]
+#[case::service(PoolKind::Service, &[("hint", "7")], (0, 5), false)]
+fn work(
+    #[case] kind: PoolKind,
+    #[case] headers: &[(&'static str, &'static str)],
+    #[case] expected: (u64, u64),
+    #[case] has_prefix: bool,
+) {
+    let pool = TargetPool {
+        kind,
+        prompt_token_us: 2,
+        output_token_us: 10,
+        base_us: 5,
+        ..TargetPool::default()
+    };
+    let counts = Some(TokenCounts { prompt: 120, output: 40 });
+    let estimate = estimate(&PROFILE, &pool, &head(headers), counts);
+    assert_eq!((estimate.prompt, estimate.output), expected);
+    assert_eq!(estimate.prefix.is_some(), has_prefix);
+}
+
+/// Which status does a refusal get? Only what may have run is told as 502 or 504.
+#[rstest]
+#[case(Verdict::NotRun, RefusalReason::Unauthorized, 401)]
+#[case(Verdict::NotRun, RefusalReason::NoRule, 404)]
+#[case(Verdict::NotRun, RefusalReason::BadHeader, 400)]
+#[case(Verdict::NotRun, RefusalReason::BodyTooLarge, 413)]
+#[case(Verdict::NotRun, RefusalReason::AccountRate, 429)]
+#[case(Verdict::NotRun, RefusalReason::WaitTooLong, 503)]
+#[case(Verdict::NotRun, RefusalReason::DeadlinePassed, 503)]
+#[case(Verdict::NotRun, RefusalReason::ConfigurationStale, 503)]
+#[case(Verdict::MayHaveRun, RefusalReason::DeadlinePassed, 504)]
+#[case(Verdict::MayHaveRun, RefusalReason::FirstByteTimeout, 504)]
+#[case(Verdict::MayHaveRun, RefusalReason::TargetClosed, 502)]
+fn status(#[case] verdict: Verdict, #[case] reason: RefusalReason, #[case] expected: u16) {
+    let refusal = Refusal { reason, verdict, retry_after: Some(OPTIONS.retry_after) };
+    assert_eq!(status_of(&refusal), StatusCode::from_u16(expected).expect("a status"));
+}
