--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -13,11 +13,10 @@
 };
 use curlewcleat_platform::names::{CONFIG_NAME, SEAL, SERVERS, WIRE_PROFILE};
 use curlewcleat_platform::FleetClient;
-use curlewcleat_standins::address::free_address;
 use curlewcleat_standins::deployment::{get_text, wait_until};
 use curlewcleat_standins::fleet::{EngineStep, FleetDeployment, FleetEngine, StoreOutage};
 use curlewcleat_standins::http::{
-    serve, AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest,
+    serve_here, AfterAnswer, HandlerFuture, PlainConnection, PlainHandler, PlainRequest,
 };
 use curlewcleat_store::{Error, FleetPlatform};
 use curlewcleat_targets::{AnswerBody, ConnectionPool};
@@ -569,14 +568,8 @@
 /// Taken as version 0 it would count as read before, and prove what was never read.
 #[actix_rt::test]
 async fn configuration_without_a_revision_is_no_answer() -> Result<()> {
-    let address = free_address()?;
-    let served = address.clone();
-    actix_rt::spawn(async move { serve(&served, Rc::new(UnversionedStore)).await });
+    let address = serve_here(Rc::new(UnversionedStore)).await?;
     let client = FleetClient::new(&address, Duration::from_secs(2));
-    wait_until("the store listens", || async {
-        !matches!(client.read_config(0).await, Err(Error::Unclear(_)))
-    })
-    .await?;
     for known in [0, 7] {
         let read = client.read_config(known).await;
         assert!(matches!(read, Err(Error::Protocol(_))), "{read:?}");
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -196,15 +196,10 @@
     RequestSpec {
         request: RequestId::from_u128(u128::from(number)),
         pool: POOL.to_string(),
-        tier: 0,
         account: "a".to_string(),
         time_left: Duration::from_secs(60),
-        objectives: curlewcleat_core::LatencyObjectives::default(),
-        attempt_limit: None,
         cost: 1,
-        prompt_work: 0,
         output_work: 1_000,
-        prefix: None,
-        key: None,
+        ..RequestSpec::default()
     }
 }
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -226,16 +226,12 @@
         RequestSpec {
             request: request(),
             pool: POOL.to_string(),
-            tier: 0,
             account: "a".to_string(),
             time_left: STEP * u32::from(self.steps.max(2) - 1),
-            objectives: curlewcleat_core::LatencyObjectives::default(),
-            attempt_limit: None,
             cost: 1,
-            prompt_work: 0,
             output_work: 1_000,
-            prefix: None,
             key: self.key.map(|attempt| ("key".to_string(), attempt)),
+            ..RequestSpec::default()
         }
     }
 }
--- a/crates/node/tests/nodes.rs
+++ b/crates/node/tests/nodes.rs
@@ -50,13 +50,9 @@
         tier,
         account: "a".to_string(),
         time_left: Duration::from_secs(60),
-        objectives: curlewcleat_core::LatencyObjectives::default(),
-        attempt_limit: None,
         cost: 1,
-        prompt_work: 0,
         output_work: 1_000,
-        prefix: None,
-        key: None,
+        ..RequestSpec::default()
     };
     let actions =
         node.handle(Duration::ZERO, Duration::from_secs(1), NodeEvent::Admit(Box::new(spec)));
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -256,15 +256,11 @@
     RequestSpec {
         request: RequestId::from_u128(number),
         pool: "p".to_string(),
-        tier: 0,
         account: "a".to_string(),
         time_left: Duration::from_secs(5),
-        objectives: curlewcleat_core::LatencyObjectives::default(),
         attempt_limit: Some(1),
         cost: 1,
-        prompt_work: 0,
         output_work: 1_000,
-        prefix: None,
-        key: None,
+        ..RequestSpec::default()
     }
 }
--- a/crates/sched/src/entry/options.rs
+++ b/crates/sched/src/entry/options.rs
@@ -13,7 +13,7 @@
 pub struct EntryOptions {
     /// Time for the first sign of the scheduler, then for each further one.
     pub answer_timeout: Duration,
-    /// Time between repeated asks while a request waits.
+    /// Time between repeated permit requests while a request waits.
     pub refresh_every: Duration,
     /// Time for the answer of the key's holder.
     pub key_limit: Duration,
@@ -47,7 +47,7 @@
 }
 
 /// A request as it is admitted.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestSpec {
     /// Its id.
     pub request: RequestId,
--- /dev/null
+++ b/crates/soak/src/faults.rs
@@ -0,0 +1,221 @@
+//! The faults of a plan, as they happen to a fleet.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use anyhow::Result;
+use curlewcleat_platform::example::DRIVERS_SECOND_KEY;
+use curlewcleat_platform::format::Config;
+use curlewcleat_platform::names::{DRAINING, SERVERS};
+use curlewcleat_standins::fleet::EngineStep;
+
+use crate::fleet::{DaemonSlot, EngineSlot, SoakFleet, AGE_LIMIT, LOOK_EVERY, STOP_LIMIT};
+use crate::judge::{EngineLeave, KeyLoss, PlannedStop};
+use crate::link::{FaultyLink, LinkFault};
+use crate::plan::{FaultStep, SoakFault};
+
+impl SoakFleet {
+    /// Plays one fault and notes when it was felt.
+    pub async fn play(self: Rc<Self>, step: FaultStep) {
+        self.open_faults.set(self.open_faults.get() + 1);
+        let begun = Instant::now();
+        if let Err(error) = self.fault(step).await {
+            self.note_exit(format!("the fault {:?} could not be played: {error}", step.fault));
+        }
+        if !step.fault.is_planned() {
+            self.evidence.borrow_mut().faults.push((begun, Instant::now()));
+        }
+        self.open_faults.set(self.open_faults.get() - 1);
+    }
+
+    async fn fault(&self, step: FaultStep) -> Result<()> {
+        let time = step.time;
+        match step.fault {
+            SoakFault::Kill(index) => self.kill(index, time).await,
+            SoakFault::Freeze(index) => self.freeze(index, time).await,
+            SoakFault::Stop(index) => self.stop(index).await,
+            SoakFault::Reload(index) => self.reload(index),
+            SoakFault::PeerLink(index, fault) => {
+                let link = &self.daemons[index].peer_link;
+                hold(link, fault, time).await;
+                Ok(())
+            }
+            SoakFault::PeerReset(index) => {
+                self.daemons[index].peer_link.reset();
+                Ok(())
+            }
+            SoakFault::StoreLink(index, fault) => {
+                let link = &self.daemons[index].store_link;
+                hold(link, fault, time).await;
+                Ok(())
+            }
+            SoakFault::StoreReset(index) => {
+                self.daemons[index].store_link.reset();
+                Ok(())
+            }
+            SoakFault::Store(outage) => {
+                self.store.set_outage(Some(outage));
+                tokio::time::sleep(time).await;
+                self.store.set_outage(None);
+                Ok(())
+            }
+            SoakFault::LostWrites(count) => {
+                self.store.lose_writes(count);
+                tokio::time::sleep(time).await;
+                self.store.lose_writes(0);
+                Ok(())
+            }
+            SoakFault::Forget => {
+                self.store.forget_history();
+                Ok(())
+            }
+            SoakFault::Engine(index, fault) => {
+                let engine = Rc::clone(&self.engines.borrow()[index].engine);
+                engine.always(fault);
+                tokio::time::sleep(time).await;
+                engine.always(EngineStep::Serve);
+                Ok(())
+            }
+            SoakFault::Leave(index) => self.leave(index, time).await,
+            SoakFault::Vanish(index) => self.vanish(index).await,
+            SoakFault::Change => {
+                for route in &mut self.config.borrow_mut().routes {
+                    route.timeout_ms = route.timeout_ms.map(|timeout| timeout + 100.0);
+                }
+                self.store_config()
+            }
+            SoakFault::TakeKey => self.take_key(time).await,
+        }
+    }
+
+    /// Takes hold of a daemon's process; one fault at a time has it.
+    fn take(&self, index: usize) -> Option<&DaemonSlot> {
+        let daemon = &self.daemons[index];
+        (!daemon.taken.replace(true)).then_some(daemon)
+    }
+
+    async fn kill(&self, index: usize, time: Duration) -> Result<()> {
+        let Some(daemon) = self.take(index) else { return Ok(()) };
+        daemon.process.borrow_mut().kill();
+        tokio::time::sleep(time).await;
+        self.respawn(daemon);
+        daemon.taken.set(false);
+        Ok(())
+    }
+
+    async fn freeze(&self, index: usize, time: Duration) -> Result<()> {
+        let Some(daemon) = self.take(index) else { return Ok(()) };
+        daemon.process.borrow().signal("STOP")?;
+        tokio::time::sleep(time).await;
+        daemon.process.borrow().signal("CONT")?;
+        daemon.taken.set(false);
+        Ok(())
+    }
+
+    async fn stop(&self, index: usize) -> Result<()> {
+        let Some(daemon) = self.take(index) else { return Ok(()) };
+        let told = Instant::now();
+        self.evidence.borrow_mut().stops.push(PlannedStop { daemon: index, told });
+        daemon.process.borrow().signal("TERM")?;
+        let code = loop {
+            if let Some(code) = daemon.process.borrow_mut().ended() {
+                break Some(code);
+            }
+            if told.elapsed() > STOP_LIMIT + Duration::from_secs(1) {
+                break None;
+            }
+            tokio::time::sleep(LOOK_EVERY).await;
+        };
+        if code != Some(0) {
+            self.note_exit(format!("{} was told to stop and ended with {code:?}", daemon.name));
+        }
+        self.respawn(daemon);
+        daemon.taken.set(false);
+        Ok(())
+    }
+
+    fn reload(&self, index: usize) -> Result<()> {
+        let daemon = &self.daemons[index];
+        let text = std::fs::read_to_string(&daemon.settings)?;
+        let changed = match text.contains("retry_saved = 100\n") {
+            true => text.replace("retry_saved = 100\n", "retry_saved = 90\n"),
+            false => text.replace("retry_saved = 90\n", "retry_saved = 100\n"),
+        };
+        std::fs::write(&daemon.settings, changed)?;
+        if daemon.taken.get() {
+            return Ok(());
+        }
+        daemon.process.borrow().signal("HUP")
+    }
+
+    async fn leave(&self, index: usize, time: Duration) -> Result<()> {
+        let old = self.replace_engine(index).await?;
+        let id = old.engine.id.clone();
+        self.announce(&id, old.backend, &old.address, DRAINING)?;
+        self.note_leave(&id);
+        tokio::time::sleep(time).await;
+        self.store.remove(SERVERS, &id);
+        Ok(())
+    }
+
+    async fn vanish(&self, index: usize) -> Result<()> {
+        let old = self.replace_engine(index).await?;
+        self.store.remove(SERVERS, &old.engine.id);
+        self.note_leave(&old.engine.id);
+        Ok(())
+    }
+
+    /// Puts a new engine in the place of one that is about to leave, and gives that one.
+    async fn replace_engine(&self, index: usize) -> Result<EngineSlot> {
+        let backend = self.engines.borrow()[index].backend;
+        let fresh = self.new_engine(backend).await?;
+        let old = std::mem::replace(&mut self.engines.borrow_mut()[index], fresh);
+        self.left.borrow_mut().push(Rc::clone(&old.engine));
+        Ok(old)
+    }
+
+    fn note_leave(&self, id: &str) {
+        let leave = EngineLeave { engine: id.to_string(), told: Instant::now() };
+        self.evidence.borrow_mut().leaves.push(leave);
+    }
+
+    async fn take_key(&self, time: Duration) -> Result<()> {
+        let drop_key = |config: &mut Config| {
+            let keys = config.tenants.iter_mut().map(|tenant| &mut tenant.api_keys);
+            let with = keys.filter(|keys| keys.iter().any(|key| key == DRIVERS_SECOND_KEY));
+            let mut dropped = 0;
+            for keys in with {
+                keys.retain(|key| key != DRIVERS_SECOND_KEY);
+                dropped += 1;
+            }
+            dropped
+        };
+        let dropped = drop_key(&mut self.config.borrow_mut());
+        if dropped == 0 {
+            return Ok(());
+        }
+        self.store_config()?;
+        let place = {
+            let mut evidence = self.evidence.borrow_mut();
+            let lost = Instant::now();
+            evidence.key_losses.push(KeyLoss { key: DRIVERS_SECOND_KEY, lost, back: None });
+            evidence.key_losses.len() - 1
+        };
+        tokio::time::sleep(AGE_LIMIT + time).await;
+        // The key counts as back from before it is.
+        self.evidence.borrow_mut().key_losses[place].back = Some(Instant::now());
+        for tenant in &mut self.config.borrow_mut().tenants {
+            if tenant.name == "drivers" {
+                tenant.api_keys.push(DRIVERS_SECOND_KEY.to_string());
+            }
+        }
+        self.store_config()
+    }
+}
+
+/// A link has a fault for some time.
+async fn hold(link: &FaultyLink, fault: LinkFault, time: Duration) {
+    link.set(fault);
+    tokio::time::sleep(time).await;
+    link.set(LinkFault::None);
+}
--- /dev/null
+++ b/crates/soak/src/fleet.rs
@@ -0,0 +1,230 @@
+//! The processes of a run and what their engines saw.
+
+use std::cell::{Cell, RefCell};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use anyhow::{Context, Result};
+use curlewcleat_platform::example::example_config;
+use curlewcleat_platform::format::Config;
+use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, READY};
+use curlewcleat_standins::address::free_address;
+use curlewcleat_standins::deployment::{get_text, program_folder, spawn, wait_until, ChildProcess};
+use curlewcleat_standins::fleet::{EngineRun, FleetEngine, FleetStore};
+use curlewcleat_standins::http::serve_here;
+use serde_json::to_value;
+
+use crate::judge::SoakEvidence;
+use crate::link::FaultyLink;
+use crate::run::SoakOptions;
+
+/// Events of a whole stream, and the time between two.
+const EVENTS: u64 = 6;
+const PACE: Duration = Duration::from_millis(15);
+/// Slots of an engine.
+const SLOTS: u32 = 8;
+/// Bounds of the daemons.
+pub const AGE_LIMIT: Duration = Duration::from_secs(2);
+const APPLY_LIMIT: Duration = Duration::from_secs(1);
+pub const STOP_LIMIT: Duration = Duration::from_secs(5);
+/// Time between looks at processes.
+pub const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Services of the example configuration.
+pub const BACKENDS: [&str; 2] = ["records", "engines"];
+
+/// An engine and where it is.
+pub struct EngineSlot {
+    pub engine: Rc<FleetEngine>,
+    pub backend: &'static str,
+    pub address: String,
+}
+
+/// A daemon, the links through which it is reached, and its process.
+pub struct DaemonSlot {
+    pub name: String,
+    pub callers: String,
+    pub operators: String,
+    pub peer_link: FaultyLink,
+    pub store_link: FaultyLink,
+    pub settings: PathBuf,
+    pub process: RefCell<ChildProcess>,
+    /// Whether a fault has its hands on the process.
+    pub taken: Cell<bool>,
+}
+
+/// The processes and stand-ins of a run.
+pub struct SoakFleet {
+    pub options: SoakOptions,
+    pub programs: PathBuf,
+    pub store: Rc<FleetStore>,
+    pub config: RefCell<Config>,
+    pub engines: RefCell<Vec<EngineSlot>>,
+    /// Engines that left; they still note what reaches them.
+    pub left: RefCell<Vec<Rc<FleetEngine>>>,
+    pub started: Cell<usize>,
+    pub daemons: Vec<DaemonSlot>,
+    pub evidence: RefCell<SoakEvidence>,
+    pub open_faults: Cell<usize>,
+}
+
+impl SoakFleet {
+    /// Ends the processes and their links.
+    pub fn close(self) {
+        for daemon in self.daemons {
+            daemon.process.into_inner().kill();
+            daemon.peer_link.close();
+            daemon.store_link.close();
+        }
+    }
+
+    /// Starts everything and waits until all daemons are ready.
+    pub async fn start(options: SoakOptions) -> Result<SoakFleet> {
+        std::fs::create_dir_all(&options.folder).context("soak: folder")?;
+        let store = FleetStore::new();
+        let store_address = serve_here(store.clone()).await?;
+        let programs = program_folder()?;
+        let mut fleet = SoakFleet {
+            programs,
+            store,
+            config: RefCell::new(example_config()),
+            engines: RefCell::default(),
+            left: RefCell::default(),
+            started: Cell::new(0),
+            daemons: Vec::new(),
+            evidence: RefCell::default(),
+            open_faults: Cell::new(0),
+            options,
+        };
+        {
+            let evidence = fleet.evidence.get_mut();
+            evidence.events = EVENTS;
+            evidence.age_limit = AGE_LIMIT;
+            evidence.leave_limit = APPLY_LIMIT;
+        }
+        fleet.store_config()?;
+        for index in 0..fleet.options.engines * BACKENDS.len() {
+            let slot = fleet.new_engine(BACKENDS[index % BACKENDS.len()]).await?;
+            fleet.engines.borrow_mut().push(slot);
+        }
+        fleet.start_daemons(&store_address).await?;
+        Ok(fleet)
+    }
+
+    async fn start_daemons(&mut self, store: &str) -> Result<()> {
+        let mut links = Vec::new();
+        for _ in 0..self.options.daemons {
+            let peers = free_address()?;
+            links.push((FaultyLink::start(&peers).await?, peers));
+        }
+        let seeds: Vec<String> =
+            links.iter().take(3).map(|(link, _)| link.address.clone()).collect();
+        for (index, (peer_link, peers)) in links.into_iter().enumerate() {
+            let store_link = FaultyLink::start(store).await?;
+            let (callers, operators) = (free_address()?, free_address()?);
+            let name = format!("vm-{index}");
+            let text = format!(
+                "[vm]\nname = {name}\ndata_centre = here\n\
+                 [callers]\naddress = {callers}\ndrain_grace = 600ms\n\
+                 [operators]\naddress = {operators}\n\
+                 [peers]\naddress = {peers}\nadvertised_address = {}\nseeds = {}\n\
+                 beat = 200ms\nsuspect_after = 700ms\nask_limit = 60ms\nask_tries = 1\n\
+                 [platform]\nkind = fleet\naddress = {}\ncall_limit = 400ms\n\
+                 [bounds]\nconfig_age_limit = {}ms\nconfig_apply_limit = {}ms\n\
+                 leave_limit = {}ms\nstop_limit = {}ms\nretry_ratio = 0.5\nretry_saved = 100\n",
+                peer_link.address,
+                seeds.join(","),
+                store_link.address,
+                AGE_LIMIT.as_millis(),
+                APPLY_LIMIT.as_millis(),
+                APPLY_LIMIT.as_millis(),
+                STOP_LIMIT.as_millis(),
+            );
+            let settings = self.options.folder.join(format!("{name}.ini"));
+            std::fs::write(&settings, text)?;
+            let process = RefCell::new(self.spawn(&name, &callers, &settings)?);
+            let taken = Cell::new(false);
+            self.daemons.push(DaemonSlot {
+                name,
+                callers,
+                operators,
+                peer_link,
+                store_link,
+                settings,
+                process,
+                taken,
+            });
+        }
+        for daemon in &self.daemons {
+            let operators = daemon.operators.as_str();
+            wait_until("a daemon is ready", || async move {
+                get_text(operators, "/readyz").await.is_ok()
+            })
+            .await?;
+        }
+        Ok(())
+    }
+
+    fn spawn(&self, name: &str, callers: &str, settings: &Path) -> Result<ChildProcess> {
+        let program = self.programs.join("curlewcleatd");
+        let settings = settings.display().to_string();
+        spawn(&program, "", callers, &self.options.folder, name, &["--settings", &settings])
+    }
+
+    pub fn respawn(&self, daemon: &DaemonSlot) {
+        match self.spawn(&daemon.name, &daemon.callers, &daemon.settings) {
+            Ok(process) => {
+                daemon.process.replace(process);
+            }
+            Err(error) => self.note_exit(format!("{} does not start: {error}", daemon.name)),
+        }
+    }
+
+    pub fn note_exit(&self, what: String) {
+        self.evidence.borrow_mut().exits.push(what);
+    }
+
+    pub fn store_config(&self) -> Result<()> {
+        let mut config = self.config.borrow_mut();
+        config.resource_version += 3;
+        self.store.put(CONFIG_KIND, CONFIG_NAME, to_value(&*config)?);
+        Ok(())
+    }
+
+    pub async fn new_engine(&self, backend: &'static str) -> Result<EngineSlot> {
+        let number = self.started.get();
+        self.started.set(number + 1);
+        let engine = FleetEngine::new(&format!("i-{number}"), EVENTS, PACE);
+        let address = serve_here(engine.clone()).await?;
+        self.announce(&engine.id, backend, &address, READY)?;
+        Ok(EngineSlot { engine, backend, address })
+    }
+
+    pub fn announce(&self, id: &str, backend: &str, address: &str, state: &str) -> Result<()> {
+        self.store.announce(id, backend, address, SLOTS, state)
+    }
+
+    /// What reached each engine.
+    pub fn runs(&self) -> Vec<(String, EngineRun)> {
+        let present = self.engines.borrow();
+        let left = self.left.borrow();
+        let engines = present.iter().map(|slot| &slot.engine).chain(left.iter());
+        let runs = engines
+            .flat_map(|engine| engine.runs().into_iter().map(|run| (engine.id.clone(), run)));
+        runs.collect()
+    }
+
+    /// Notes processes that end though nobody asked them to.
+    pub async fn watch_processes(self: Rc<Self>) {
+        loop {
+            tokio::time::sleep(LOOK_EVERY).await;
+            for daemon in self.daemons.iter().filter(|daemon| !daemon.taken.get()) {
+                let ended = daemon.process.borrow_mut().ended();
+                if let Some(code) = ended {
+                    self.note_exit(format!("{} ended with {code}", daemon.name));
+                    self.respawn(daemon);
+                }
+            }
+        }
+    }
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -2,13 +2,15 @@
 //! judge that compares what callers got with what engines ran.
 
 mod callers;
+mod faults;
+mod fleet;
 mod judge;
 mod link;
 mod plan;
-mod world;
+mod run;
 
 pub use callers::{CallKind, CallOutcome, CallRecord};
 pub use judge::{judge, KeyLoss, PlannedStop, SoakEvidence, SoakFinding};
 pub use link::{FaultyLink, LinkFault};
 pub use plan::{plan, FaultStep, PlanOptions, SoakFault};
-pub use world::{run_soak, SoakOptions, SoakReport};
+pub use run::{run_soak, SoakOptions, SoakReport};
--- a/crates/standins/src/fleet/deployment.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -6,8 +6,8 @@
 
 use anyhow::Result;
 use curlewcleat_platform::example::example_config;
-use curlewcleat_platform::format::{Config, Server};
-use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, READY, SERVERS};
+use curlewcleat_platform::format::Config;
+use curlewcleat_platform::names::{CONFIG_KIND, CONFIG_NAME, READY};
 use serde_json::to_value;
 
 use super::{FleetEngine, FleetStore};
@@ -15,6 +15,9 @@
 use crate::deployment::{program_folder, spawn, wait_listening, ChildProcess};
 use crate::http;
 
+/// Slots of an engine.
+const SLOTS: u32 = 4;
+
 /// A daemon of a test.
 pub struct FleetDaemon {
     /// Its process.
@@ -47,14 +50,10 @@
     /// A store with the small configuration.
     pub async fn start(name: &str) -> Result<FleetDeployment> {
         let store = FleetStore::new();
-        let store_address = free_address()?;
+        let store_address = http::serve_here(store.clone()).await?;
         let folder =
             std::env::temp_dir().join(format!("curlewcleat-fleet-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let address = store_address.clone();
-        let handler: Rc<dyn http::PlainHandler> = store.clone();
-        actix_rt::spawn(async move { http::serve(&address, handler).await });
-        wait_listening(&store_address).await?;
         let fleet = FleetDeployment {
             store,
             engines: Vec::new(),
@@ -76,12 +75,8 @@
 
     /// Starts an engine and announces it.
     pub async fn engine(&mut self, backend: &str, events: u64, pace: Duration) -> Result<()> {
-        let address = free_address()?;
         let engine = FleetEngine::new(&format!("i-{}", self.engines.len()), events, pace);
-        let handler: Rc<dyn http::PlainHandler> = engine.clone();
-        let bound = address.clone();
-        actix_rt::spawn(async move { http::serve(&bound, handler).await });
-        wait_listening(&address).await?;
+        let address = http::serve_here(engine.clone()).await?;
         self.announce(&engine.id, backend, &address, READY)?;
         self.engines.push(engine);
         self.engine_addresses.push(address);
@@ -90,15 +85,7 @@
 
     /// Writes the entry of an engine.
     pub fn announce(&self, id: &str, backend: &str, address: &str, state: &str) -> Result<()> {
-        let server = Server {
-            backend: backend.to_string(),
-            address: address.to_string(),
-            zone: "here".to_string(),
-            slots: 4,
-            state: state.to_string(),
-        };
-        self.store.put(SERVERS, id, to_value(server)?);
-        Ok(())
+        self.store.announce(id, backend, address, SLOTS, state)
     }
 
     /// Starts daemons; `bounds` are lines of that section of their settings.
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -6,7 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use curlewcleat_platform::names::OBJECTS;
+use anyhow::Result;
+use curlewcleat_platform::format::Server;
+use curlewcleat_platform::names::{OBJECTS, SERVERS};
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 
@@ -93,6 +95,29 @@
         self.changed.notify_waiters();
     }
 
+    /// Writes the entry of an engine, as the engine does.
+    ///
+    /// # Errors
+    /// Where the entry cannot be written as JSON.
+    pub fn announce(
+        &self,
+        id: &str,
+        backend: &str,
+        address: &str,
+        slots: u32,
+        state: &str,
+    ) -> Result<()> {
+        let server = Server {
+            backend: backend.to_string(),
+            address: address.to_string(),
+            zone: "here".to_string(),
+            slots,
+            state: state.to_string(),
+        };
+        self.put(SERVERS, id, serde_json::to_value(server)?);
+        Ok(())
+    }
+
     /// Writes an object, as the operator or an engine does.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.state.borrow_mut().put(kind, name, spec);
@@ -115,7 +140,7 @@
         &self,
         request: PlainRequest,
         connection: &mut PlainConnection,
-    ) -> anyhow::Result<AfterAnswer> {
+    ) -> Result<AfterAnswer> {
         self.calls.set(self.calls.get() + 1);
         match self.outage.get() {
             Some(StoreOutage::Closed) => return Ok(AfterAnswer::Close),
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -10,6 +10,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::address::free_address;
+use crate::deployment::wait_listening;
+
 const HEAD_LIMIT: usize = 64 << 10;
 const BODY_LIMIT: usize = 64 << 20;
 
@@ -134,6 +137,18 @@
 
 pub(crate) use handle_by_route;
 
+/// Serves at a free address until the process ends, and gives the address.
+///
+/// # Errors
+/// Where nobody listens there in time.
+pub async fn serve_here(handler: Rc<dyn PlainHandler>) -> Result<String> {
+    let address = free_address()?;
+    let bound = address.clone();
+    actix_rt::spawn(async move { serve(&bound, handler).await });
+    wait_listening(&address).await?;
+    Ok(address)
+}
+
 /// Serves until the process ends.
 ///
 /// # Errors
