--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of the daemon, read from one INI file at its start.
 //!
-//! Owns: names, ranges and defaults of the daemon's settings. Relies on: `reader` for sections and values.
+//! Owns: names, ranges and defaults of the daemon's settings. Relies on: `reader` for sections and
+//! values.
 
 use std::time::Duration;
 
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -207,7 +207,7 @@
 
     /// Rank of the highest tier, 0 where there is none.
     pub fn top_rank(&self) -> TierRank {
-        // Without tiers no rule passes the check, so that no request asks.
+        // Without tiers no rule passes the check, so that no request needs the rank.
         self.tiers.values().map(|tier| tier.rank).min().unwrap_or(0)
     }
 }
--- a/crates/core/src/model/rule.rs
+++ b/crates/core/src/model/rule.rs
@@ -1,6 +1,7 @@
 //! Admission rules: which requests they take, and what they grant them.
 //!
-//! Owns: matching of a request's host, method, path, account and header. Relies on: `config` for checks.
+//! Owns: matching of a request's host, method, path, account and header. Relies on: `config` for
+//! checks.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/back_off.rs
+++ b/crates/daemon/src/back_off.rs
@@ -1,6 +1,7 @@
 //! The back-off between calls of the platform.
 //!
-//! Owns: how long the next pause lasts. Relies on: its loop, which resets it after a call that succeeded.
+//! Owns: how long the next pause lasts. Relies on: its loop, which resets it after a call that
+//! succeeded.
 
 use std::future::Future;
 use std::ops::RangeInclusive;
--- a/crates/daemon/src/config_freshness.rs
+++ b/crates/daemon/src/config_freshness.rs
@@ -12,7 +12,7 @@
 }
 
 impl ConfigFreshness {
-    /// An own read that was sent then has shown the configuration in force to be the newest.
+    /// A read of this daemon, sent at that time, has shown the configuration in force to be the newest.
     pub fn prove(&self, sent: Instant) {
         self.confirm_by_peer(sent);
         self.failing.set(false);
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,6 +1,7 @@
 //! What the threads of the daemon share, and the way to the node.
 //!
-//! Owns: the configuration in force as the threads see it, the way to the node. Relies on: the node's thread ending last.
+//! Owns: the configuration in force as the threads see it, the way to the node. Relies on: the node's
+//! thread ending last.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, RwLock};
@@ -163,7 +164,8 @@
     }
 }
 
-/// A request in the hands of the node. Dropped while open, it tells the node that the caller left.
+/// The daemon's handle on a request that the node decides about. Dropped while open, it cancels the
+/// request.
 pub struct PendingRequest {
     request: RequestId,
     decisions: mpsc::UnboundedReceiver<CallerDecision>,
@@ -177,7 +179,7 @@
         self.decisions.recv().await
     }
 
-    /// The node knows that the request has ended, or somebody else tells it.
+    /// The node knows that the request has ended, or learns it from another event.
     pub fn close(mut self) {
         self.open = false;
     }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -48,7 +48,7 @@
 
 /// What the node and the tasks that follow the platform tell each other.
 pub struct FleetLink {
-    /// How old the proof of the configuration is.
+    /// Age of the configuration.
     pub freshness: Rc<ConfigFreshness>,
     read_role: watch::Sender<ReadRole>,
 }
@@ -213,7 +213,7 @@
     listen("operators", &settings.operator_address, operators, serve_operator).await
 }
 
-/// The health check fails where requests with a key would be refused for want of proof.
+/// The health check fails while requests with a token are refused because the configuration is stale.
 async fn operator_answer(
     context: DaemonContext,
     freshness: Rc<ConfigFreshness>,
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Ends when an own read succeeds after one has failed; a watch that waited through it may be deaf.
+    /// Ends when an own read succeeds after one has failed; a watch that was open during the outage may
+    /// deliver nothing more.
     async fn outage(&self) {
         let before = self.failures.get();
         while self.failures.get() == before {
@@ -220,7 +221,8 @@
     }
 }
 
-/// A watch that has nothing to tell should have waited; one that did not is asked again later and later.
+/// A watch that delivers nothing should have waited; one that returned at once is repeated later and
+/// later.
 async fn after_quiet_watch(pause: &mut BackOff, begun: Instant) {
     if begun.elapsed() >= WATCH_LIMIT / 2 {
         return pause.reset();
--- a/crates/daemon/src/metrics/gauges.rs
+++ b/crates/daemon/src/metrics/gauges.rs
@@ -1,7 +1,7 @@
 //! Gauges of a node's status and of its peer frames.
 //!
-//! Owns: the gauges, which are set when the metrics are read. Relies on: [`NodeStatus`] and the counts of
-//! the transport.
+//! Owns: the gauges, which are set when the metrics are read. Relies on: [`NodeStatus`] and the counts
+//! of the transport.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -47,8 +47,8 @@
 /// Bounds of the time after which a target counts as stalled. Chosen, not measured.
 const STALL_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
-/// Bodies are read whole, so that any attempt can send them again. Callers that come back within the
-/// time that `retry_after` gives are still in time for their objective; chosen, not measured.
+/// Bodies are read whole, so that any attempt can send them again. Callers that retry after
+/// `retry_after` are still in time for their objective; chosen, not measured.
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: usize::MAX, empty: BodySize::Sized(0) },
     retry_after: Duration::from_millis(200),
@@ -97,7 +97,7 @@
         (objective * STALL_OBJECTIVES).clamp(STALL_RANGE.0, STALL_RANGE.1).min(left)
     }
 
-    /// A resting connection is used only for as long as its target says that it keeps it.
+    /// An idle connection is used only for as long as its target says that it keeps it.
     fn note_idle_limit(&self, answer: &mut TargetAnswer) {
         let Some(text) = headers::text(&answer.head.headers, "keep-alive") else { return };
         let seconds = text.split([',', ';']).find_map(|part| {
@@ -130,7 +130,7 @@
         headers::text(headers, self.profile.attempt_id).unwrap_or_default()
     }
 
-    /// Callers tell the tokens of a request in its head.
+    /// Callers state the token counts in the head.
     fn estimate(&self, _: &mut AdmittedRequest, _: &RequestBody) {}
 
     fn check_sendable(&self, request: &AdmittedRequest) -> Result<(), RefusalReason> {
@@ -248,7 +248,7 @@
     }
 }
 
-/// Statuses that promise that nothing ran are kept for what did not run.
+/// Statuses that imply that nothing ran are used only for requests that did not run.
 fn status_of(refusal: &Refusal) -> StatusCode {
     if refusal.verdict != Verdict::NotRun {
         return match refusal.reason {
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -2,9 +2,9 @@
 //!
 //! A request goes on if a rule takes its host, method and path; if its rule is public, or the
 //! configuration has no accounts, or its token belongs to an account and the configuration is proved
-//! young enough; and if it carries a name of its attempt and a readable time. A token or path that is
-//! unknown is refused for good only where the configuration is surely the newest; before that the
-//! caller gets a `Retry-After`. What the request may then use is decided by the pool's scheduler.
+//! young enough; and if it carries a name of its attempt and a readable time. An unknown token
+//! or path is refused for good only while the configuration is proved the newest; otherwise the caller
+//! gets a `Retry-After`. What the request may use then is decided by the pool's scheduler.
 //!
 //! Owns: nothing. Relies on: the configuration in force, `ConfigFreshness` for its age.
 
@@ -96,7 +96,7 @@
         limit.is_none_or(|limit| self.freshness.is_within(limit))
     }
 
-    /// What is unknown here is refused for good only where the configuration is surely the newest.
+    /// An unknown token or path is refused for good only while the configuration is proved the newest.
     fn denied(&self, reason: RefusalReason) -> Refusal {
         if self.freshness.is_within(self.context.bounds().config_apply_limit) {
             return Refusal::not_run(reason, None);
@@ -108,14 +108,15 @@
         let Some(text) = headers::text(head, self.profile.time_left) else { return Ok(None) };
         let millis: f64 = text.trim().parse()?;
         let asked = Duration::try_from_secs_f64(millis / 1_000.0).unwrap_or_else(|error| {
-            // A negative or endless time leaves none, so that the request is refused as too late.
+            // A negative or infinite time counts as none left, so that the request is refused as too
+            // late.
             debug!("time_out_of_range", kv: { time = text, error = error.to_string() });
             Duration::ZERO
         });
         Ok(Some(asked))
     }
 
-    /// Notes the time that a caller gives, and tells the longest that callers of its rule have given.
+    /// Records the time that a caller gives and returns the longest that was given for its rule.
     fn note_time(&self, rule: &AdmissionRule, asked: Option<Duration>) -> Duration {
         let (Some(asked), Some(_)) = (asked, rule.service.objective) else { return Duration::ZERO };
         let mut longest = self.longest.borrow_mut();
--- a/crates/daemon/src/request/profile/objectives.rs
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -1,4 +1,4 @@
-//! How long may a request wait for a target? Its latency objectives, out of its rule and its headers.
+//! How long may a request wait for a target? Its latency objectives, from its rule and its headers.
 //!
 //! Inputs: the rule's objective (time to the first part that counts as in time), the time that the
 //! caller gives, the longest that callers of the rule have given, the time until the deadline; all are
@@ -6,11 +6,11 @@
 //!
 //! The rule: a request may wait for [`WAIT_OBJECTIVES`] objectives, but for no more than
 //! [`WAIT_PERCENT`] of its time. A new request is refused at once where its forecast wait is above
-//! [`FORECAST_PERCENT`] of the objective, so that its caller can come back in time; one that has come
-//! back (it gives less time than others, [`RETRY_TIME_PERCENT`]) is refused only where the forecast is
-//! above the whole wait. A rule without an objective lets requests wait until their deadline.
+//! [`FORECAST_PERCENT`] of the objective, so that its caller can retry in time; a retry (it gives
+//! less time than others, [`RETRY_TIME_PERCENT`]) is refused only where the forecast is above the whole
+//! wait. A rule without an objective lets requests wait until their deadline.
 //!
-//! Owns: nothing; a pure function. Relies on: callers that give less time when they come back.
+//! Owns: nothing; a pure function. Relies on: callers that give less time when they retry.
 
 use std::time::Duration;
 
@@ -25,8 +25,8 @@
 /// Forecast wait above which a new request is refused at once, in percent of its objective. From
 /// docs/MEASUREMENTS.md, "refusal by forecast" and "a forecast of 35 %" (worse).
 const FORECAST_PERCENT: u32 = 60;
-/// A caller that gives less than this part of the longest time, in percent, has come back after a
-/// refusal. Chosen, not measured: callers that come back have lost at least the advised wait.
+/// A caller that gives less than this part of the longest time, in percent, retries after a
+/// refusal. Chosen, not measured: callers that retry have lost at least the advised wait.
 const RETRY_TIME_PERCENT: u32 = 95;
 
 /// The objectives and limits of a request.
--- a/crates/daemon/src/request/profile/tests/mod.rs
+++ b/crates/daemon/src/request/profile/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Rules of the admission of a fleet's requests as tables: inputs and outcome. Times are in milliseconds.
+//! Rules of the admission of a fleet's requests as tables: inputs and outcome. Times are in
+//! milliseconds.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/request/profile/work.rs
+++ b/crates/daemon/src/request/profile/work.rs
@@ -1,8 +1,7 @@
-//! What does a request cost? Its work and its units of an account's rate, out of its headers.
+//! What does a request cost? Its work, and its units of the account's rate, from its headers.
 //!
-//! Owns: nothing; pure functions. Relies on: callers that tell the tokens of a request. What they do
-//! not tell, or tell unreadably, counts as none for the work and as the account's plain cost for the
-//! rate.
+//! Owns: nothing; pure functions. Relies on: callers that state the token counts of a request. A
+//! missing or unreadable count is zero for the work, and the account's plain cost for the rate.
 
 use std::hash::Hasher;
 
@@ -18,7 +17,7 @@
 /// Chosen, not measured: a smaller prefix saves less than a busier target costs.
 const PREFIX_DIVISOR: u64 = 2;
 
-/// Tokens of a request as its caller tells them.
+/// Token counts of a request as its caller states them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Of the prompt.
@@ -27,7 +26,7 @@
     pub output: u64,
 }
 
-/// The token counts that a header tells, `None` where it is missing or unreadable.
+/// The token counts in a header, `None` where it is missing or unreadable.
 pub fn token_counts(head: &HeaderMap, name: &str) -> Option<TokenCounts> {
     let (prompt, output) = headers::text(head, name)?.split_once(',')?;
     Some(TokenCounts { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -167,7 +167,8 @@
         metrics.waited(waited, &self.request.tier, &self.request.pool.id);
         let sent = Instant::now();
         self.progress.note_sent();
-        // Whatever ends the wait from here on, the request may have run until its target says otherwise.
+        // Whatever ends the wait from here on, the request may have run until its target says
+        // otherwise.
         let before = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
         let attempt = TargetAttempt {
             request: &self.request,
@@ -241,8 +242,8 @@
         self.refuse_with(Refusal { reason, verdict: self.verdict, retry_after });
     }
 
-    /// Gives the caller its final answer, which is true about what ran. An answer that has begun is
-    /// cut, which dropping its channel does.
+    /// Gives the caller its final answer, which says whether the request may have run. An answer that
+    /// has begun is cut, which dropping its channel does.
     fn refuse_with(&mut self, mut refusal: Refusal) {
         refusal.verdict = refusal.verdict.join(self.verdict);
         let request = &self.request;
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,7 +1,8 @@
 //! The story of one request, out of the logs of many daemons.
 //!
-//! Nothing in this crate performs input or output. [`MergedLog`] takes lines, [`MergedLog::story`] joins those
-//! of a request with what its daemon had noted shortly before, and names the most likely cause.
+//! Nothing in this crate performs input or output. [`MergedLog`] takes lines, [`MergedLog::story`]
+//! joins those of a request with what its daemon had noted shortly before, and names the most likely
+//! cause.
 
 mod cause;
 mod line;
--- a/crates/keys/src/home.rs
+++ b/crates/keys/src/home.rs
@@ -1,6 +1,7 @@
 //! The slots that one daemon holds, and the moves of slots between daemons.
 //!
-//! Owns: the keys of the slots that this daemon holds. Relies on: the key table as stored; the node for the clock.
+//! Owns: the keys of the slots that this daemon holds. Relies on: the key table as stored; the node for
+//! the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/keys/src/table.rs
+++ b/crates/keys/src/table.rs
@@ -43,8 +43,8 @@
     }
 
     /// The table after the end of some holders: those on VMs that are gone, and earlier daemons of
-    /// the own VM. Their slots go to the eligible daemons with the fewest, with a history that begins now.
-    /// `None` where nothing changes.
+    /// the own VM. Their slots go to the eligible daemons with the fewest, with a history that begins
+    /// now. `None` where nothing changes.
     pub fn reassign(
         &self,
         gone: &BTreeSet<VmId>,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -23,7 +23,7 @@
     pub leaving: bool,
 }
 
-/// How a proposed key table fared.
+/// Result of proposing a key table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableWrite {
     /// Stored under this version.
@@ -51,7 +51,7 @@
     ConfigRead(ConfigBundle),
     /// The key table as the platform shows it; `None` where there is none.
     TableRead(Option<(ObjectVersion, KeyTable)>),
-    /// A proposal's fate.
+    /// The result of a proposal.
     TableWritten(TableWrite),
     /// A target's report, for the scheduler of its pool.
     TargetReported(PoolId, TargetId, TargetReport),
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -1,11 +1,13 @@
 //! How old a daemon's view of the platform is, and whether it reads the platform itself.
 //!
 //! Every call of the platform is counted, so only the first few daemons in the order of schedulers read
-//! it. The others ask those with each heartbeat how old their latest read is. The age of a proof that comes by way of a peer
-//! counts from the sending of the query, less the age that the peer states: whatever time the messages
-//! took, the read was sent no earlier. A daemon whose peers cannot prove enough reads for itself.
+//! it. The others ask those with each heartbeat how old their latest read is. The age of a proof that
+//! comes by way of a peer counts from the sending of the query, less the age that the peer states:
+//! whatever time the messages took, the read was sent no earlier. A daemon whose peers cannot prove
+//! enough reads for itself.
 //!
-//! Owns: when the configuration was last confirmed, and by whom. Relies on: peers that state an age no younger than it is.
+//! Owns: when the configuration was last confirmed, and by whom. Relies on: peers that state an age no
+//! younger than it is.
 
 use std::time::Duration;
 
@@ -151,7 +153,8 @@
         }
     }
 
-    /// Answers a peer's ask: the age of the latest own read. From now on this daemon reads for others.
+    /// Answers a peer's query with the age of the latest own read. From now on this daemon reads for
+    /// others.
     pub fn asked(&mut self, now: Uptime) -> Option<Duration> {
         self.asked_until = now + self.limits.fallback_after;
         self.own.map(|own| now.saturating_sub(own))
@@ -190,13 +193,13 @@
         }
     }
 
-    /// Whether this daemon should schedule, and read for others, only where no other daemon can: what it
-    /// knows is too old, or the platform turns it away. Nothing is too old before the first read.
+    /// Whether this daemon should schedule, and read for others, only where no other daemon can: what
+    /// it knows is too old, or the platform turns it away. Nothing is too old before the first read.
     pub fn is_stale(&self, now: Uptime) -> bool {
         self.turned_away || self.proved.is_some() && !self.is_within(now, self.limits.stale_after)
     }
 
-    /// Whether targets that vanish now may come back, since the platform failed a moment ago.
+    /// Whether targets that vanish now may come back, since the platform failed shortly before.
     pub fn is_doubtful(&self, now: Uptime) -> bool {
         match self.reach {
             PlatformReach::Steady => false,
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -1,6 +1,7 @@
 //! The key table: what is known of it, and when to propose another.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the table.
+//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the
+//! table.
 
 use std::time::Duration;
 
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Moves asks to the right schedulers when the set of eligible daemons has changed.
+    /// Moves permit requests to the right schedulers when the set of eligible daemons has changed.
     pub(super) fn review_roles(&mut self) {
         if !self.members.take_changed() {
             return;
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -47,7 +47,7 @@
         self.perform(actions);
     }
 
-    /// Charges a permit request to its account's rate, where it asks here for the first time.
+    /// Charges a permit request to its account's rate, where it arrives here for the first time.
     pub(super) fn charge(&mut self, request: &PermitRequest) -> Result<(), Duration> {
         let known = self.pools.get(&request.pool).is_some_and(|pool| pool.knows(&request.permit));
         if known || request.permit.attempt > 0 {
@@ -57,14 +57,15 @@
         let Some(rate) = account.and_then(|account| account.shared_rate) else { return Ok(()) };
         let part = match self.rate_turn(&request.pool) {
             RateTurn::Leader => self.members.reached_part(self.now),
-            // Another daemon gives out the rate; this one was asked because that one seems unresponsive.
+            // Another daemon gives out the rate; this one was asked because that one seems
+            // unresponsive.
             turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
         };
         self.rates.take(self.now, &request.account, &rate, request.cost, part)
     }
 
-    /// The refusal of a permit request for which there is no room in its account's rate. Where the daemon that keeps
-    /// the rate is unresponsive, there may be room once another one has taken over.
+    /// The refusal of a permit request for which there is no room in its account's rate. Where the
+    /// daemon that keeps the rate is unresponsive, there may be room once another one has taken over.
     pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
         let (reason, wait) = match self.rate_turn(&request.pool) {
             RateTurn::Leader => (RefusalReason::AccountRate, wait),
--- a/crates/node/src/pool_options.rs
+++ b/crates/node/src/pool_options.rs
@@ -17,7 +17,7 @@
         };
         (account.id.clone(), limit)
     });
-    // Without tiers no rule passes the check, so that no request asks.
+    // Without tiers no rule passes the check, so that no request needs the rank.
     let lowest = config.tiers.values().map(|tier| tier.rank).max().unwrap_or(0);
     PoolOptions {
         queue_limit: pool.queue_limit as usize,
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -3,7 +3,8 @@
 //! A daemon learns of them from the platform itself or from a peer that reads it. The view keeps the
 //! latest changes, so that a peer that knows an earlier revision gets only what it lacks.
 //!
-//! Owns: the targets that announced themselves, and recent changes. Relies on: revisions of the platform.
+//! Owns: the targets that announced themselves, and recent changes. Relies on: revisions of the
+//! platform.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -111,7 +112,8 @@
         TargetsContent::Since(known, changes.map(|(_, change)| change.clone()).collect())
     }
 
-    /// The platform has settled: what is still missing has ended. Returns whether that is news.
+    /// The platform has settled: what is still missing has ended. Returns whether any target was
+    /// removed.
     pub fn settle(&mut self) -> bool {
         let news = !self.missing.is_empty();
         self.missing.clear();
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -35,7 +35,7 @@
         self.listed = listed;
     }
 
-    /// VMs that have ended by the platform's word. None while the own VM, which plainly lives, is
+    /// VMs that have ended according to the platform's list. None while this daemon's own VM is
     /// missing too: such a list proves nothing.
     pub fn gone(&self, now: Uptime, me: &VmId) -> BTreeSet<VmId> {
         if self.missing.contains_key(me) {
--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -65,7 +65,8 @@
         Refusal::not_run(RefusalReason::NoTarget, Some(wait))
     }
 
-    /// Decides whether a permit request may wait; makes room for it if that takes nothing from a higher tier.
+    /// Decides whether a permit request may wait; makes room for it if that takes nothing from a higher
+    /// tier.
     pub(crate) fn admit(
         &mut self,
         now: Uptime,
@@ -211,14 +212,14 @@
     }
 }
 
-/// The refusal of a permit request that would wait too long. It is for its own sake: whatever goes after
-/// it waits longer still, so no tier is shed for it.
+/// The refusal of a permit request that would wait too long. The wait is longer still for whatever
+/// goes after it, so the refusal sheds no tier.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
     let advice = spread_advice(request.permit, wait, request.time_left);
     Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
 }
 
-/// Whether a permit request is refused because the pool has not enough room, and not for its own sake.
+/// Whether a permit request is refused because the pool has not enough room.
 pub(crate) fn is_for_capacity(refusal: &Refusal) -> bool {
     match refusal.reason {
         RefusalReason::QueueFull | RefusalReason::TierShed => true,
--- a/crates/sched/src/admission/account.rs
+++ b/crates/sched/src/admission/account.rs
@@ -1,8 +1,8 @@
 //! Limits of one client account in one pool.
 //!
 //! Inputs: the account's rate in requests a second and its queue limit in requests, both from its
-//! section in the configuration. The rule: a request takes one token of a bucket that holds one second's
-//! worth of requests; where there is none, it is refused with the time until the next one.
+//! section in the configuration. The rule: a request takes one token of a bucket that holds one
+//! second's worth of requests; where there is none, it is refused with the time until the next one.
 //!
 //! Owns: the token bucket of an account in one pool. Relies on: the configuration for its rate.
 
--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -1,13 +1,14 @@
 //! How long will a request wait, and how long will it take?
 //!
 //! Inputs: the request's work in microseconds, its place in the queue, what was learned of the targets'
-//! speeds, and what the pool has taken in lately. The rule: the wait is the work ahead of the request by
-//! the pool's capacity, which is what was granted lately where lengths are guesses, and the slots by the
-//! targets' speeds where they are known. The time on a target is that of the fastest one, longer by
-//! a margin where the work is known, and shorter by [`GUESS_DIVISOR`] where
-//! the length of the answer is a guess, so that neither error refuses what could be served.
+//! speeds, and what the pool has taken in lately. The rule: the wait is the work ahead of the request
+//! by the pool's capacity, which is what was granted lately where lengths are guesses, and the slots by
+//! the targets' speeds where they are known. The time on a target is that of the fastest one, longer by
+//! a margin where the work is known, and shorter by [`GUESS_DIVISOR`] where the length of the answer is
+//! a guess, so that neither error refuses what could be served.
 //!
-//! Owns: nothing; these are methods of `PoolScheduler`. Relies on: `throughput` and `placement` for what was learned.
+//! Owns: nothing; these are methods of `PoolScheduler`. Relies on: `throughput` and `placement` for
+//! what was learned.
 
 use std::time::Duration;
 
@@ -49,7 +50,8 @@
         limit: &AccountLimit,
     ) -> WorkMicros {
         let ahead = self.queues.work_ahead(request, limit.weight);
-        // Where the work is known, the targets' speeds tell more than what happened to be granted lately.
+        // Where the work is known, the targets' speeds tell more than what happened to be granted
+        // lately.
         let capacity = self
             .throughput
             .capacity_for(request.tier)
--- a/crates/sched/src/admission/overload.rs
+++ b/crates/sched/src/admission/overload.rs
@@ -1,6 +1,7 @@
 //! Is a tier shed? The overload level of a pool: which tiers it refuses outright.
 //!
-//! The rule: when a tier is refused for want of capacity, every tier below it is refused outright; after
+//! The rule: when a tier is refused for want of capacity, every tier below it is refused outright;
+//! after
 //! [`LEVEL_HOLD`] without such a refusal the level falls by one tier. Model `levels`.
 //!
 //! Owns: the level of one pool. Relies on: `PoolScheduler` for refusals.
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -2,15 +2,16 @@
 //!
 //! Inputs: the account's rate in units a second and its burst in units (configuration), the cost of the
 //! request in units, what the platform tolerates beyond (settings `[bounds] rate_*`), the daemons that
-//! this one reaches, whose turn it is. The rule: a request passes while the bucket is above zero and may
-//! take it below; otherwise it is refused with the time until the bucket, less what was promised to
+//! this one reaches, whose turn it is. The rule: a request passes while the bucket is above zero and
+//! may take it below; otherwise it is refused with the time until the bucket, less what was promised to
 //! others before, is above zero again.
 //!
 //! The daemon that schedules keeps them, since every request asks it. Where daemons cannot reach each
 //! other, several may schedule at once; each then gives out only the part of the rate that belongs to
 //! the daemons it reaches, so that the parts add up to the whole.
 //!
-//! Owns: one bucket an account. Relies on: the node for whose turn it is and how many daemons it reaches.
+//! Owns: one bucket an account. Relies on: the node for whose turn it is and how many daemons it
+//! reaches.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,11 +21,11 @@
 use super::token_bucket::{TokenBucket, SCALE};
 use crate::advice::{LEAST_ADVICE, MOST_ADVICE};
 
-/// Divides a second's units into what a daemon that is asked out of turn may save. Chosen, not measured:
-/// little, since the daemon whose turn it is may have given the burst out.
+/// Divides a second's units into what a daemon that is asked out of turn may save. Chosen, not
+/// measured: little, since the daemon whose turn it is may have given the burst out.
 const OUT_OF_TURN_DIVISOR: i128 = 4;
-/// Windows in which the reserve of a deputy fills. Chosen so that what is saved and what fills up within
-/// one window are the reserve together; model `rates`.
+/// Windows in which the reserve of a deputy fills. Chosen so that what is saved and what fills up
+/// within one window are the reserve together; model `rates`.
 const RESERVE_WINDOWS: i128 = 2;
 
 /// Whose turn it is to give out the rates, as a daemon sees itself.
@@ -33,7 +34,8 @@
     /// It is asked first.
     Leader,
     /// It is asked next, where the leader is unresponsive. It has a reserve, which is what the platform
-    /// tolerates beyond the rates and the leader does not use; it fills while the leader stays the same.
+    /// tolerates beyond the rates and the leader does not use; it fills while the leader stays the
+    /// same.
     Deputy,
     /// It is asked after these. It has no burst saved, since the others may have given it out.
     Other,
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -1,8 +1,8 @@
 //! How much work can a pool take in? Learned from what it has granted while requests waited.
 //!
-//! Inputs: work in microseconds granted and arrived, by tier, and the time for which requests waited. The
-//! rule: the capacity left to a tier is what the pool grants in a second less what arrives in the tiers
-//! above, but at least one part in [`LEAST_PART`] of it.
+//! Inputs: work in microseconds granted and arrived, by tier, and the time for which requests waited.
+//! The rule: the capacity left to a tier is what the pool grants in a second less what arrives in the
+//! tiers above, but at least one part in [`LEAST_PART`] of it.
 //!
 //! Owns: the decaying sums of one pool. Relies on: `PoolScheduler` for grants and the clock.
 
@@ -34,7 +34,7 @@
 /// Flows of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PoolThroughput {
-    /// Work granted while asks waited.
+    /// Work granted while requests waited.
     granted: DecayingRatio,
     /// Work that arrived in each tier, over all time.
     arrived: BTreeMap<TierRank, DecayingRatio>,
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -1,10 +1,11 @@
 //! When should a refused caller retry? The `Retry-After` of a refusal.
 //!
-//! Inputs: the estimated wait and the time left until the deadline, both durations, and the permit, whose
-//! random id spreads the advice. The rule: not before the wait is over; spread over [`SPREAD_PERCENT`] of
-//! the time left, so that those who are refused together do not come back together; never later than
-//! [`ADVICE_PERCENT`] of the time left, after which coming back is no use. Where nothing is known of the
-//! cause, [`DEFAULT_ADVICE`].
+//! Inputs: the estimated wait and the time left until the deadline, both durations, and the permit,
+//! whose random id spreads the advice. The rule: not before the wait is over; spread over
+//! [`SPREAD_PERCENT`] of the time left, so that those who are refused together do not come back
+//! together; never later than
+//! [`ADVICE_PERCENT`] of the time left, after which coming back is no use. Where nothing is known of
+//! the cause, [`DEFAULT_ADVICE`].
 //!
 //! Owns: every bound of an advice in this crate; no state.
 
@@ -21,8 +22,8 @@
 /// Part of the remaining time over which returns are spread, in percent. From docs/MEASUREMENTS.md, row
 /// "forecasts shed no tier, returns spread"; the figure itself is chosen.
 const SPREAD_PERCENT: u32 = 25;
-/// Part of the time left after which there is no use in coming back, in percent. Chosen; all of the time
-/// left was worse (docs/MEASUREMENTS.md, "advice as long as all the time left").
+/// Part of the time left after which there is no use in coming back, in percent. Chosen; all of the
+/// time left was worse (docs/MEASUREMENTS.md, "advice as long as all the time left").
 const ADVICE_PERCENT: u32 = 30;
 /// Steps in which returns are spread. Chosen: finer than a millisecond for the users' deadlines.
 const SPREAD_STEPS: u32 = 1_024;
--- a/crates/sched/src/election.rs
+++ b/crates/sched/src/election.rs
@@ -1,8 +1,8 @@
 //! Who decides? Which daemons are reachable, and in which order they are asked to schedule a pool.
 //!
-//! [`membership`] holds what is known of the peers, [`addresses`] where daemons may live, [`heartbeats`]
-//! who gets a heartbeat when, [`failure`] when a peer counts as unreachable, [`order`] which daemon
-//! schedules, [`unresponsive`] which one is asked where some do not answer.
+//! [`membership`] holds what is known of the peers, [`addresses`] where daemons may live,
+//! [`heartbeats`] who gets a heartbeat when, [`failure`] when a peer counts as unreachable, [`order`]
+//! which daemon schedules, [`unresponsive`] which one is asked where some do not answer.
 //!
 //! Liveness decides only where to ask first; no promise depends on it.
 
--- a/crates/sched/src/election/failure.rs
+++ b/crates/sched/src/election/failure.rs
@@ -2,10 +2,10 @@
 //!
 //! Inputs: when it was heard of last, whether every heartbeat is exchanged with it and since when, the
 //! suspicion time-out of the settings (`[peers] suspect_after`). The rule: a peer with which every
-//! heartbeat is exchanged is unreachable after the time-out, counted from its last heartbeat or from when
-//! the exchange began; one that sends only one heartbeat in [`FAR_BEATS`] has that many times as long.
-//! Where no peer at all was heard of within the time-out, this daemon itself is cut off, and the longer
-//! time does not count.
+//! heartbeat is exchanged is unreachable after the time-out, counted from its last heartbeat or from
+//! when the exchange began; one that sends only one heartbeat in [`FAR_BEATS`] has that many times as
+//! long. Where no peer at all was heard of within the time-out, this daemon itself is cut off, and the
+//! longer time does not count.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -16,7 +16,8 @@
 use super::heartbeats::FAR_BEATS;
 use super::membership::{MemberView, PeerState};
 
-/// Time without heartbeats after which a peer is forgotten altogether. Chosen, not measured: longer than a restart takes.
+/// Time without heartbeats after which a peer is forgotten altogether. Chosen, not measured: longer
+/// than a restart takes.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
 impl MemberView {
--- a/crates/sched/src/election/heartbeats.rs
+++ b/crates/sched/src/election/heartbeats.rs
@@ -21,8 +21,8 @@
 const KNOWN_EACH: usize = 4;
 /// One heartbeat in this many names addresses. Chosen, not measured.
 const KNOWN_EVERY: u32 = 4;
-/// Daemons, first in the order of schedulers, with which all others exchange every heartbeat. Chosen, not
-/// measured: the scheduler, its deputy and one more for each.
+/// Daemons, first in the order of schedulers, with which all others exchange every heartbeat. Chosen,
+/// not measured: the scheduler, its deputy and one more for each.
 const CANDIDATES: usize = 4;
 /// One heartbeat in this many goes to a peer that is no candidate. Chosen, not measured.
 pub const FAR_BEATS: u32 = 10;
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -1,7 +1,7 @@
 //! What a daemon knows of its peers, from their heartbeats.
 //!
-//! Owns: [`MemberView`], which the other modules here read and change. Relies on: heartbeats that may be
-//! lost, repeated or late.
+//! Owns: [`MemberView`], which the other modules here read and change. Relies on: heartbeats that may
+//! be lost, repeated or late.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,8 +26,8 @@
     pub mesh_limit: usize,
     /// Processor of this VM, in percent of a core; the strongest VMs schedule.
     pub capacity: u32,
-    /// When this process started, by its own wall clock in some unit; among equals the longest running schedules,
-    /// so that a daemon that comes back takes no role away. 0 where that does not count.
+    /// When this process started, by its own wall clock in some unit; among equals the longest running
+    /// schedules, so that a daemon that comes back takes no role away. 0 where that does not count.
     pub started: u64,
 }
 
@@ -110,7 +110,7 @@
     pub(super) changed: bool,
     /// Whether the platform has named the daemons that it knows.
     pub(super) records_known: bool,
-    /// Addresses that get the next heartbeat whatever the plan says.
+    /// Addresses that get the next heartbeat in any case.
     pub(super) reply_due: BTreeSet<String>,
     /// Heartbeats that still go to everyone.
     pub(super) announced: u32,
@@ -149,7 +149,7 @@
         self.announce();
     }
 
-    /// This daemon's view of the platform is old, or is not any more. Returns whether that is news.
+    /// This daemon's view of the platform has become old or fresh. Returns whether that is a change.
     pub fn set_stale(&mut self, stale: bool) -> bool {
         let news = stale != self.stale;
         self.stale = stale;
--- a/crates/sched/src/election/unresponsive.rs
+++ b/crates/sched/src/election/unresponsive.rs
@@ -1,11 +1,11 @@
 //! Which scheduler is asked, where some do not answer?
 //!
 //! Inputs: the order of schedulers, those that did not answer lately and since when, those that did not
-//! answer this very request. The rule: the first in the order that answered lately and was not asked for
-//! this request; else the first that answered lately; else the first. One that did not answer is passed
-//! over for `pass_over_for`, or, once a heartbeat of it arrives, for [`TIMEOUT_FACTOR`] times the time
-//! that was waited for it: it may not have answered because nothing had reached it yet, but it may be that
-//! nothing reaches it still.
+//! answer this very request. The rule: the first in the order that answered lately and was not asked
+//! for this request; else the first that answered lately; else the first. One that did not answer is
+//! passed over for `pass_over_for`, or, once a heartbeat of it arrives, for [`TIMEOUT_FACTOR`] times
+//! the time that was waited for it: it may not have answered because nothing had reached it yet, but it
+//! may be that nothing reaches it still.
 //!
 //! Owns: when each scheduler timed out. Relies on: its user for the clock.
 
@@ -29,7 +29,7 @@
 }
 
 impl UnresponsiveSchedulers {
-    /// None so far; each is waited for `waited` before it counts as unresponsive.
+    /// No scheduler is unresponsive yet; each is waited for `waited` before it becomes so.
     pub fn new(pass_over_for: Duration, waited: Duration) -> UnresponsiveSchedulers {
         let at_least = waited * TIMEOUT_FACTOR;
         UnresponsiveSchedulers { pass_over_for, at_least, since: BTreeMap::new() }
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -1,7 +1,8 @@
 //! The requests of one entry: key, permit, dispatch, verdict.
 //!
-//! Owns: every request whose caller's connection this daemon holds, until its end. Relies on: schedulers
-//! and holders of keys, which may not answer ([`timeouts`]); `retry` for further attempts ([`permits`]).
+//! Owns: every request whose caller's connection this daemon holds, until its end. Relies on:
+//! schedulers and holders of keys, which may not answer ([`timeouts`]); `retry` for further attempts
+//! ([`permits`]).
 //!
 //! The entry that holds the caller's connection owns the request, and only it ever sends it to a
 //! target. A request leaves the waiting phase exactly once per attempt, and a further attempt is
@@ -155,8 +156,8 @@
         actions
     }
 
-    /// The set of eligible daemons has changed: asks go to the right scheduler, and it learns what is
-    /// in flight.
+    /// The set of eligible daemons has changed: permit requests go to the right scheduler, and it
+    /// learns what is in flight.
     pub fn schedulers_changed(
         &mut self,
         now: Uptime,
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -1,6 +1,7 @@
 //! What a scheduler's answer means for a request, and what follows an attempt that did not run.
 //!
-//! Owns: nothing; these are methods of `EntryRequests`. Relies on: schedulers that may repeat or delay an answer.
+//! Owns: nothing; these are methods of `EntryRequests`. Relies on: schedulers that may repeat or delay
+//! an answer.
 
 use curlewcleat_core::{
     AttemptEnd, PermitAnswer, PermitDecision, PermitId, PermitReturn, PoolId, Refusal,
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -132,8 +132,8 @@
         EntryAction::RequestPermit(scheduler, self.permit_request(now))
     }
 
-    /// What is left of the caller's objectives. A request that was offered once is kept as long as it may
-    /// wait.
+    /// What is left of the caller's objectives. A request that was offered once is kept as long as it
+    /// may wait.
     pub fn objectives(&self, now: Uptime) -> LatencyObjectives {
         let objectives = &self.spec.objectives;
         let wait_limit = self.wait_until.saturating_sub(now);
--- a/crates/sched/src/entry/timeouts.rs
+++ b/crates/sched/src/entry/timeouts.rs
@@ -1,12 +1,13 @@
 //! When is a request given up that waits?
 //!
-//! Inputs: its deadline, and when the holder of its key or its scheduler was asked last; times are those
-//! of the daemon's own clock. The rule: at the deadline it is refused, as not run. A holder of its key
-//! that does not answer within `key_limit` is asked `key_tries` times; then a first attempt goes on
-//! without it, and any other is refused. A scheduler that does not answer within `answer_timeout` is
-//! asked `answer_tries` times; then the next one is asked ([`unresponsive`](crate::election)). One that
-//! has answered is asked again every `refresh_every`, so that its end is noticed. What the scheduler
-//! itself gives up is decided in `scheduler` by the request's wait limit and latest start.
+//! Inputs: its deadline, and when the holder of its key or its scheduler was asked last; times are
+//! those of the daemon's own clock. The rule: at the deadline it is refused, as not run. A holder of
+//! its key that does not answer within `key_limit` is asked `key_tries` times; then a first attempt
+//! goes on without it, and any other is refused. A scheduler that does not answer within
+//! `answer_timeout` is asked `answer_tries` times; then the next one is asked
+//! ([`unresponsive`](crate::election)). One that has answered is asked again every `refresh_every`, so
+//! that its end is noticed. What the scheduler itself gives up is decided in `scheduler` by the
+//! request's wait limit and latest start.
 //!
 //! The limits come from the settings (`[peers] ask_limit`, `ask_tries`) or [`EntryOptions`].
 //!
--- a/crates/sched/src/order/priority.rs
+++ b/crates/sched/src/order/priority.rs
@@ -2,9 +2,9 @@
 //!
 //! Inputs: when it arrived, its work in microseconds, the rank of its rule, whether it comes back after
 //! an early refusal, and `age_per_work` from the settings (`[scheduling]`). The rule: its place is the
-//! time of its arrival, later by [`URGENCY_AGE`] for each rank of its rule and by `age_per_work` for each
-//! microsecond of work, and earlier by [`HEAD_START`] where it has come back. The lowest place goes
-//! first. At 0 `age_per_work` serves the oldest first, at a large number the shortest;
+//! time of its arrival, later by [`URGENCY_AGE`] for each rank of its rule and by `age_per_work` for
+//! each microsecond of work, and earlier by [`HEAD_START`] where it has come back. The lowest place
+//! goes first. At 0 `age_per_work` serves the oldest first, at a large number the shortest;
 //! docs/MEASUREMENTS.md, "Rounds", has the figures for 0, 2, 8 and 32.
 
 use std::time::Duration;
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -1,9 +1,9 @@
 //! The waiting requests of a pool, in the order in which they go.
 //!
-//! The rule: the highest tier first; inside it the account that was served the least work for its weight
-//! (start-time fair queueing, an idle account gets no credit); inside an account the lowest place
-//! ([`priority`](super)). A few requests behind the first are offered too, so that one that no target
-//! suits does not hold up the others.
+//! The rule: the highest tier first; inside it the account that was served the least work for its
+//! weight (start-time fair queueing, an idle account gets no credit); inside an account the lowest
+//! place ([`priority`](super)). A few requests behind the first are offered too, so that one that no
+//! target suits does not hold up the others.
 //!
 //! Owns: the waiting requests, and the work served to each account. Relies on: estimates of work in
 //! microseconds.
@@ -38,7 +38,8 @@
     pub work: WorkMicros,
 }
 
-/// Requests of an account's queue that are tried, so that one that no target suits does not hold up the others.
+/// Requests of an account's queue that are tried, so that one that no target suits does not hold up the
+/// others.
 const HEADS_PER_ACCOUNT: usize = 4;
 /// Size classes of work in a line, one for each power of two of microseconds.
 /// Chosen, not measured.
@@ -157,8 +158,8 @@
         self.remove(permit)
     }
 
-    /// The requests that may go next, best first: of each tier by rank the first asks of each of its first
-    /// `accounts` accounts.
+    /// The requests that may go next, best first: of each tier by rank the first requests of each of
+    /// its first `accounts` accounts.
     pub fn heads(&self, accounts: usize) -> impl Iterator<Item = &WaitingRequest> {
         self.tiers.values().flat_map(move |queue| {
             queue
@@ -210,8 +211,8 @@
             .map(|key| key.1)
     }
 
-    /// The permit request to evict in favour of `account` inside its own tier: the last one of the account
-    /// that waits with the most work for its weight, if that is more than this account has.
+    /// The permit request to evict in favour of `account` inside its own tier: the last one of the
+    /// account that waits with the most work for its weight, if that is more than this account has.
     pub fn victim_within(&self, tier: TierRank, account: &AccountId) -> Option<PermitId> {
         let queue = self.tiers.get(&tier)?;
         let own = queue
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,14 +1,15 @@
 //! Which target gets a request?
 //!
-//! Inputs: the waiting request (work in microseconds, deadline, when its first part is due, targets that
-//! failed it), and of each target its room, learned pace, backlog of prompts, share of failures and data
-//! centre.
+//! Inputs: the waiting request (work in microseconds, deadline, when its first part is due, targets
+//! that failed it), and of each target its room, learned pace, backlog of prompts, share of failures
+//! and data centre.
 //!
-//! The rule: of the targets with room ([`target`]) the one is taken that, in this order, makes no running
-//! stream pause for too long, begins the answer in time, ends it soonest (failing and far targets count
-//! longer), and is least loaded. A request waits instead where a busy target would end it in time and
-//! this one would not, or where another does not stall, as long as its first part is not due.
-//! docs/MEASUREMENTS.md, "placement by learned pace" and "near targets first", has what this gained.
+//! The rule: of the targets with room ([`target`]) the one is taken that, in this order, makes no
+//! running stream pause for too long, begins the answer in time, ends it soonest (failing and far
+//! targets count longer), and is least loaded. A request waits instead where a busy target would end it
+//! in time and this one would not, or where another does not stall, as long as its first part is not
+//! due. docs/MEASUREMENTS.md, "placement by learned pace" and "near targets first", has what this
+//! gained.
 //!
 //! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: [`pace`] and [`prefix`] for beliefs
 //! about targets.
@@ -28,15 +29,15 @@
 use crate::order::queue::WaitingRequest;
 use crate::pool::{micros, with_margin, PermitRecord, PoolScheduler, SchedulerAction};
 
-/// Accounts of each tier whose first asks are tried when the best one finds no target. Chosen, not
+/// Accounts of each tier whose first requests are tried when the best one finds no target. Chosen, not
 /// measured.
 const HEADS_TRIED: usize = 8;
 /// Reading prompts for up to this part of the longest allowed pause, in percent, stalls no stream.
 /// Chosen, not measured.
 const STALL_PERCENT: u32 = 70;
-/// The time on a target of another data centre counts longer by this, in percent: a near target is taken
-/// unless a far one is several times as fast, or the near one would be late. From docs/MEASUREMENTS.md,
-/// "Far targets count", which has 15, 80, 250 and 800.
+/// The time on a target of another data centre counts longer by this, in percent: a near target is
+/// taken unless a far one is several times as fast, or the near one would be late. From
+/// docs/MEASUREMENTS.md, "Far targets count", which has 15, 80, 250 and 800.
 const FAR_PERCENT: u64 = 250;
 /// The time on a target counts longer by this many times where all its requests failed lately. Chosen,
 /// not measured.
@@ -102,7 +103,8 @@
         heads.filter_map(|waiting| Some((waiting.request.permit, self.place(now, waiting)?))).next()
     }
 
-    /// The target with room that suits the permit request best, `None` where waiting for another one is better.
+    /// The target with room that suits the permit request best, `None` where waiting for another one is
+    /// better.
     fn place(&self, now: Uptime, waiting: &WaitingRequest) -> Option<TargetId> {
         let top = waiting.request.tier == self.options.top;
         let reserve = self.options.reserve_percent;
--- a/crates/sched/src/placement/ejection.rs
+++ b/crates/sched/src/placement/ejection.rs
@@ -2,13 +2,14 @@
 //!
 //! Inputs: how each request at the target ended, and how many of the pool's targets are ejected.
 //!
-//! The rule: a target is ejected after [`EJECT_AFTER`] consecutive failures for [`EJECT_FIRST`], doubled
-//! with each further failure up to [`EJECT_LIMIT`]. After that time one request at a time tries it out;
-//! the first success ends the ejection. No more than [`EJECT_PERCENT`] of a pool's targets are ejected at
-//! the same time: where all fail, the fault is hardly theirs, and refusing everything would help no caller.
+//! The rule: a target is ejected after [`EJECT_AFTER`] consecutive failures for [`EJECT_FIRST`],
+//! doubled with each further failure up to [`EJECT_LIMIT`]. After that time one request at a time tries
+//! it out; the first success ends the ejection. No more than [`EJECT_PERCENT`] of a pool's targets are
+//! ejected at the same time: where all fail, the fault is hardly theirs, and refusing everything would
+//! help no caller.
 //!
-//! Owns: the ejection of one target. Relies on: verdicts of entries that blame a target only for its own
-//! failures.
+//! Owns: the ejection of one target. Relies on: verdicts of entries that blame a target only for its
+//! own failures.
 
 use std::time::Duration;
 
--- a/crates/sched/src/placement/pace.rs
+++ b/crates/sched/src/placement/pace.rs
@@ -1,10 +1,11 @@
 //! How fast a target streams, learned from the streams that passed through.
 //!
 //! Inputs: of each whole stream the time to its first part, the time of the rest, its parts and its
-//! longest pause, and the work in microseconds that was estimated for it. The rule: times are learned as
-//! ratios to the estimated work, in exponentially weighted means; a new target is believed to be as fast
-//! as its pool; what is believed of an idle target approaches its pool, so that a belief that keeps
-//! requests away cannot keep itself alive. docs/MEASUREMENTS.md, "placement by learned pace", has what this gained.
+//! longest pause, and the work in microseconds that was estimated for it. The rule: times are learned
+//! as ratios to the estimated work, in exponentially weighted means; a new target is believed to be as
+//! fast as its pool; what is believed of an idle target approaches its pool, so that a belief that
+//! keeps requests away cannot keep itself alive. docs/MEASUREMENTS.md, "placement by learned pace", has
+//! what this gained.
 //!
 //! Owns: the means of one target or pool. Relies on: entries that report whole streams.
 
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -1,8 +1,8 @@
 //! Does a target have room, and how fast is it? What a scheduler knows of one target.
 //!
-//! The rules: a target has room while the permits in use, and what others sent by its latest report, are
-//! fewer than its slots (less a reserve for the top tier), and it is not ejected ([`ejection`]). Its
-//! slowness is the ratio of seen to estimated time, in an exponentially weighted mean.
+//! The rules: a target has room while the permits in use, and what others sent by its latest report,
+//! are fewer than its slots (less a reserve for the top tier), and it is not ejected ([`ejection`]).
+//! Its slowness is the ratio of seen to estimated time, in an exponentially weighted mean.
 //!
 //! Owns: slots, permits in use, beliefs. Relies on: reports that may be late or missing.
 //!
--- a/crates/sched/src/retry/budget.rs
+++ b/crates/sched/src/retry/budget.rs
@@ -1,4 +1,5 @@
-//! The retry budget: bounds retries to a share of the requests, so that they cannot multiply an overload.
+//! The retry budget: bounds retries to a share of the requests, so that they cannot multiply an
+//! overload.
 //!
 //! Inputs: requests and retries of the last window, by this daemon; limits from the settings (`[bounds]
 //! retry_*`) or [`RetryLimits::default`]. The rule: retries of a window are at most `percent` of its
@@ -34,8 +35,8 @@
 /// Daemons that share a budget where fewer are known, since others may not be known yet. Chosen, not
 /// measured.
 const LEAST_DAEMONS: u64 = 4;
-/// A daemon that restarts forgets its retries; each has only one part in this many of its share. Chosen,
-/// so that one restart in a window stays within the bound.
+/// A daemon that restarts forgets its retries; each has only one part in this many of its share.
+/// Chosen, so that one restart in a window stays within the bound.
 const RESTART_PARTS: u64 = 2;
 /// Parts in which a window is counted. Chosen, not measured.
 const WINDOW_PARTS: u32 = 20;
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -1,8 +1,9 @@
-//! What happens at the scheduler of a pool: it holds the queue, knows what is in flight, and binds late.
+//! What happens at the scheduler of a pool: it holds the queue, knows what is in flight, and binds
+//! late.
 //!
-//! A permit request waits until a target has room, and only then is the target chosen. The role is soft: if
-//! two daemons act as scheduler for a moment, targets may get more than their slots, and no promise
-//! depends on it.
+//! A permit request waits until a target has room, and only then is the target chosen. The role is
+//! soft: if two daemons act as scheduler for a moment, targets may get more than their slots, and no
+//! promise depends on it.
 //!
 //! Owns: queue, permits in use, what is learned of the targets. Relies on: the rules in `admission`,
 //! `order` and `placement`, which are methods of [`PoolScheduler`]; entries that give permits back.
--- a/crates/targets/src/connection.rs
+++ b/crates/targets/src/connection.rs
@@ -201,8 +201,8 @@
         .ok_or_else(|| Error::Closed("after an answer to an earlier request".to_string()))
 }
 
-/// How the body of an answer is framed. One that ends with its connection cannot be distinguished from one
-/// whose target ended in between, so it is taken only where that is allowed.
+/// How the body of an answer is framed. One that ends with its connection cannot be distinguished from
+/// one whose target ended in between, so it is taken only where that is allowed.
 fn body_frame(
     method: &Method,
     head: &ResponseHead,
--- a/crates/tool/src/show.rs
+++ b/crates/tool/src/show.rs
@@ -1,6 +1,7 @@
 //! `show` and `history`.
 //!
-//! Owns: tables and JSON of `show` and `history`; keys are stable. Relies on: the status of the daemons, the object API.
+//! Owns: tables and JSON of `show` and `history`; keys are stable. Relies on: the status of the
+//! daemons, the object API.
 
 use anyhow::{bail, Result};
 use curlewcleat_config::check_files;
