--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -1,5 +1,6 @@
 //! Stories out of logs with missing daemons, cut lines and clocks that differ.
 
+use curlewcleat_core::RefusalReason;
 use curlewcleat_explain::MergedLog;
 use rstest::rstest;
 
@@ -100,3 +101,20 @@
     assert_eq!(story.steps[0].source, "front-2");
     assert!(story.to_text().contains("no route has this host and path"));
 }
+
+#[test]
+fn every_refusal_has_a_cause_and_a_section_to_read_on() {
+    let pages = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
+    let pages = std::fs::read_to_string(pages).expect("the operators' page");
+    let sections: Vec<&str> = pages.lines().filter(|line| line.starts_with('#')).collect();
+    for reason in RefusalReason::ALL {
+        let mut log = MergedLog::default();
+        let fields = format!("\"reason\":\"{}\",\"may_have_run\":false", reason.code());
+        log.read("vm-1.log", &line(1_000, "request_refused", &request(&fields)));
+        let cause = log.story("r1").expect("a story").cause;
+        assert!(!cause.text.contains("no entry"), "{}: {}", reason.code(), cause.text);
+        let section = cause.page.trim_start_matches("docs/OPERATIONS.md, ");
+        let known = sections.iter().any(|line| line.trim_start_matches(['#', ' ']) == section);
+        assert!(known, "{}: no section {section}", reason.code());
+    }
+}
