--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -134,7 +134,7 @@
     fn estimate(&self, _: &mut AdmittedRequest, _: &RequestBody) {}
 
     fn check_sendable(&self, request: &AdmittedRequest) -> Result<(), RefusalReason> {
-        match request.account.is_some() && !self.is_proved() {
+        match request.account.is_some() && !self.is_config_fresh() {
             true => Err(RefusalReason::ConfigurationStale),
             false => Ok(()),
         }
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -84,14 +84,14 @@
         let token = headers::bearer_token(head);
         let account = token.and_then(|token| config.account_of(&hash_token(token)));
         let account = account.ok_or_else(|| self.denied(RefusalReason::Unauthorized))?;
-        if !self.is_proved() {
+        if !self.is_config_fresh() {
             return Err(unserved(RefusalReason::ConfigurationStale));
         }
         Ok(Some(account))
     }
 
     /// Whether the configuration is proved young enough for requests with a token.
-    pub(super) fn is_proved(&self) -> bool {
+    pub(super) fn is_config_fresh(&self) -> bool {
         let limit = self.context.bounds().config_age_limit;
         limit.is_none_or(|limit| self.freshness.is_within(limit))
     }
--- a/crates/sched/src/placement/ejection.rs
+++ b/crates/sched/src/placement/ejection.rs
@@ -24,7 +24,7 @@
 /// Share of a pool's targets that may be ejected at the same time, in percent. Chosen, not measured.
 const EJECT_PERCENT: usize = 50;
 
-/// Whether a pool of so many targets, some of them ejected, may eject one more.
+/// Whether a pool may eject one more target, by its counts of ejected targets and of all.
 pub fn may_eject_one_more(ejected: usize, targets: usize) -> bool {
     (ejected + 1) * 100 <= targets * EJECT_PERCENT
 }
