--- a/crates/core/src/account.rs
+++ b/crates/core/src/account.rs
@@ -1,9 +1,9 @@
-//! Bearer tokens of client accounts; only their SHA-256 is ever stored.
+//! Hashes of the bearer tokens of client accounts; only the SHA-256 of a token is ever stored.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// SHA-256 of a bearer token. Comparison takes the same time wherever the hashes differ.
+/// SHA-256 of a bearer token. Equality is checked in constant time.
 #[derive(Clone, Debug, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub struct TokenHash([u8; 32]);
 
@@ -20,7 +20,7 @@
 }
 
 impl TokenHash {
-    /// Reads a hash from 64 hexadecimal digits; returns `None` for anything else.
+    /// Parses a hash from 64 hexadecimal digits; returns `None` for anything else.
     pub fn from_hex(text: &str) -> Option<TokenHash> {
         let text = text.trim();
         if text.len() != 64 || !text.is_ascii() {
@@ -33,13 +33,13 @@
         Some(TokenHash(bytes))
     }
 
-    /// The bytes of the hash.
+    /// Returns the bytes of the hash.
     pub fn bytes(&self) -> &[u8; 32] {
         &self.0
     }
 }
 
-/// Hashes a bearer token as the configuration stores it.
+/// Returns the hash of a bearer token in the form that the configuration stores.
 pub fn hash_token(token: &str) -> TokenHash {
     TokenHash(Sha256::digest(token.as_bytes()).into())
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! Shared types of curlewcleat: ids, the configuration model, verdicts, peer messages and the
-//! rules for admission. Nothing in this crate performs input or output.
+//! Shared types of curlewcleat: ids, the configuration model, verdicts, peer messages and admission rules. Nothing in
+//! this crate performs input or output.
 
 mod account;
 mod ids;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,9 +1,9 @@
-//! Messages between daemons. They are one-way; each is safe to lose, repeat or delay.
+//! Defines the messages between daemons. They are one-way; each may be lost, repeated or delayed without harm.
 //!
-//! The codec (postcard) is positional: names may change, order, number and types of fields and variants
-//! may not; `acceptance/tests/golden/peer-messages.txt` holds their bytes.
+//! The codec (postcard) is positional: names of fields and variants may change; their order, number and types may not.
+//! `acceptance/tests/golden/peer-messages.txt` holds the encoded bytes.
 //!
-//! Owns: the form of peer frames. Relies on: nothing.
+//! Owns: the format of peer frames. Relies on: nothing.
 
 mod archive;
 mod keys;
@@ -36,88 +36,90 @@
 pub struct DaemonId {
     /// VM that the daemon runs on.
     pub vm: VmId,
-    /// Start of the process.
+    /// The start of its process.
     pub incarnation: Incarnation,
 }
 
-/// What travels in one peer frame.
+/// Content of one peer frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerFrame {
-    /// Sender.
+    /// The sender.
     pub from: DaemonId,
-    /// Messages in the order in which the sender made them.
+    /// Messages in the order in which the sender created them.
     pub messages: Vec<PeerMessage>,
 }
 
 /// A message from one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Liveness and what the sender knows.
+    /// Shows that the sender is alive, and which versions of the shared state it has.
     Heartbeat(Heartbeat),
-    /// Asks for what the receiver has newer, whole.
+    /// Requests, complete, the configuration and the key table where the receiver has newer ones.
     StatePull(StatePull),
-    /// The whole configuration, for daemons that cannot ask for parts.
+    /// The whole configuration, for daemons that cannot request it in parts.
     ConfigPush(ConfigBundle),
     /// The key table.
     TablePush(TablePush),
-    /// Asks a daemon that reads the platform how old its latest read is.
+    /// Requests the age of the latest read from a daemon that reads the platform.
     FreshnessQuery(FreshnessQuery),
-    /// The answer.
+    /// Answers a [`FreshnessQuery`](PeerMessage::FreshnessQuery).
     FreshnessAnswer(FreshnessAnswer),
-    /// Asks for the targets as the platform showed them after a revision.
+    /// Requests the changes to the target list after a platform revision.
     TargetsPull(ObjectVersion),
-    /// The answer.
+    /// Answers a [`TargetsPull`](PeerMessage::TargetsPull).
     TargetsPush(TargetsPush),
-    /// Asks the scheduler of a pool for a permit.
+    /// Requests a permit from the scheduler of a pool.
     PermitRequest(PermitRequest),
-    /// The scheduler's answer.
+    /// The scheduler's answer to a permit request.
     PermitAnswer(PermitAnswer),
-    /// The entry no longer wants the permit, or is done with it.
+    /// The entry daemon returns a permit that it no longer needs, or cancels its request for one.
     PermitReturn(PermitReturn),
-    /// The entry tells a new scheduler what it has in flight.
+    /// The entry daemon reports a permit in use to a new scheduler.
     PermitHeld(PermitHeld),
-    /// A scheduler refuses a tier for want of capacity; the receiver is to shed all below it.
+    /// A scheduler refuses a tier because of too little capacity; the receiver must shed all tiers below it.
     ShedRequest(ShedRequest),
-    /// The receiver of a raise has done so; the number is that of the round.
+    /// Confirms that the receiver of a [`ShedRequest`](PeerMessage::ShedRequest) sheds the lower tiers; the number is
+    /// the round of the request.
     ShedConfirm(PoolId, u64),
-    /// Asks the holder of a key whether a request may run.
+    /// Requests permission from the holder of a key to run a request.
     KeyClaim(KeyClaim),
-    /// The holder's answer.
+    /// The holder's answer to a claim.
     KeyAnswer(KeyAnswer),
-    /// The entry tells the holder how the claimed request ended.
+    /// The entry daemon reports to the holder how the claimed request ended.
     KeyOutcome(KeyOutcome),
-    /// A holder passes a slot with its keys to the next holder.
+    /// A holder sends a slot with its keys to the next holder.
     KeyHandOver(KeyHandOver),
-    /// The next holder has taken the keys in.
+    /// The next holder acknowledges that it has stored the keys of a slot.
     KeyHandOverAck(KeySlot),
-    /// Asks for a part of the receiver's configuration.
+    /// Requests a part of the receiver's configuration.
     ConfigPartPull(ConfigPartPull),
-    /// The answer.
+    /// Answers a [`ConfigPartPull`](PeerMessage::ConfigPartPull).
     ConfigPart(ConfigPart),
-    /// As [`TargetsPull`](PeerMessage::TargetsPull), for the starts of the targets too. A daemon of an
+    /// Like [`TargetsPull`](PeerMessage::TargetsPull), but requests the starts of the targets as well. A daemon of an
     /// earlier version drops the frame.
     TargetLivesPull(ObjectVersion),
-    /// The answer.
+    /// Answers a [`TargetLivesPull`](PeerMessage::TargetLivesPull).
     TargetLivesPush(TargetLivesPush),
-    /// Asks for the requests under which targets ended. A daemon of an earlier version drops the frame.
+    /// Requests the reports on requests under which targets terminated. A daemon of an earlier version drops the frame.
     SuspectsPull(SuspectsPull),
-    /// The answer, or news.
+    /// Answers a [`SuspectsPull`](PeerMessage::SuspectsPull), or sends an update without being asked.
     SuspectsPush(SuspectsPush),
-    /// What a target has said to the sender. A daemon of an earlier version drops the frame.
+    /// The notices that a target has sent to the sender. A daemon of an earlier version drops the frame.
     TargetNotice(PoolNotice),
-    /// As [`TargetLivesPull`](PeerMessage::TargetLivesPull), for the versions of the targets too. A daemon of an earlier
-    /// version drops the frame, and those of the others below.
+    /// Like [`TargetLivesPull`](PeerMessage::TargetLivesPull), but requests the versions of the targets as well. A
+    /// daemon of an earlier version drops the frame; the same holds for all messages below.
     TargetVersionsPull(ObjectVersion),
-    /// The answer.
+    /// Answers a [`TargetVersionsPull`](PeerMessage::TargetVersionsPull).
     TargetVersionsPush(TargetVersionsPush),
-    /// What the sender knows of a roll-out.
+    /// The state of a rollout as the sender knows it.
     RolloutNews(RolloutNews),
-    /// Answers of targets that the sender has seen during a roll-out.
+    /// Observations of target answers that the sender made during a rollout.
     RolloutAnswers(RolloutAnswers),
 }
 
 impl PeerMessage {
-    /// Whether it travels in a frame of its own: a daemon of an earlier version cannot read it, and drops its frame.
+    /// Returns whether the message needs a frame of its own, because a daemon of an earlier version cannot decode it
+    /// and drops the whole frame.
     pub fn stands_alone(&self) -> bool {
         match self {
             PeerMessage::TargetLivesPull(_)
@@ -128,118 +130,118 @@
             | PeerMessage::TargetVersionsPush(_)
             | PeerMessage::RolloutNews(_)
             | PeerMessage::RolloutAnswers(_) => true,
-            // A receiver that has answered before can read it.
+            // A receiver that has answered a pull before can decode this one.
             PeerMessage::SuspectsPull(pull) => pull.known == 0,
             _ => false,
         }
     }
 }
 
-/// Sent to peers every beat.
+/// Sent to peers once per heartbeat interval.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// `ip:port` at which the sender receives peer frames.
     pub address: String,
     /// Data centre of the sender.
     pub data_centre: String,
-    /// Configuration in force at the sender, 0 for none.
+    /// Generation of the configuration in force at the sender, 0 for none.
     pub generation: Generation,
-    /// Version of the key table that the sender knows.
+    /// Version of the key table at the sender.
     pub table: ObjectVersion,
-    /// Whether the sender is draining and takes no role.
+    /// Whether the sender is draining and accepts no role.
     pub draining: bool,
-    /// Whether the sender's view of the platform is old; it takes roles only after all others.
+    /// Whether the sender's view of the platform is stale; such a daemon gets roles only after all others.
     pub stale: bool,
-    /// Processor of the sender's VM, in percent of a core.
+    /// Processor capacity of the sender's VM, in percent of one core.
     pub capacity: u32,
-    /// When the sender's process started, for the order of schedulers; 0 where that does not count.
+    /// When the sender's process started, which orders the candidates for schedulers; 0 where it is ignored.
     pub started: u64,
-    /// Whether the receiver is to send a heartbeat back at its next beat.
+    /// Whether the receiver must answer with a heartbeat at its next heartbeat interval.
     pub answer_wanted: bool,
-    /// Peer addresses that the sender knows, so that a new daemon learns the rest.
+    /// Peer addresses that the sender knows, from which a new daemon learns of the other peers.
     pub known: Vec<String>,
 }
 
-/// Asks how old the receiver's latest read of the platform is.
+/// Requests the age of the receiver's latest read of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessQuery {
-    /// Start of the asking process; an answer to an earlier one is void.
+    /// Incarnation of the querying daemon; answers to queries of an earlier incarnation are ignored.
     pub incarnation: Incarnation,
-    /// When the query was sent, by the asker's own clock.
+    /// When the query was sent, on the clock of the querying daemon.
     pub sent: Uptime,
 }
 
-/// What the answering daemon knew when the query reached it.
+/// State of the answering daemon when it received the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessAnswer {
-    /// The query, as it was sent.
+    /// The query that is answered, unchanged.
     pub query: FreshnessQuery,
-    /// Age of the latest own read that showed the configuration below to be the newest, counted from
-    /// its sending; `None` where the answering daemon does not read the platform.
+    /// Age of the answering daemon's latest platform read that showed the configuration below to be the newest, counted
+    /// from the moment at which the read was sent; `None` where the daemon does not read the platform.
     pub age: Option<Duration>,
-    /// Configuration in force at the answering daemon.
+    /// Generation of the configuration in force at the answering daemon.
     pub generation: Generation,
-    /// Revision of the platform up to which it knows the targets.
+    /// Platform revision up to which the answering daemon knows the targets.
     pub targets_at: ObjectVersion,
 }
 
-/// Targets as the platform shows them at a revision.
+/// Targets as the platform lists them at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetsPush {
-    /// What is pushed.
+    /// All targets, or the changes since an earlier revision.
     pub content: TargetsContent,
-    /// Revision of the platform.
+    /// Platform revision up to which the content is complete.
     pub at: ObjectVersion,
 }
 
-/// All targets, or what changed among them.
+/// All targets, or the changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TargetsContent {
-    /// All of them.
+    /// The complete list.
     All(Vec<DiscoveredTarget>),
-    /// Changes in order, all that happened after this revision.
+    /// All changes after this revision, in order.
     Since(ObjectVersion, Vec<TargetChange>),
 }
 
-/// What the sender has; the receiver sends what it has newer.
+/// Names the versions that the sender has; the receiver answers with those that it has in a newer version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StatePull {
-    /// Configuration in force at the sender, 0 for none.
+    /// Generation of the configuration in force at the sender, 0 for none.
     pub generation: Generation,
-    /// Version of the key table known to the sender, 0 for none.
+    /// Version of the key table at the sender, 0 for none.
     pub table: ObjectVersion,
 }
 
 /// The key table as read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TablePush {
-    /// Its version at the platform.
+    /// Version of the table's object at the platform.
     pub version: ObjectVersion,
-    /// For each slot its holder and since when its history is complete.
+    /// For each slot, its holder and the time since which the holder's history is complete.
     pub slots: Vec<SlotHolder>,
 }
 
 /// Holder of one slot of the key table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotHolder {
-    /// The daemon.
+    /// The daemon that holds the slot.
     pub holder: DaemonId,
-    /// Since when the holder's history is complete, in milliseconds since the Unix epoch; 0 where
-    /// it has been complete since the table was made.
+    /// Time since which the holder's history of the slot is complete, in milliseconds since the Unix epoch; 0 where it
+    /// has been complete since the table was created.
     pub complete_since_ms: u64,
 }
 
-/// A configuration with the texts of its files.
+/// A configuration as the texts of its files.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigBundle {
-    /// Its place in the order.
+    /// Position in the order of all accepted configurations.
     pub generation: Generation,
-    /// Texts by file name.
+    /// Texts of the files by file name.
     pub files: BTreeMap<String, String>,
 }
 
 impl ConfigBundle {
-    /// Length of all texts in bytes.
+    /// Returns the total length of all texts in bytes.
     pub fn text_bytes(&self) -> u64 {
         self.files.values().map(|text| text.len() as u64).sum()
     }
--- a/crates/core/src/message/lethal.rs
+++ b/crates/core/src/message/lethal.rs
@@ -1,8 +1,8 @@
-//! What daemons tell each other of requests under which targets ended.
+//! Messages between daemons about requests under which targets terminated.
 //!
-//! Reports are merged as sets: each may be lost, repeated, or come in any order and by any way.
+//! Reports are merged as sets: each may be lost, repeated, or arrive in any order and through any daemon.
 //!
-//! Owns: the form of these messages. Relies on: nothing.
+//! Owns: the format of these messages. Relies on: nothing.
 
 use std::time::Duration;
 
@@ -10,63 +10,64 @@
 
 use crate::{RequestDigest, TargetLife};
 
-/// How a request broke off at a target.
+/// How a request was interrupted at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BreakKind {
-    /// The target ended the connection.
+    /// The target closed the connection.
     Closed,
-    /// The target said nothing for too long.
+    /// The target sent nothing for longer than the limit.
     Stalled,
 }
 
-/// A request broke off at a life of a target.
+/// The interruption of a request at a target instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestBreak {
-    /// The life.
+    /// The target instance.
     pub life: TargetLife,
-    /// How it broke off.
+    /// How the request was interrupted.
     pub kind: BreakKind,
-    /// Whether a part of its answer had come from there.
+    /// Whether a part of the answer had arrived from this instance.
     pub begun: bool,
 }
 
-/// What is known of a break.
+/// State of one interruption.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BreakReport {
-    /// Where and how.
+    /// The instance, and how the request was interrupted there.
     pub broke: RequestBreak,
-    /// Whether the life is known to have ended.
+    /// Whether the instance is known to have terminated.
     pub ended: bool,
-    /// Time since then.
+    /// Time since the interruption.
     pub age: Duration,
 }
 
-/// What is known of one request.
+/// State of one suspect request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The lives under which it broke off.
+    /// The interruptions of the request, each at a target instance.
     pub breaks: Vec<BreakReport>,
-    /// Those that do not count, since it was served whole afterwards, or an operator says so.
+    /// Instances whose interruptions are ignored, because the request was served completely afterwards or an operator
+    /// cleared it.
     pub cleared: Vec<TargetLife>,
-    /// Whether the platform keeps that it is refused.
+    /// Whether the platform stores that the request is refused.
     pub stored: bool,
 }
 
-/// Asks for what the receiver has come to know.
+/// Requests the reports that changed at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuspectsPull {
-    /// Count of changes at the receiver up to which the sender knows them, 0 for none.
+    /// Number of the receiver's changes that the sender has already, 0 for none.
     pub known: u64,
 }
 
-/// The answer, or what the sender has just come to know.
+/// The answer to a [`SuspectsPull`], or an update with the sender's latest changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuspectsPush {
-    /// Count of changes at the sender up to which this tells all after the count that was asked for; 0 where nothing
-    /// was asked for.
+    /// Number of the sender's changes that the receiver has with this answer, which holds all changes after the
+    /// requested number; 0 in an update that was not requested.
     pub at: u64,
-    /// What is known.
+    /// The reports, one per request.
     pub requests: Vec<SuspectReport>,
 }
--- a/crates/core/src/message/lives.rs
+++ b/crates/core/src/message/lives.rs
@@ -1,9 +1,9 @@
-//! Targets with the starts of their lives.
+//! Target lists with the start of each target instance.
 //!
-//! [`DiscoveredTarget`](crate::DiscoveredTarget) has a form of its own on the wire that tells no start
-//! and cannot gain a field, since the codec is positional. So the starts travel beside it.
+//! The wire format of [`DiscoveredTarget`](crate::DiscoveredTarget) has no start and cannot gain a field, because the
+//! codec is positional. The starts are therefore sent as a separate list.
 //!
-//! Owns: the form of these messages. Relies on: nothing.
+//! Owns: the format of these messages. Relies on: nothing.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,31 +13,31 @@
 /// A [`TargetsPush`] with the starts of its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetLivesPush {
-    /// The targets.
+    /// The targets, without their starts.
     push: TargetsPush,
-    /// Start of each target that the push shows, in its order; `None` where a target does not tell.
+    /// Start of each listed target, in the order of the push; `None` where a target reports none.
     starts: Vec<Option<TargetStart>>,
 }
 
 impl TargetLivesPush {
-    /// The push as it travels.
+    /// Splits a push into the targets and their starts for sending.
     pub fn new(mut push: TargetsPush) -> TargetLivesPush {
-        let starts = shown(&mut push).map(|target| target.entry.start.take()).collect();
+        let starts = listed_targets(&mut push).map(|target| target.entry.start.take()).collect();
         TargetLivesPush { push, starts }
     }
 
-    /// The push with its starts in place. Targets beyond the starts tell none.
+    /// Returns the push with the starts restored. Targets beyond the end of the list of starts get none.
     pub fn into_push(self) -> TargetsPush {
         let mut push = self.push;
-        for (target, start) in shown(&mut push).zip(self.starts) {
+        for (target, start) in listed_targets(&mut push).zip(self.starts) {
             target.entry.start = start;
         }
         push
     }
 }
 
-/// The targets that a push shows, in its order.
-pub(super) fn shown(
+/// Returns the listed targets of a push in order, without the removed ones.
+pub(super) fn listed_targets(
     push: &mut TargetsPush,
 ) -> Box<dyn Iterator<Item = &mut DiscoveredTarget> + '_> {
     match &mut push.content {
--- a/crates/core/src/message/notices.rs
+++ b/crates/core/src/message/notices.rs
@@ -1,16 +1,16 @@
-//! What daemons tell schedulers of what targets say of themselves.
+//! Message with which a daemon forwards the notices of a target to the pool's scheduler.
 //!
-//! Owns: the form of the message. Relies on: nothing.
+//! Owns: the format of the message. Relies on: nothing.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{NoticeReport, PoolId};
 
-/// What a target of a pool has said to the sender and still counts.
+/// The notices of a target that the sender has received and that are still in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PoolNotice {
-    /// The pool.
+    /// Pool of the target.
     pub pool: PoolId,
-    /// What was said.
+    /// The notices.
     pub report: NoticeReport,
 }
--- a/crates/core/src/message/permits.rs
+++ b/crates/core/src/message/permits.rs
@@ -1,7 +1,6 @@
-//! Messages between entries and schedulers. The codec is positional: names may change, order and types
-//! may not.
+//! Messages between entry daemons and schedulers. The codec is positional: names may change, order and types may not.
 //!
-//! Owns: the form of these messages. Relies on: nothing; `sched` decides.
+//! Owns: the format of these messages. Relies on: nothing; `sched` decides.
 
 use std::time::Duration;
 
@@ -9,60 +8,60 @@
 
 use crate::{AccountId, PermitId, PoolId, Refusal, TargetId, TierRank, WorkMicros};
 
-/// What a scheduler has to know of a request.
+/// Requests a permit, with the properties of the request that the scheduler needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The attempt that wants the permit.
+    /// The request and the attempt that the permit is for.
     pub permit: PermitId,
-    /// Pool asked for.
+    /// Pool that is to serve the request.
     pub pool: PoolId,
-    /// Rank of the tier.
+    /// Rank of the request's tier.
     pub tier: TierRank,
-    /// Account that pays.
+    /// Client account of the request.
     pub account: AccountId,
-    /// Time left until the deadline.
+    /// Remaining time until the deadline.
     pub time_left: Duration,
-    /// What its caller hopes for.
+    /// Latency objectives of the request.
     pub objectives: LatencyObjectives,
     /// Prompt work in microseconds of a slot.
     pub prompt_work: WorkMicros,
-    /// The rest of the work in microseconds of a slot.
+    /// Work after the prompt in microseconds of a slot.
     pub output_work: WorkMicros,
-    /// Hash of the prompt's beginning, `None` for services.
+    /// Hash of the prompt prefix, `None` for services.
     pub prefix: Option<u64>,
-    /// What it counts against its account's shared rate.
+    /// Units that the request uses of its account's shared rate.
     pub cost: u64,
-    /// Targets that already failed this request.
+    /// Targets that have failed this request already.
     pub avoid: Vec<TargetId>,
 }
 
-/// What the caller of a request hopes for; nothing is promised about it.
+/// Latency objectives of a request; they are not guaranteed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LatencyObjectives {
-    /// Time for which the request may wait for a target.
+    /// Longest time for which the request may wait for a target.
     pub wait_limit: Duration,
-    /// It is refused at once where it is expected to wait longer than this.
+    /// The request is refused at once where its expected wait is longer than this.
     pub forecast_limit: Duration,
-    /// Time until the first part of its answer is late.
+    /// Time after which the first part of the answer is late.
     pub first_part_by: Duration,
-    /// Pause between two parts of the answer above which it is late.
+    /// Longest pause between two parts of the answer; after a longer one the next part is late.
     pub pause_limit: Duration,
-    /// Rank of the rule; decides between requests of one account and tier.
+    /// Rank of the rule; orders requests of the same account and tier.
     pub urgency: TierRank,
-    /// Whether the length of its answer is a guess, so that it may well end sooner than it seems.
+    /// Whether the length of the answer is a guess, so that the request may end earlier than estimated.
     pub length_guessed: bool,
-    /// Whether it is a retry after an early refusal, sent when its `Retry-After` had passed.
+    /// Whether the request is a retry after an early refusal, sent once the `Retry-After` time had passed.
     pub is_retry: bool,
 }
 
 impl Default for LatencyObjectives {
     fn default() -> LatencyObjectives {
-        let ever = Duration::MAX;
+        let unlimited = Duration::MAX;
         LatencyObjectives {
-            wait_limit: ever,
-            forecast_limit: ever,
-            first_part_by: ever,
-            pause_limit: ever,
+            wait_limit: unlimited,
+            forecast_limit: unlimited,
+            first_part_by: unlimited,
+            pause_limit: unlimited,
             urgency: 0,
             length_guessed: false,
             is_retry: false,
@@ -73,78 +72,78 @@
 /// The answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// The attempt that is answered.
+    /// The permit that was requested.
     pub permit: PermitId,
     /// Pool of the permit.
     pub pool: PoolId,
-    /// The decision.
+    /// The scheduler's decision.
     pub decision: PermitDecision,
 }
 
-/// Decision of a scheduler.
+/// Decision of a scheduler on a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// The request is in the queue; also shows that the scheduler lives.
+    /// The request is in the queue; this also shows that the scheduler is alive.
     Queued,
-    /// Go to the target.
+    /// The request may be sent to this target.
     Granted(TargetId),
-    /// Not served.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// What was seen of a whole stream.
+/// Timing of a complete stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StreamTiming {
     /// Time from the sending of the request to the first part.
     pub first: Duration,
     /// Time from the first part to the end.
     pub rest: Duration,
-    /// Parts.
+    /// Number of parts.
     pub parts: u32,
-    /// Longest time between two parts.
+    /// Longest time between two consecutive parts.
     pub pause: Duration,
 }
 
-/// How an attempt ended, for the scheduler's view of the target.
+/// How an attempt ended, from which the scheduler updates its view of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptEnd {
     /// The permit was not used.
     Unused,
-    /// A whole answer arrived after this time.
+    /// A complete answer arrived after this time.
     Whole(Duration),
-    /// A whole stream arrived.
+    /// A complete stream arrived.
     Streamed(StreamTiming),
     /// The target failed or was too slow.
     Failed,
 }
 
-/// Gives a permit back or cancels a permit request.
+/// Returns a permit or cancels a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitReturn {
-    /// The attempt.
+    /// The permit.
     pub permit: PermitId,
     /// Pool of the permit.
     pub pool: PoolId,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
 }
 
 /// A permit in use, reported to a new scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitHeld {
-    /// The permit request that led to the permit.
+    /// The request for which the permit was granted.
     pub request: PermitRequest,
-    /// The target in use.
+    /// The target that serves the request.
     pub target: TargetId,
 }
 
-/// A tier that is refused for want of capacity.
+/// Announces that a tier is refused because of too little capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShedRequest {
     /// The pool.
     pub pool: PoolId,
-    /// The tier; all below it are to be shed.
+    /// Rank of the tier; the receiver must shed all tiers below it.
     pub tier: TierRank,
-    /// Number of the sender's round, for the confirmation.
+    /// Number of the sender's round, returned in the confirmation.
     pub round: u64,
 }
--- a/crates/core/src/message/versions.rs
+++ b/crates/core/src/message/versions.rs
@@ -1,13 +1,13 @@
-//! Targets with the starts of their lives and their versions.
+//! Target lists with the start and the software version of each target instance.
 //!
-//! The codec is positional, so what [`TargetLivesPush`] has no place for travels beside it. Few versions stand in one
-//! fleet, so each is told once.
+//! The codec is positional, so [`TargetLivesPush`] cannot gain a field and the versions are sent as a separate list. A
+//! fleet has few versions, so each is sent once and the targets refer to it by number.
 //!
-//! Owns: the form of these messages. Relies on: [`TargetLivesPush`].
+//! Owns: the format of these messages. Relies on: [`TargetLivesPush`].
 
 use serde::{Deserialize, Serialize};
 
-use super::lives::shown;
+use super::lives::listed_targets;
 use super::{TargetLivesPush, TargetsPush};
 use crate::TargetVersion;
 
@@ -15,39 +15,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetVersionsPush {
     lives: TargetLivesPush,
-    /// The versions that its targets have.
+    /// The distinct versions of the targets.
     versions: Vec<TargetVersion>,
-    /// For each target that the push shows the place of its version, counted from 1; 0 where it tells none.
-    places: Vec<u32>,
+    /// For each listed target the number of its version in `versions`, from 1; 0 where the target reports none.
+    version_numbers: Vec<u32>,
 }
 
 impl TargetVersionsPush {
-    /// The push as it travels.
+    /// Splits a push into the targets, their starts and their versions for sending.
     pub fn new(mut push: TargetsPush) -> TargetVersionsPush {
         let mut versions: Vec<TargetVersion> = Vec::new();
-        let mut places = Vec::new();
-        for target in shown(&mut push) {
-            let place =
-                target.entry.version.take().map_or(0, |version| place(&mut versions, version));
-            places.push(place);
+        let mut version_numbers = Vec::new();
+        for target in listed_targets(&mut push) {
+            let number = target
+                .entry
+                .version
+                .take()
+                .map_or(0, |version| intern_version(&mut versions, version));
+            version_numbers.push(number);
         }
-        TargetVersionsPush { lives: TargetLivesPush::new(push), versions, places }
+        TargetVersionsPush { lives: TargetLivesPush::new(push), versions, version_numbers }
     }
 
-    /// The push with starts and versions in place. Targets beyond the places tell none.
+    /// Returns the push with starts and versions restored. Targets beyond the end of the list of numbers get no
+    /// version.
     pub fn into_push(self) -> TargetsPush {
-        let TargetVersionsPush { lives, versions, places } = self;
+        let TargetVersionsPush { lives, versions, version_numbers } = self;
         let mut push = lives.into_push();
-        for (target, place) in shown(&mut push).zip(places) {
-            let index = (place as usize).checked_sub(1);
+        for (target, number) in listed_targets(&mut push).zip(version_numbers) {
+            let index = (number as usize).checked_sub(1);
             target.entry.version = index.and_then(|index| versions.get(index)).cloned();
         }
         push
     }
 }
 
-/// The place of a version, counted from 1.
-fn place(versions: &mut Vec<TargetVersion>, version: TargetVersion) -> u32 {
+/// Returns the number of a version in the list, from 1, and appends the version where it is missing.
+fn intern_version(versions: &mut Vec<TargetVersion>, version: TargetVersion) -> u32 {
     let known = versions.iter().position(|known| *known == version);
     let index = known.unwrap_or_else(|| {
         versions.push(version);
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -1,6 +1,6 @@
-//! The checked configuration as the daemon uses it: tiers, accounts, pools, targets and rules.
+//! Holds the validated configuration as the daemon uses it: tiers, accounts, pools, targets and rules.
 //!
-//! Owns: the checked configuration, which never changes once built. Relies on: `config` for its checks.
+//! Owns: the validated configuration, which never changes once built. Relies on: `config` for the validation.
 
 mod rule;
 
@@ -17,14 +17,14 @@
     TierId, TierRank, TokenHash, VmId,
 };
 
-/// A tier of requests. Lower ranks are served first and shed last.
+/// A tier of requests. Tiers with a lower rank number are served first and shed last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TierRule {
     /// Name of the tier.
     pub id: TierId,
     /// Rank, 0 is the highest.
     pub rank: TierRank,
-    /// Deadline of a request that names none.
+    /// Default deadline for requests that state none.
     pub deadline: Duration,
 }
 
@@ -33,58 +33,58 @@
 pub struct ClientAccount {
     /// Name of the account.
     pub id: AccountId,
-    /// SHA-256 of the account's bearer tokens; any of them will do.
+    /// SHA-256 of each of the account's bearer tokens; any of them authenticates the account.
     pub tokens: Vec<TokenHash>,
-    /// Rank of its requests, `None` for the rank of the rule's tier.
+    /// Rank of the account's requests, `None` for the rank of the rule's tier.
     pub rank: Option<TierRank>,
-    /// Rate over all daemons together, `None` where it is unlimited.
+    /// Rate limit over all daemons together, `None` for no limit.
     pub shared_rate: Option<SharedRate>,
-    /// Share of a tier relative to the other accounts.
+    /// Weight of the account's share of a tier, relative to the other accounts.
     pub weight: u32,
-    /// Requests a second in one pool; `None` is unlimited.
+    /// Rate limit in one pool in requests per second, `None` for no limit.
     pub rate_per_s: Option<u32>,
-    /// Requests that may wait in one pool at the same time.
+    /// Highest number of the account's requests that may wait in one pool at the same time.
     pub queue_limit: u32,
 }
 
-/// Rate of a client account that holds over all daemons together.
+/// Rate limit of a client account over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SharedRate {
-    /// Units a second.
+    /// Units per second.
     pub per_s: u64,
-    /// Units allowed at once above the rate.
+    /// Units that may be used at once above the rate.
     pub burst: u64,
-    /// What a request counts.
+    /// The unit in which requests are counted.
     pub unit: RateUnit,
 }
 
-/// What a request counts against a shared rate.
+/// How many units of a shared rate a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RateUnit {
-    /// One.
+    /// One unit per request.
     Request,
-    /// Its tokens, or this many where it does not tell them.
+    /// The request's number of tokens, or this number where the request does not state it.
     Tokens(u64),
 }
 
 /// Kind of the targets of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum PoolKind {
-    /// Model engines that stream long answers.
+    /// Model engines, which stream long answers.
     #[default]
     Engine,
-    /// Plain services that return records.
+    /// Plain services, which return records.
     Service,
 }
 
 /// Limits on one exchange with a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetLimits {
-    /// Time to connect.
+    /// Longest time to connect.
     pub connect: Duration,
-    /// Time from the request to the first byte of the answer.
+    /// Longest time from the request to the first byte of the answer.
     pub first_byte: Duration,
-    /// Time between two parts of the answer.
+    /// Longest time between two parts of the answer.
     pub between_bytes: Duration,
 }
 
@@ -100,146 +100,147 @@
 pub struct TargetPool {
     /// Name of the pool.
     pub id: PoolId,
-    /// Kind of its targets.
+    /// Kind of the pool's targets.
     pub kind: PoolKind,
-    /// Requests that may wait at the same time.
+    /// Highest number of requests that may wait at the same time.
     pub queue_limit: u32,
-    /// Slots per target, in percent, that only the highest tier may use.
+    /// Percentage of the slots of each target that only the highest tier may use.
     pub reserve_percent: u32,
-    /// Prompt prefixes that a target is believed to cache.
+    /// Number of prompt prefixes that a target is assumed to cache.
     pub cached_prefixes: u32,
-    /// Work of one prompt token in microseconds of a slot.
+    /// Work per prompt token in microseconds of a slot.
     pub prompt_token_us: u64,
-    /// Work of one generated token in microseconds of a slot.
+    /// Work per generated token in microseconds of a slot.
     pub output_token_us: u64,
-    /// Work of a request apart from its tokens in microseconds of a slot.
+    /// Fixed work per request, without its tokens, in microseconds of a slot.
     pub base_us: u64,
-    /// Limits on one exchange.
+    /// Limits on one exchange with a target.
     pub limits: TargetLimits,
-    /// Status with which a target says that it did not start a request.
+    /// HTTP status with which a target reports that it did not start a request.
     pub not_started_status: Option<u16>,
-    /// Data of the last event of a whole event stream.
+    /// Data of the event that ends a complete event stream.
     pub end_event: Option<String>,
-    /// Whether targets resume a cut stream at an offset.
+    /// Whether targets can resume an interrupted stream at an offset.
     pub resumable: bool,
-    /// Whether a connection may serve further requests. A target that answers one request twice could
-    /// then give the second answer to another caller.
+    /// Whether a connection may be reused for further requests. If a target answers one request twice, the second
+    /// answer could then reach another caller.
     pub reuse_connections: bool,
-    /// Connections that a target takes from all daemons together, `None` where it does not say.
+    /// Highest number of connections that a target accepts from all daemons together, `None` where it states none.
     pub connection_limit: Option<u32>,
     /// Path at which targets report their load and cache events, `None` where they do not.
     pub report_path: Option<String>,
-    /// Targets of the pool.
+    /// Targets of the pool by name.
     pub targets: BTreeMap<TargetId, TargetEntry>,
-    /// Whether its answers are noted, since a version is rolled out.
+    /// Whether answers of the pool's targets are recorded because a rollout is running.
     pub is_rolled_out: bool,
 }
 
-/// One target as it is configured.
+/// One target as configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetEntry {
     /// Name of the target.
     pub id: TargetId,
     /// `ip:port` of its HTTP interface.
     pub address: String,
-    /// VM that it runs on, as the platform lists it.
+    /// VM that the target runs on, as the platform lists it.
     pub vm: VmId,
-    /// Data centre, empty where it is not known.
+    /// Data centre of the target, empty where it is not known.
     pub data_centre: String,
-    /// Requests that it serves at the same time.
+    /// Number of requests that the target serves at the same time.
     pub slots: u32,
-    /// When its process started, `None` where it does not tell. Between daemons it travels beside the
-    /// entry ([`TargetLivesPush`](crate::TargetLivesPush)), whose form has no place for it.
+    /// When the target's process started, `None` where the target does not report it. Between daemons it is sent
+    /// separately ([`TargetLivesPush`](crate::TargetLivesPush)), because the wire format of this type has no field for
+    /// it.
     #[serde(skip)]
     pub start: Option<TargetStart>,
-    /// Version of its software, `None` where it does not tell. It travels as the start does
+    /// Version of the target's software, `None` where the target does not report it. It is sent separately as well
     /// ([`TargetVersionsPush`](crate::TargetVersionsPush)).
     #[serde(skip)]
     pub version: Option<TargetVersion>,
 }
 
 impl TargetEntry {
-    /// The life of the target that this entry describes.
+    /// Returns the target instance that this entry describes.
     pub fn life(&self) -> TargetLife {
         TargetLife { id: self.id.clone(), start: self.start }
     }
 }
 
-/// A target that announced itself at the platform.
+/// A target that registered itself with the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DiscoveredTarget {
-    /// Pool that it serves.
+    /// Pool that the target serves.
     pub pool: PoolId,
-    /// The target, in one of its lives.
+    /// The target, as one of its instances.
     pub entry: TargetEntry,
-    /// Whether it takes no new work.
+    /// Whether the target is leaving and accepts no new work.
     pub leaving: bool,
 }
 
 impl DiscoveredTarget {
-    /// An entry that names no target to use. It belongs to no pool, so that nothing is sent there; it is
-    /// present, so that the target which its id named before is replaced and not merely missing: one that
-    /// is missing after an outage is used until it is back.
+    /// Creates an entry without a usable target. It belongs to no pool, so that nothing is sent to it. It is listed, so
+    /// that it replaces the target that had this id before. If the target were only missing from the list after an
+    /// outage, it would be used until it was listed again.
     pub fn unusable(id: TargetId) -> DiscoveredTarget {
         let entry = TargetEntry { vm: id.clone(), id, ..TargetEntry::default() };
         DiscoveredTarget { pool: PoolId::new(), entry, leaving: false }
     }
 }
 
-/// A daemon as it is recorded at the platform.
+/// A daemon as recorded at the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DaemonRecord {
-    /// The daemon; the start that is named may not be its latest.
+    /// The daemon; the recorded incarnation may not be its latest.
     pub daemon: DaemonId,
-    /// `ip:port` at which it takes peer frames.
+    /// `ip:port` at which the daemon receives peer frames.
     pub address: String,
-    /// Processor of its VM, in percent of a core; 0 where the record does not tell.
+    /// Processor capacity of the daemon's VM, in percent of one core; 0 where the record does not state it.
     pub capacity: u32,
 }
 
 impl DaemonRecord {
-    /// Whether this record tells the same as another of the same VM, but for the start of the process.
+    /// Returns whether both records are of the same VM and equal except for the incarnation.
     pub fn is_as_useful_as(&self, other: &DaemonRecord) -> bool {
         let same_vm = self.daemon.vm == other.daemon.vm;
         same_vm && self.address == other.address && self.capacity == other.capacity
     }
 }
 
-/// A change among the targets that announced themselves.
+/// A change in the list of registered targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// A target is new, or has another state.
+    /// A target was added or changed.
     Present(DiscoveredTarget),
-    /// A target is no longer listed.
+    /// A target was removed from the list.
     Gone(TargetId),
 }
 
-/// A whole configuration that passed every check.
+/// A complete configuration that passed every check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ActiveConfig {
-    /// Its place in the order of configurations.
+    /// Position in the order of all accepted configurations.
     pub generation: Generation,
     /// Tiers by name.
     pub tiers: BTreeMap<TierId, TierRule>,
     /// Accounts by name.
     pub accounts: BTreeMap<AccountId, ClientAccount>,
-    /// Accounts by the hash of their token.
+    /// Account names by the hash of each token.
     pub tokens: BTreeMap<TokenHash, AccountId>,
     /// Pools by name.
     pub pools: BTreeMap<PoolId, TargetPool>,
-    /// Rules in the order in which they are tried.
+    /// Rules in the order in which they are evaluated.
     pub rules: Vec<Arc<AdmissionRule>>,
-    /// Time for which a caller's connection may rest, `None` where the daemon's settings say.
+    /// Time for which a caller's connection may be idle, `None` where the daemon's settings decide.
     pub idle_limit: Option<Duration>,
 }
 
 impl ActiveConfig {
-    /// Finds the account of a bearer token by its hash.
+    /// Returns the account of a bearer token by the token's hash.
     pub fn account_of(&self, token: &TokenHash) -> Option<&ClientAccount> {
         self.tokens.get(token).and_then(|id| self.accounts.get(id))
     }
 
-    /// Finds the first rule that matches a request.
+    /// Returns the first rule that matches a request.
     pub fn rule_for<'a>(
         &self,
         method: &str,
@@ -250,33 +251,33 @@
         self.rules.iter().find(|rule| rule.matches(method, path, account, &header)).map(Arc::as_ref)
     }
 
-    /// Finds the first rule for host, method and path, whatever the account.
+    /// Returns the first rule without an account or a header condition that matches host, method and path.
     pub fn route(&self, host: &str, method: &str, path: &str) -> Option<&AdmissionRule> {
         self.rules.iter().find(|rule| rule.takes(host, method, path)).map(Arc::as_ref)
     }
 
-    /// Rank of the highest tier, 0 where there is none.
+    /// Returns the rank of the highest tier, 0 where there is none.
     pub fn top_rank(&self) -> TierRank {
-        // Without tiers no rule passes the check, so that no request needs the rank.
+        // Without tiers no rule passes the validation, so no request uses this rank.
         self.tiers.values().map(|tier| tier.rank).min().unwrap_or(0)
     }
 }
 
-/// What a target says of itself, late and with gaps.
+/// A target's report of its load and cache. Reports may arrive late, and some are missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// Requests that run there, whoever sent them.
+    /// Number of requests that run at the target, from all senders.
     pub running: u32,
-    /// Latest prompt beginnings that left its cache, oldest first, numbered without gaps from 1.
+    /// Latest prompt prefixes evicted from the target's cache, oldest first, numbered without gaps from 1.
     #[serde(default)]
     pub evictions: Vec<CacheEviction>,
 }
 
-/// A prompt beginning that left a target's cache.
+/// The eviction of a prompt prefix from a target's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CacheEviction {
     /// Number of the event.
     pub number: u64,
-    /// Hash of the beginning; see docs/OPERATIONS.md.
+    /// Hash of the prefix; see docs/OPERATIONS.md.
     pub prefix: u64,
 }
--- a/crates/core/src/model/rule.rs
+++ b/crates/core/src/model/rule.rs
@@ -1,42 +1,41 @@
-//! Admission rules: which requests they take, and what they grant them.
+//! Admission rules: which requests they match, and which tier, pool and limits those requests get.
 //!
-//! Owns: matching of a request's host, method, path, account and header. Relies on: `config` for
-//! checks.
+//! Owns: matching of a request's host, method, path, account and header. Relies on: `config` for the validation.
 
 use std::time::Duration;
 
 use crate::{AccountId, PoolId, TierId};
 
-/// Gives requests their tier and pool.
+/// A rule that assigns a tier and a pool to the requests that it matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AdmissionRule {
     /// Name of the rule.
     pub id: String,
-    /// Rules are tried in ascending order.
+    /// Rules are evaluated in ascending order of this number.
     pub order: u32,
-    /// Method, `None` for any.
+    /// HTTP method, `None` for any.
     pub method: Option<String>,
-    /// Path; a trailing `*` matches any rest.
+    /// Path; a trailing `*` matches any suffix.
     pub path: String,
-    /// Account, `None` for any.
+    /// Client account, `None` for any.
     pub account: Option<AccountId>,
     /// Header name in lower case and its value, `None` for any.
     pub header: Option<(String, String)>,
-    /// Tier given.
+    /// Tier of the matched requests.
     pub tier: TierId,
-    /// Pool given.
+    /// Pool of the matched requests.
     pub pool: PoolId,
-    /// Whether a request may run more than once. A request that may not takes an idempotency key.
+    /// Whether a request may run more than once. If not, it can carry an idempotency key.
     pub repeatable: bool,
     /// Longest body in bytes.
     pub body_limit: usize,
-    /// Host that the request names, `None` for any.
+    /// Host of the request, `None` for any.
     pub host: Option<String>,
-    /// Pools that share the requests, with their weights; empty where `pool` gets all.
+    /// Pools that share the requests, with their weights; empty where `pool` gets all of them.
     pub split: Vec<PoolShare>,
     /// Whether requests need no account.
     pub public: bool,
-    /// How requests are served.
+    /// Time limits and attempts of the requests.
     pub service: ServiceTerms,
 }
 
@@ -45,24 +44,24 @@
 pub struct PoolShare {
     /// The pool.
     pub pool: PoolId,
-    /// Its weight among the shares.
+    /// Weight relative to the other shares.
     pub weight: u32,
 }
 
-/// Times and attempts that a rule grants its requests.
+/// Time limits, attempts and streaming behaviour of a rule's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServiceTerms {
-    /// Longest time from the request to the end of its answer, `None` for the deadline alone.
+    /// Longest time from the request to the end of its answer, `None` where only the deadline applies.
     pub timeout: Option<Duration>,
-    /// Time to the first part of the answer that counts as in time.
+    /// Longest time to the first part of the answer that still meets the latency objective.
     pub objective: Option<Duration>,
-    /// Pause between two parts of the answer that still counts as in time.
+    /// Longest pause between two parts of the answer that still meets the latency objective.
     pub pause_limit: Option<Duration>,
-    /// Targets that one request may be sent to.
+    /// Highest number of targets to which one request may be sent.
     pub attempt_limit: u32,
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     pub streams: bool,
-    /// Whether a broken stream may be taken up at another target.
+    /// Whether an interrupted stream may be resumed at another target.
     pub resumable: bool,
 }
 
@@ -80,35 +79,37 @@
 }
 
 impl AdmissionRule {
-    /// Pools that the rule may send to.
+    /// Returns the pools to which the rule may send requests.
     pub fn pools(&self) -> impl Iterator<Item = &PoolId> {
-        let alone = self.split.is_empty().then_some(&self.pool);
-        alone.into_iter().chain(self.split.iter().map(|share| &share.pool))
+        let only_pool = self.split.is_empty().then_some(&self.pool);
+        only_pool.into_iter().chain(self.split.iter().map(|share| &share.pool))
     }
 
-    /// The pool for a request, by a number that is drawn evenly from all.
-    pub fn pool_for(&self, drawn: u64) -> &PoolId {
+    /// Returns the pool for a request, selected by a uniformly distributed random number.
+    pub fn pool_for(&self, random: u64) -> &PoolId {
         let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
         if total == 0 {
             return &self.pool;
         }
-        let mut rest = drawn % total;
+        let mut remaining = random % total;
         for share in &self.split {
-            match rest.checked_sub(u64::from(share.weight)) {
-                Some(left) => rest = left,
+            match remaining.checked_sub(u64::from(share.weight)) {
+                Some(difference) => remaining = difference,
                 None => return &share.pool,
             }
         }
         &self.pool
     }
 
-    /// Whether the rule matches host, method and path of a request.
+    /// Returns whether the rule has no account or header condition and matches host, method and path of a request.
     pub fn takes(&self, host: &str, method: &str, path: &str) -> bool {
-        let host_fits = self.host.as_deref().is_none_or(|wanted| wanted.eq_ignore_ascii_case(host));
-        host_fits && self.account.is_none() && self.matches(method, path, "", |_| None)
+        let host_matches =
+            self.host.as_deref().is_none_or(|expected| expected.eq_ignore_ascii_case(host));
+        host_matches && self.account.is_none() && self.matches(method, path, "", |_| None)
     }
 
-    /// Whether the rule matches a request. `header` looks a header up by its lower-case name.
+    /// Returns whether the rule matches a request, whatever its host. `header` looks up a header by its lower-case
+    /// name.
     pub fn matches<'a>(
         &self,
         method: &str,
@@ -116,16 +117,16 @@
         account: &str,
         header: impl Fn(&str) -> Option<&'a str>,
     ) -> bool {
-        let method_fits = self.method.as_deref().is_none_or(|wanted| wanted == method);
-        let path_fits = match self.path.strip_suffix('*') {
+        let method_matches = self.method.as_deref().is_none_or(|expected| expected == method);
+        let path_matches = match self.path.strip_suffix('*') {
             Some(prefix) => path.starts_with(prefix),
             None => path == self.path,
         };
-        let account_fits = self.account.as_deref().is_none_or(|wanted| wanted == account);
-        let header_fits = match &self.header {
+        let account_matches = self.account.as_deref().is_none_or(|expected| expected == account);
+        let header_matches = match &self.header {
             Some((name, value)) => header(name) == Some(value.as_str()),
             None => true,
         };
-        method_fits && path_fits && account_fits && header_fits
+        method_matches && path_matches && account_matches && header_matches
     }
 }
--- a/crates/core/src/request_digest.rs
+++ b/crates/core/src/request_digest.rs
@@ -1,10 +1,10 @@
-//! What makes two requests the same for their caller.
+//! Computes the digest that identifies a request across repetitions by its caller.
 //!
-//! A caller that repeats a request sends the same path and body again, under another id and with less time
-//! left, and may meet another daemon. The digest is over what stays the same.
+//! A caller that repeats a request sends the same path and body again, with another id and less remaining time, and may
+//! reach another daemon. The digest covers only what stays the same.
 //!
-//! Owns: which parts of a request count. Relies on: SHA-256, so that nobody can make a request that has the digest of
-//! another's.
+//! Owns: which parts of a request the digest covers. Relies on: SHA-256, so that no caller can construct a request with
+//! the digest of another caller's request.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 
 use crate::TokenHash;
 
-/// Bytes of a digest: all that SHA-256 gives.
+/// Length of a digest in bytes: the full output of SHA-256.
 const DIGEST_BYTES: usize = 32;
 
 /// The parts of a request that stay the same when its caller repeats it.
@@ -21,19 +21,19 @@
 pub struct RequestIdentity<'a> {
     /// HTTP method.
     pub method: &'a str,
-    /// Host that it names.
+    /// Host of the request.
     pub host: &'a str,
-    /// Path with its query.
+    /// Path with the query.
     pub path: &'a str,
-    /// The caller: its account or, where the rule asks for none, the token that it sends.
+    /// The caller: its account or, where the rule requires none, the token that it sends.
     pub caller: &'a str,
     /// The whole body.
     pub body: &'a [u8],
 }
 
 impl RequestIdentity<'_> {
-    /// The digest over all parts, each with its length before it, so that no part can pass for the beginning of
-    /// the next.
+    /// Returns the digest over all parts. Each part is preceded by its length, so that bytes moved from one part to the
+    /// next change the digest.
     pub fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         let parts = [self.method, self.host, self.path, self.caller].map(str::as_bytes);
@@ -45,22 +45,23 @@
     }
 }
 
-/// Names a request by what its caller knows it by. Two requests with one digest are the same request.
+/// Digest of the parts of a request that stay the same when its caller repeats it. Requests with equal digests are the
+/// same request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest with these bytes.
+    /// Creates a digest from its bytes.
     pub fn new(bytes: [u8; DIGEST_BYTES]) -> RequestDigest {
         RequestDigest(bytes)
     }
 
-    /// Reads a digest as it is written in logs, `None` for anything else.
+    /// Parses a digest as written in logs, from 64 hexadecimal digits; returns `None` for anything else.
     pub fn from_hex(text: &str) -> Option<RequestDigest> {
         TokenHash::from_hex(text).map(|hash| RequestDigest(*hash.bytes()))
     }
 
-    /// Its first byte; digests are spread evenly over its values.
+    /// Returns the first byte, over whose values digests are uniformly distributed.
     pub fn first_byte(&self) -> u8 {
         self.0[0]
     }
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,6 +1,6 @@
-//! A roll-out: an operator's order to move a pool to targets of another version.
+//! Defines rollouts. A rollout is an operator's order to move a pool to targets of another version.
 //!
-//! Owns: the order and its stages. Relies on: the platform, which keeps the order and how it ended.
+//! Owns: the order and its stages. Relies on: the platform, which stores the order and its result.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 
 use crate::{ObjectVersion, PoolId, TargetId, TargetVersion, WorkMicros};
 
-/// How far a roll-out is. Of two stages that daemons believe in, the later one here counts: a move can be taken back, and
-/// only what the platform keeps as completed cannot.
+/// Stage of a rollout. Where daemons disagree, the stage that is listed later here applies: a move can still be rolled
+/// back, but a rollout that the platform stores as completed cannot.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum RolloutStage {
-    /// Targets of the version get a small part of the requests.
+    /// Targets of the new version get a small share of the requests.
     #[default]
     Trial,
-    /// They get all new requests; what runs at the others ends.
+    /// Targets of the new version get all new requests; the others finish the requests that they run.
     Move,
-    /// The version is sent back.
+    /// The new version is rolled back.
     RolledBack,
-    /// The version is the pool's, and the targets of others stop.
+    /// The new version is the pool's version, and targets of other versions stop.
     Completed,
 }
 
 impl RolloutStage {
-    /// Whether it does not change any more.
+    /// Returns whether the stage can no longer change.
     pub fn is_final(self) -> bool {
         matches!(self, RolloutStage::RolledBack | RolloutStage::Completed)
     }
 
-    /// The code used in logs and status.
+    /// Returns the code used in logs and status.
     pub fn code(self) -> &'static str {
         match self {
             RolloutStage::Trial => "trial",
@@ -42,99 +42,101 @@
     }
 }
 
-/// What an operator orders.
+/// An operator's order for a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The pool.
+    /// The pool to move.
     pub pool: PoolId,
-    /// The version that it is to have.
+    /// The version to move it to.
     pub version: TargetVersion,
-    /// Time within which it is to have it, `None` where the order names no usable one.
+    /// Time within which the rollout must finish, `None` where the order states no valid one.
     pub time: Option<Duration>,
 }
 
-/// An order as the platform keeps it.
+/// An order as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RolloutRecord {
-    /// Name of its object.
+    /// Name of the platform's object.
     pub name: String,
     /// The order.
     pub order: RolloutOrder,
-    /// What is written of its end, `None` where nothing is, or only that it runs.
+    /// The final stage in the stored status, `None` where there is no status or it says that the rollout runs.
     pub ended: Option<RolloutStage>,
-    /// Whether anything is written of this version.
+    /// Whether the object has a status for this version.
     pub noted: bool,
     /// Revision of the object.
     pub revision: ObjectVersion,
 }
 
-/// How far an order is, for the platform to keep.
+/// A write of a rollout's stage to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutWrite {
-    /// Name of its object.
+    /// Name of the platform's object.
     pub name: String,
-    /// The version that it orders.
+    /// The version that is rolled out.
     pub version: TargetVersion,
-    /// The stage.
+    /// The stage to store.
     pub stage: RolloutStage,
-    /// Revision on which this was decided; the platform refuses the write where the order has another.
+    /// Revision of the object on which the stage was decided; the platform refuses the write where the object has
+    /// another.
     pub revision: ObjectVersion,
 }
 
-/// What a daemon knows of a roll-out.
+/// State of a rollout as one daemon knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutNews {
     /// Name of the platform's object.
     pub name: String,
     /// The order.
     pub order: RolloutOrder,
-    /// How far it is.
+    /// The stage.
     pub stage: RolloutStage,
-    /// Revision of the object as it is known.
+    /// Latest known revision of the object.
     pub revision: ObjectVersion,
-    /// Time since the order was first known to any daemon.
+    /// Time since any daemon first received the order.
     pub age: Duration,
 }
 
-/// What was seen of a target's answer, as soon as it was: what takes long would else be seen last.
+/// An observation of a target's answer. It is reported at once and not at the end of the answer, because slow answers
+/// would otherwise be observed last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AnswerSight {
-    /// The target said that it failed.
+    /// The target answered that it failed.
     Failed,
-    /// The answer broke off, could not be read, or did not come in time.
+    /// The answer was interrupted, could not be read, or did not arrive in time.
     Broken,
-    /// Its first part came, this long after the request.
+    /// The first part arrived this long after the request.
     Begun(Duration),
-    /// Several parts came, with this time between two on the mean.
+    /// Several parts arrived with this mean time between two of them.
     Paced(Duration),
-    /// It is whole, this long after the request.
+    /// The answer was complete this long after the request.
     Whole(Duration),
 }
 
-/// Something that was seen of an answer of a target whose pool is being rolled out.
+/// An observation of an answer from a target whose pool has a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnswerSample {
     /// Rule of the request.
     pub rule: String,
     /// The target.
     pub target: TargetId,
-    /// Its version, `None` where it tells none.
+    /// Version of the target, `None` where it reports none.
     pub version: Option<TargetVersion>,
     /// Estimated work until the first part, in microseconds of a slot.
     pub work: WorkMicros,
-    /// What was seen.
+    /// The observation.
     pub sight: AnswerSight,
 }
 
-/// Answers that a daemon has seen, in order.
+/// Consecutive observations of one daemon, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutAnswers {
     /// The pool.
     pub pool: PoolId,
     /// The version that is rolled out.
     pub version: TargetVersion,
-    /// Place of the first of them among all that the daemon has seen during this roll-out.
+    /// Index of the first sample among all that the daemon has observed during this rollout.
     pub first: u64,
-    /// The answers.
+    /// The observations.
     pub samples: Vec<AnswerSample>,
 }
--- a/crates/core/src/target_life.rs
+++ b/crates/core/src/target_life.rs
@@ -1,9 +1,9 @@
-//! One life of a target: the time between a start of its process and its end.
+//! Identifies target instances. An instance is one run of a target's process, from its start to its end.
 //!
-//! A target may start again under its id. It then holds and knows nothing of before, so whatever is
-//! known of a target is known of one life.
+//! A target may restart under the same id. The new process has none of the old one's requests or state, so everything
+//! that a daemon records about a target belongs to one instance.
 //!
-//! Owns: when two lives are the same, and which is the later. Relies on: the platform for the start.
+//! Owns: the identity and the order of a target's instances. Relies on: the platform for the start.
 
 use std::cmp::Ordering;
 
@@ -11,34 +11,33 @@
 
 use crate::TargetId;
 
-/// When a target's process started, in milliseconds since the Unix epoch by the target's own clock. It
-/// orders the lives of one target and is compared with no other clock.
+/// When a target's process started, in milliseconds since the Unix epoch on the target's clock. It orders the instances
+/// of one target and is never compared with another clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetStart(pub u64);
 
-/// One life of a target.
+/// One run of a target's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetLife {
     /// The target.
     pub id: TargetId,
-    /// Its start, `None` where the target does not tell; then the id stands for the life.
+    /// Start of the process, `None` where the target does not report it; then the id alone identifies the instance.
     pub start: Option<TargetStart>,
 }
 
-/// How a life that a message tells of stands to the one that is known.
+/// Order of a stated target instance relative to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeOrder {
-    /// It has ended; a later one is known.
+    /// The stated instance is older than the known one and has terminated.
     Earlier,
-    /// It is the same, as far as the starts tell.
+    /// Both are the same instance, or a start is missing and they cannot be distinguished.
     Same,
-    /// The target has started again.
+    /// The stated instance is newer: the target has restarted.
     Later,
 }
 
 impl LifeOrder {
-    /// Compares the start that is stated with the one that is known. Without both starts nothing speaks
-    /// for another life.
+    /// Compares the stated start with the known one. Where either is missing, the instances count as the same.
     pub fn of(stated: Option<TargetStart>, known: Option<TargetStart>) -> LifeOrder {
         match stated.zip(known).map(|(stated, known)| stated.cmp(&known)) {
             Some(Ordering::Less) => LifeOrder::Earlier,
--- a/crates/core/src/target_notice.rs
+++ b/crates/core/src/target_notice.rs
@@ -1,6 +1,7 @@
-//! What a target says of itself in the head of an answer.
+//! Notices: what a target reports about itself in the response headers.
 //!
-//! Owns: the form of it, and which rates there are. Relies on: whoever reads the head for the names.
+//! Owns: the types of the notices and the range of rates. Relies on: the code that parses the response headers for
+//! their names.
 
 use std::time::Duration;
 
@@ -8,18 +9,18 @@
 
 use crate::TargetLife;
 
-/// Requests a second, in thousandths.
+/// A rate in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestRate(pub u64);
 
 impl RequestRate {
-    /// Thousandths of a request a second in one request a second.
+    /// One request per second, in thousandths.
     pub const SECOND: u64 = 1_000;
-    /// The highest rate that is told apart; no target takes as many requests.
+    /// Highest rate that `per_second` returns: one million requests per second, more than any target accepts.
     pub const MOST: RequestRate = RequestRate(1_000_000 * RequestRate::SECOND);
 
-    /// So many requests a second, at most [`MOST`](RequestRate::MOST); `None` for what is no rate: not a number,
-    /// infinite, or below zero.
+    /// Converts requests per second to a rate, capped at [`MOST`](RequestRate::MOST). Returns `None` for a value that
+    /// is no rate: not a number, infinite or negative.
     pub fn per_second(rate: f64) -> Option<RequestRate> {
         if !rate.is_finite() || rate < 0.0 {
             return None;
@@ -28,55 +29,55 @@
         Some(RequestRate(thousandths as u64))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn as_per_second(self) -> f64 {
         self.0 as f64 / RequestRate::SECOND as f64
     }
 }
 
-/// What the head of an answer says of the requests a second that its target takes.
+/// The rate limit that a target states in the response headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum LimitNotice {
-    /// Nothing: it takes what comes.
+    /// No limit is stated: the target accepts any rate.
     #[default]
     Absent,
-    /// Something that is no rate.
+    /// The stated value is not a rate.
     Unreadable,
-    /// At most so many, from all daemons together.
+    /// The highest rate that the target accepts from all daemons together.
     Named(RequestRate),
 }
 
-/// What the head of an answer says of its target.
+/// The notices in the response headers of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TargetNotice {
-    /// Whether the target leaves.
+    /// Whether the target is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Time for which it wants nothing from the daemon that it answers.
+    /// Time for which the target accepts no requests from the daemon that it answers.
     pub rest: Option<Duration>,
-    /// The requests a second that it takes.
+    /// The rate limit of the target.
     pub limit: LimitNotice,
-    /// Whether a part of this could not be read.
+    /// Whether one of the headers could not be parsed.
     pub unreadable: bool,
 }
 
-/// What is known of a target's limit.
+/// The last statement of a target about its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The limit, `None` where the target names it no longer.
+    /// The limit, `None` where the target no longer states one.
     pub rate: Option<RequestRate>,
-    /// Time since the target said so.
+    /// Time since the target stated it.
     pub age: Duration,
 }
 
-/// What a life of a target has said to a daemon and still counts.
+/// The notices of a target instance that a daemon has received and that are still in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NoticeReport {
-    /// The life.
+    /// The target instance.
     pub life: TargetLife,
-    /// Whether it leaves.
+    /// Whether the instance is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Time for which it still wants nothing from the sender.
+    /// Remaining time for which the instance accepts no requests from the sender.
     pub rest: Option<Duration>,
-    /// Its limit, `None` where it has named none.
+    /// The rate limit of the instance, `None` where it has never stated one.
     pub limit: Option<LimitReport>,
 }
