--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,10 +1,10 @@
-//! The clock by which ages, leases and deadlines are counted.
+//! Provides the clock by which ages, leases and deadlines are measured.
 //!
 //! A machine may be suspended for seconds. `std::time::Instant` and the timers of the runtime do not count that time,
-//! so that a daemon took its configuration, its permits and its roles for that much younger than they were.
-//! [`Moment`] counts it. It reads the clock that the process has installed, or [`BootClock`].
+//! so a daemon that used them would underestimate the ages of its configuration, permits and roles by the length of the
+//! suspension. [`Moment`] counts it: it reads the clock that the process has installed, or [`BootClock`] by default.
 //!
-//! Owns: the installed clock. Relies on: the kernel's `CLOCK_BOOTTIME`.
+//! Owns: the clock of the process. Relies on: the kernel's `CLOCK_BOOTTIME`.
 
 use std::ops::{Add, Sub};
 use std::sync::OnceLock;
@@ -12,34 +12,34 @@
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// A clock that never goes back and goes on while the machine is suspended.
+/// A monotonic clock that continues to run while the machine is suspended.
 pub trait AgeClock: Send + Sync {
-    /// Time since a moment that stays the same as long as the process lives.
+    /// Returns the time since an origin that stays the same for the lifetime of the process.
     fn read(&self) -> Duration;
 }
 
-/// The kernel's clock since the boot.
+/// The kernel's `CLOCK_BOOTTIME`, the time since boot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
 impl AgeClock for BootClock {
     fn read(&self) -> Duration {
         let time = clock_gettime(ClockId::Boottime);
-        // Neither part is ever negative.
+        // Neither the seconds nor the nanoseconds are ever negative.
         Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
     }
 }
 
 static CLOCK: OnceLock<Box<dyn AgeClock>> = OnceLock::new();
 
-/// A clock is in use already.
+/// Error: the process has a clock already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockInUse;
 
-/// Installs the clock of this process, before the first [`Moment`] is read.
+/// Installs the clock of this process. Must be called before the first [`Moment`] is read.
 ///
 /// # Errors
-/// [`ClockInUse`] where one has been read or installed.
+/// Returns [`ClockInUse`] where a clock has been read or installed before.
 pub fn install(clock: Box<dyn AgeClock>) -> Result<(), ClockInUse> {
     CLOCK.set(clock).map_err(|_| ClockInUse)
 }
@@ -48,27 +48,27 @@
     CLOCK.get_or_init(|| Box::new(BootClock)).read()
 }
 
-/// A moment, as [`std::time::Instant`] but on the [`AgeClock`] of the process.
+/// A point in time, like [`std::time::Instant`] but on the [`AgeClock`] of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// This moment.
+    /// Returns the current time.
     pub fn now() -> Moment {
         Moment(read())
     }
 
-    /// Time since then, zero for a moment to come.
+    /// Returns the time since this moment, zero where it is in the future.
     pub fn elapsed(self) -> Duration {
         Moment::now().saturating_duration_since(self)
     }
 
-    /// Time since an earlier moment, zero for a later one.
+    /// Returns the time since an earlier moment, zero where that moment is later than this one.
     pub fn saturating_duration_since(self, earlier: Moment) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Time until then, zero where it has passed.
+    /// Returns the time until this moment, zero where it has passed.
     pub fn time_left(self) -> Duration {
         self.saturating_duration_since(Moment::now())
     }
