--- a/crates/keys/src/home.rs
+++ b/crates/keys/src/home.rs
@@ -1,7 +1,6 @@
-//! The slots that one daemon holds, and the moves of slots between daemons.
+//! Decides on claims of keys in the slots that this daemon holds, and hands slots over between daemons.
 //!
-//! Owns: the keys of the slots that this daemon holds. Relies on: the key table as stored; the node for
-//! the clock.
+//! Owns: the keys of the slots that this daemon holds. Relies on: the stored key table; the node for the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +10,15 @@
     RefusalReason, VmId, WallTime,
 };
 
-use crate::slot::{known, passing_refusal, SlotRecords};
-use crate::table::{minted_at, slot_of, KeyTable};
+use crate::slot::{hand_over_refusal, refused, SlotRecords};
+use crate::table::{created_at, slot_of, KeyTable};
 
-/// Bounds of a key home.
+/// Limits of a [`KeyHome`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHomeOptions {
-    /// Time for which a key is kept after its last use. Callers retry for half of it at most.
+    /// Time for which a key is kept after its last use. Callers may retry for half of it at most.
     pub retention: Duration,
-    /// Keys held at most; further ones are refused, none is forgotten early.
+    /// Highest number of keys held. Further new keys are refused; no key is removed before its retention has passed.
     pub key_limit: usize,
     /// Largest difference between the clocks of callers and VMs.
     pub clock_skew: Duration,
@@ -35,21 +34,24 @@
     }
 }
 
-/// What a daemon knows of the key table and of the slots that it holds.
+/// The key table as a daemon knows it, with the records of the slots that the daemon holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHome {
+    /// This daemon.
     me: DaemonId,
     options: KeyHomeOptions,
+    /// Version of the table, 0 for none.
     version: ObjectVersion,
     table: KeyTable,
     slots: BTreeMap<KeySlot, SlotRecords>,
-    /// Records received for slots that the table does not give to this daemon yet.
+    /// Records received for slots that the table does not assign to this daemon yet.
     incoming: BTreeMap<KeySlot, KeyHandOver>,
+    /// Number of keys in all held slots.
     keys: usize,
 }
 
 impl KeyHome {
-    /// A home without a table.
+    /// Creates a key home without a table.
     pub fn new(me: DaemonId, options: KeyHomeOptions) -> KeyHome {
         KeyHome {
             me,
@@ -62,33 +64,33 @@
         }
     }
 
-    /// Version of the known table, 0 for none.
+    /// Returns the version of the latest known table, 0 for none.
     pub fn version(&self) -> ObjectVersion {
         self.version
     }
 
-    /// The known table.
+    /// Returns the latest known table.
     pub fn table(&self) -> &KeyTable {
         &self.table
     }
 
-    /// Keys held.
+    /// Returns the number of keys held.
     pub fn keys(&self) -> usize {
         self.keys
     }
 
-    /// Slots held.
+    /// Returns the number of slots held.
     pub fn slots_held(&self) -> usize {
         self.slots.len()
     }
 
-    /// The daemon that holds a key by the known table.
+    /// Returns the daemon that holds the key of a claim according to the latest known table.
     pub fn holder_of(&self, claim: &KeyClaim) -> Option<&DaemonId> {
         let slot = slot_of(&claim.account, &claim.key, self.table.slots.len());
         self.table.holder(slot).map(|entry| &entry.holder)
     }
 
-    /// Takes a table as the platform or a peer shows it; an older one changes nothing.
+    /// Applies a table read from the platform or received from a peer; one that is not newer is ignored.
     pub fn table_read(&mut self, version: ObjectVersion, table: KeyTable) {
         if version <= self.version {
             return;
@@ -99,7 +101,7 @@
         self.slots.retain(|slot, _| held.contains(slot));
         for slot in held {
             if !self.slots.contains_key(&slot) {
-                self.begin_slot(slot);
+                self.hold_slot(slot);
             }
         }
         self.count_keys();
@@ -112,21 +114,21 @@
         let Some(records) = self.slots.get_mut(&slot) else {
             return KeyDecision::NotHolder(self.version);
         };
-        if let Some(decision) = records.claim_known(now, claim) {
+        if let Some(decision) = records.claim_recorded(now, claim) {
             return decision;
         }
-        if records.passing.is_some() {
-            return passing_refusal();
+        if records.hand_over.is_some() {
+            return hand_over_refusal();
         }
         if let Some(refusal) =
             unknown_key_refusal(&self.options, records.complete_since, now, claim)
         {
-            return known(refusal);
+            return refused(refusal);
         }
         if full {
             let refusal =
                 Refusal::not_run(RefusalReason::KeyStoreFull, Some(self.options.retention / 4));
-            return known(refusal);
+            return refused(refusal);
         }
         records.insert(now, claim);
         self.keys += 1;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Forgets keys whose retention has ended.
+    /// Removes keys whose retention has passed.
     pub fn expire(&mut self, now: WallTime) {
         let retention = self.options.retention;
         for records in self.slots.values_mut() {
@@ -152,54 +154,54 @@
         self.count_keys();
     }
 
-    /// The table to propose because holders have ended, if any has.
+    /// Returns the table to propose where holders have ended, `None` where none has.
     pub fn reassign(
         &self,
-        gone: &BTreeSet<VmId>,
+        removed_vms: &BTreeSet<VmId>,
         eligible: &[DaemonId],
         now: WallTime,
     ) -> Option<KeyTable> {
-        self.table.reassign(gone, &self.me, eligible, now)
+        self.table.reassign(removed_vms, &self.me, eligible, now)
     }
 
-    /// Begins to hand all slots over, or goes on with it: from now on no unclaimed key is let run
-    /// here. Returns what to send to whom; send it again until each slot is acknowledged.
+    /// Starts or continues the hand-over of all slots. From the first call on, no unclaimed key of these slots may run
+    /// here. Returns the hand-overs to send, each with its receiver; call it again until every slot is acknowledged.
     pub fn hand_over(&mut self, eligible: &[DaemonId]) -> Vec<(DaemonId, KeyHandOver)> {
         let eligible: Vec<DaemonId> =
             eligible.iter().filter(|receiver| **receiver != self.me).cloned().collect();
         let mut sends = Vec::new();
         for (index, (slot, records)) in self.slots.iter_mut().enumerate() {
             let usable =
-                records.passing.as_ref().is_some_and(|(receiver, _)| eligible.contains(receiver));
+                records.hand_over.as_ref().is_some_and(|(receiver, _)| eligible.contains(receiver));
             if !usable {
                 if eligible.is_empty() {
                     continue;
                 }
-                records.passing = Some((eligible[index % eligible.len()].clone(), false));
+                records.hand_over = Some((eligible[index % eligible.len()].clone(), false));
             }
-            if let Some((receiver, false)) = &records.passing {
+            if let Some((receiver, false)) = &records.hand_over {
                 sends.push((receiver.clone(), hand_over_of(*slot, self.version, records)));
             }
         }
         sends
     }
 
-    /// The next holder has the records of a slot.
+    /// Records that the receiver of a slot has acknowledged its records.
     pub fn hand_over_acked(&mut self, from: &DaemonId, slot: KeySlot) {
-        if let Some((receiver, acked)) =
-            self.slots.get_mut(&slot).and_then(|records| records.passing.as_mut())
+        if let Some((receiver, acknowledged)) =
+            self.slots.get_mut(&slot).and_then(|records| records.hand_over.as_mut())
         {
-            *acked |= receiver == from;
+            *acknowledged |= receiver == from;
         }
     }
 
-    /// Takes the records of a slot that is being handed to this daemon. They count once the table
-    /// gives it the slot. Returns whether to acknowledge.
+    /// Stores the records of a slot that is being handed over to this daemon. They are used once the table assigns the
+    /// slot to this daemon. Returns whether to acknowledge them.
     pub fn hand_over_received(&mut self, hand_over: KeyHandOver) -> bool {
         if self.slots.contains_key(&hand_over.slot) {
             return false;
         }
-        // A slot that was held in between may have new records; an older hand-over lacks them.
+        // Where another daemon held the slot in the meantime, it may have added records that an older hand-over lacks.
         let newest = self.incoming.get(&hand_over.slot).map_or(0, |known| known.table);
         if hand_over.table < newest {
             return false;
@@ -208,26 +210,27 @@
         true
     }
 
-    /// The table to propose once every slot is acknowledged; `None` before that.
+    /// Returns the table to propose once every slot is acknowledged, `None` before that or where no slot is held.
     pub fn handed_over(&self) -> Option<KeyTable> {
-        let mut passed = Vec::new();
+        let mut moved = Vec::new();
         for (slot, records) in &self.slots {
-            match &records.passing {
+            match &records.hand_over {
                 Some((receiver, true)) => {
-                    passed.push((*slot, receiver.clone(), records.complete_since))
+                    moved.push((*slot, receiver.clone(), records.complete_since))
                 }
                 _ => return None,
             }
         }
-        (!passed.is_empty()).then(|| self.table.pass(&passed))
+        (!moved.is_empty()).then(|| self.table.with_moved_slots(&moved))
     }
 
-    fn begin_slot(&mut self, slot: KeySlot) {
+    /// Starts to hold a slot, with the records of a completed hand-over where there is one.
+    fn hold_slot(&mut self, slot: KeySlot) {
         let since = self.table.holder(slot).map_or(0, |entry| entry.complete_since_ms);
         let since = Duration::from_millis(since);
         let mut records = SlotRecords::new(since);
-        // Records that were handed over belong to this table only if it carries their history; a
-        // reassignment after the holder's end begins a later one.
+        // Records of a hand-over are valid only where the table states the same start of their history. A reassignment
+        // after the end of the holder starts a new history.
         if let Some(incoming) =
             self.incoming.remove(&slot).filter(|incoming| incoming.complete_since == since)
         {
@@ -237,12 +240,13 @@
         self.slots.insert(slot, records);
     }
 
+    /// Recomputes the number of keys.
     fn count_keys(&mut self) {
         self.keys = self.slots.values().map(|records| records.records.len()).sum();
     }
 }
 
-/// Why a key without a record may not run, if so.
+/// Returns why a request whose key has no record may not run, `None` where it may.
 fn unknown_key_refusal(
     options: &KeyHomeOptions,
     complete_since: WallTime,
@@ -250,22 +254,23 @@
     claim: &KeyClaim,
 ) -> Option<Refusal> {
     let retry_window = options.retention / 2;
-    let minted = minted_at(&claim.key);
-    if minted.is_some_and(|minted| now > minted + retry_window + options.clock_skew) {
+    let created = created_at(&claim.key);
+    if created.is_some_and(|created| now > created + retry_window + options.clock_skew) {
         return Some(Refusal::may_have_run(RefusalReason::KeyExpired, None));
     }
     match claim.attempt {
         Some(1) => return None,
-        // A later attempt needs the record of an earlier one.
+        // An earlier attempt must have left a record, so the history was lost.
         Some(_) => return Some(Refusal::may_have_run(RefusalReason::KeyHistoryLost, None)),
         None => {}
     }
     let complete = complete_since.is_zero()
         || now >= complete_since + retry_window
-        || minted.is_some_and(|minted| minted >= complete_since + options.clock_skew);
+        || created.is_some_and(|created| created >= complete_since + options.clock_skew);
     (!complete).then(|| Refusal::may_have_run(RefusalReason::KeyHistoryLost, None))
 }
 
+/// Builds the hand-over of a slot.
 fn hand_over_of(slot: KeySlot, table: ObjectVersion, records: &SlotRecords) -> KeyHandOver {
     KeyHandOver {
         slot,
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,8 +1,9 @@
-//! Keys of requests that may not be repeated: which daemon knows a key, and what it knows.
+//! Idempotency keys: which daemon holds a key, and whether a request with the key may run.
 //!
-//! A table in the platform's object API gives each slot of key hashes to one daemon. It changes only
-//! by the holder's own hand-over or on the platform's word that the holder's VM is gone; never by a
-//! time-out, so a paused holder has no rival.
+//! A table in the platform's object API assigns each slot of key hashes to one daemon, its holder. The assignment
+//! changes only when the holder hands the slot over, when the platform reports that the holder's VM was removed, or
+//! when a later incarnation runs on the holder's VM. It never changes after a timeout, so no other daemon becomes the
+//! holder while the current one is only paused.
 
 mod home;
 mod slot;
--- a/crates/keys/src/slot.rs
+++ b/crates/keys/src/slot.rs
@@ -1,6 +1,6 @@
-//! The records of one slot.
+//! Decides on claims by the records of one slot.
 //!
-//! Owns: the records of one slot. Relies on: `home` for the limits.
+//! Owns: the key records of one slot. Relies on: `home` for the limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,47 +10,47 @@
     RefusalReason, Verdict, WallTime,
 };
 
-/// Advice when to ask again for an attempt in progress.
-const IN_PROGRESS_WAIT: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals for an attempt in progress or a slot that is being handed over.
+const RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// A slot that this daemon holds.
+/// Records of a slot that this daemon holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SlotRecords {
-    /// Since when the history is complete; zero since ever.
+    /// Time since which the history is complete; zero where it has been complete since the first table.
     pub complete_since: WallTime,
-    /// The daemon that takes the slot over, and whether it has the records.
-    pub passing: Option<(DaemonId, bool)>,
-    /// What is known by account and key.
+    /// During a hand-over, the daemon that receives the slot and whether it has acknowledged the records.
+    pub hand_over: Option<(DaemonId, bool)>,
+    /// Records by account and key.
     pub records: BTreeMap<(AccountId, IdempotencyKey), KeyRecord>,
 }
 
 impl SlotRecords {
-    /// A slot without records, whose history begins at a time.
+    /// Creates a slot without records and with a history that begins at `complete_since`.
     pub fn new(complete_since: WallTime) -> SlotRecords {
-        SlotRecords { complete_since, passing: None, records: BTreeMap::new() }
+        SlotRecords { complete_since, hand_over: None, records: BTreeMap::new() }
     }
 
-    /// Decides on a claim whose key has a record.
-    pub fn claim_known(&mut self, now: WallTime, claim: &KeyClaim) -> Option<KeyDecision> {
+    /// Decides on a claim whose key has a record; returns `None` where it has none.
+    pub fn claim_recorded(&mut self, now: WallTime, claim: &KeyClaim) -> Option<KeyDecision> {
         let record = self.records.get_mut(&(claim.account.clone(), claim.key.clone()))?;
         if record.request == claim.request {
-            // The same request asks again because its answer was lost.
-            return Some(if self.passing.is_some() {
-                passing_refusal()
+            // The request repeats its claim because the answer to it was lost.
+            return Some(if self.hand_over.is_some() {
+                hand_over_refusal()
             } else {
                 KeyDecision::First
             });
         }
         let decision = match (record.verdict, &record.answer) {
             (None, _) => {
-                known(Refusal::may_have_run(RefusalReason::KeyInProgress, Some(IN_PROGRESS_WAIT)))
+                refused(Refusal::may_have_run(RefusalReason::KeyInProgress, Some(RETRY_WAIT)))
             }
             (Some(Verdict::Ran), Some(answer)) => KeyDecision::Answer(answer.clone()),
-            (Some(Verdict::Ran), None) => known(ran_refusal()),
+            (Some(Verdict::Ran), None) => refused(ran_refusal()),
             (Some(Verdict::MayHaveRun), _) => {
-                known(Refusal::may_have_run(RefusalReason::KeyMayHaveRun, None))
+                refused(Refusal::may_have_run(RefusalReason::KeyMayHaveRun, None))
             }
-            (Some(Verdict::NotRun), _) if self.passing.is_some() => passing_refusal(),
+            (Some(Verdict::NotRun), _) if self.hand_over.is_some() => hand_over_refusal(),
             (Some(Verdict::NotRun), _) => {
                 record.request = claim.request;
                 record.verdict = None;
@@ -61,7 +61,7 @@
         Some(decision)
     }
 
-    /// Records a claim that is let run.
+    /// Records a claim whose request may run.
     pub fn insert(&mut self, now: WallTime, claim: &KeyClaim) {
         let key = (claim.account.clone(), claim.key.clone());
         let record = KeyRecord {
@@ -74,14 +74,14 @@
         self.records.insert(key, record);
     }
 
-    /// Records how a claimed request ended. Only the request that holds the claim may say so; the
-    /// first word of "may have run" or "ran" stays.
+    /// Records how a claimed request ended. An outcome is ignored where it comes from another request than the
+    /// record's, or where the record has a verdict already.
     pub fn outcome(&mut self, now: WallTime, outcome: KeyOutcome) {
         let key = (outcome.claim.account.clone(), outcome.claim.key.clone());
         let request = outcome.claim.request;
-        let fresh =
+        let new_record =
             KeyRecord { key: key.clone(), request, verdict: None, answer: None, touched: now };
-        let record = self.records.entry(key).or_insert(fresh);
+        let record = self.records.entry(key).or_insert(new_record);
         if record.request != request || record.verdict.is_some() {
             return;
         }
@@ -91,15 +91,17 @@
     }
 }
 
-pub(crate) fn known(refusal: Refusal) -> KeyDecision {
+/// Returns the decision that refuses a claim.
+pub(crate) fn refused(refusal: Refusal) -> KeyDecision {
     KeyDecision::Known(refusal)
 }
 
+/// Returns the refusal of a claim whose key ran and has no stored answer.
 fn ran_refusal() -> Refusal {
     Refusal { reason: RefusalReason::KeyRan, verdict: Verdict::Ran, retry_after: None }
 }
 
-/// While a slot is handed over, no daemon lets an unclaimed key run.
-pub(crate) fn passing_refusal() -> KeyDecision {
-    known(Refusal::not_run(RefusalReason::KeyHomeUnreachable, Some(IN_PROGRESS_WAIT)))
+/// Returns the decision on a claim while its slot is being handed over, when no daemon allows an unclaimed key to run.
+pub(crate) fn hand_over_refusal() -> KeyDecision {
+    refused(Refusal::not_run(RefusalReason::KeyHomeUnreachable, Some(RETRY_WAIT)))
 }
--- a/crates/keys/src/table.rs
+++ b/crates/keys/src/table.rs
@@ -1,6 +1,6 @@
-//! The key table: the one object that says which daemon holds which slot.
+//! The key table: the object that assigns each slot of keys to the daemon that holds it.
 //!
-//! Owns: the form of the key table as stored. Relies on: the object API for its versions.
+//! Owns: the stored format of the key table. Relies on: the object API for the table's versions.
 
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -9,18 +9,19 @@
 use curlewcleat_core::{AccountId, DaemonId, KeySlot, SlotHolder, VmId, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// Key of the table in the object API.
+/// Name of the table's object in the object API.
 pub const TABLE_KEY: &str = "keys/table";
 
-/// Holders by slot.
+/// The holder of each slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyTable {
-    /// One holder a slot.
+    /// Holders, indexed by slot.
     pub slots: Vec<SlotHolder>,
 }
 
 impl KeyTable {
-    /// The first table: slots dealt out in turn. No key has been used before it exists.
+    /// Creates the first table, with the slots assigned to the eligible daemons in turn. Every history is complete,
+    /// because no key is used before the table exists.
     pub fn deal(slots: KeySlot, eligible: &[DaemonId]) -> KeyTable {
         let holders =
             eligible.iter().cycle().take(if eligible.is_empty() { 0 } else { usize::from(slots) });
@@ -31,23 +32,23 @@
         }
     }
 
-    /// The holder of a slot.
+    /// Returns the holder of a slot.
     pub fn holder(&self, slot: KeySlot) -> Option<&SlotHolder> {
         self.slots.get(usize::from(slot))
     }
 
-    /// Slots of a daemon.
+    /// Returns the slots that a daemon holds.
     pub fn held_by(&self, daemon: &DaemonId) -> Vec<KeySlot> {
         let held = self.slots.iter().enumerate().filter(|(_, slot)| slot.holder == *daemon);
         held.map(|(index, _)| index as KeySlot).collect()
     }
 
-    /// The table after the end of some holders: those on VMs that are gone, and earlier daemons of
-    /// the own VM. Their slots go to the eligible daemons with the fewest, with a history that begins
-    /// now. `None` where nothing changes.
+    /// Returns the table without the holders that have ended, `None` where nothing changes. Slots of holders on removed
+    /// VMs go to the eligible daemons with the fewest slots; slots of earlier incarnations on this daemon's VM go to
+    /// this daemon. The history of these slots begins now.
     pub fn reassign(
         &self,
-        gone: &BTreeSet<VmId>,
+        removed_vms: &BTreeSet<VmId>,
         me: &DaemonId,
         eligible: &[DaemonId],
         now: WallTime,
@@ -56,12 +57,12 @@
         let mut changed = false;
         for index in 0..next.slots.len() {
             let holder = &next.slots[index].holder;
-            // The process that has bound the VM's peer address knows that the earlier one has ended.
-            let own_earlier = holder.vm == me.vm && holder.incarnation != me.incarnation;
-            let holder = if own_earlier {
+            // This process has bound the VM's peer address, so the earlier one has ended.
+            let is_earlier_incarnation = holder.vm == me.vm && holder.incarnation != me.incarnation;
+            let holder = if is_earlier_incarnation {
                 Some(me.clone())
-            } else if gone.contains(&holder.vm) && holder != me {
-                next.least_loaded(eligible, gone)
+            } else if removed_vms.contains(&holder.vm) && holder != me {
+                next.least_loaded(eligible, removed_vms)
             } else {
                 None
             };
@@ -74,10 +75,10 @@
         changed.then_some(next)
     }
 
-    /// The table after a hand-over of slots with their complete records.
-    pub fn pass(&self, passed: &[(KeySlot, DaemonId, WallTime)]) -> KeyTable {
+    /// Returns the table after a hand-over of slots with their complete records.
+    pub fn with_moved_slots(&self, moved: &[(KeySlot, DaemonId, WallTime)]) -> KeyTable {
         let mut next = self.clone();
-        for (slot, holder, complete_since) in passed {
+        for (slot, holder, complete_since) in moved {
             if let Some(entry) = next.slots.get_mut(usize::from(*slot)) {
                 let complete_since_ms = complete_since.as_millis() as u64;
                 *entry = SlotHolder { holder: holder.clone(), complete_since_ms };
@@ -86,14 +87,18 @@
         next
     }
 
-    /// The eligible daemon that holds the fewest slots.
-    pub fn least_loaded(&self, eligible: &[DaemonId], gone: &BTreeSet<VmId>) -> Option<DaemonId> {
-        let usable = eligible.iter().filter(|holder| !gone.contains(&holder.vm));
+    /// Returns the eligible daemon that holds the fewest slots, without those on removed VMs.
+    pub fn least_loaded(
+        &self,
+        eligible: &[DaemonId],
+        removed_vms: &BTreeSet<VmId>,
+    ) -> Option<DaemonId> {
+        let usable = eligible.iter().filter(|holder| !removed_vms.contains(&holder.vm));
         usable.min_by_key(|holder| (self.held_by(holder).len(), (*holder).clone())).cloned()
     }
 }
 
-/// Slot of a key; the same on every daemon.
+/// Returns the slot of a key, which is the same on every daemon.
 pub fn slot_of(account: &AccountId, key: &str, slots: usize) -> KeySlot {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(account.as_bytes());
@@ -102,8 +107,8 @@
     (hasher.finish() % slots.max(1) as u64) as KeySlot
 }
 
-/// The time at which a key was minted, where it is a UUID of version 7.
-pub(crate) fn minted_at(key: &str) -> Option<WallTime> {
+/// Returns when a key was created, where the key is a UUID of version 7, which contains the time.
+pub(crate) fn created_at(key: &str) -> Option<WallTime> {
     let uuid = uuid::Uuid::parse_str(key).ok()?;
     if uuid.get_version_num() != 7 {
         return None;
--- a/crates/keys/tests/homes.rs
+++ b/crates/keys/tests/homes.rs
@@ -1,5 +1,4 @@
-//! The key home at its borders: what is decided for known, unknown, old and surplus keys, and which
-//! hand-over counts.
+//! Checks the decisions of a key home for recorded, unknown, expired and surplus keys, and which hand-over it uses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -34,7 +33,7 @@
     home
 }
 
-fn whole(vm: &str) -> KeyHome {
+fn home_with_full_history(vm: &str) -> KeyHome {
     home(vm, KeyHomeOptions::default(), Duration::ZERO)
 }
 
@@ -49,12 +48,12 @@
 #[case::in_progress(None, RefusalReason::KeyInProgress, true)]
 #[case::may_have_run(Some(Verdict::MayHaveRun), RefusalReason::KeyMayHaveRun, true)]
 #[case::ran(Some(Verdict::Ran), RefusalReason::KeyRan, true)]
-fn second_request_learns_of_the_first(
+fn second_request_with_a_key_is_refused_by_the_outcome_of_the_first(
     #[case] verdict: Option<Verdict>,
     #[case] expected: RefusalReason,
     #[case] may_have_run: bool,
 ) {
-    let mut home = whole("a");
+    let mut home = home_with_full_history("a");
     assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     if let Some(verdict) = verdict {
         home.outcome(NOW, KeyOutcome { claim: claim(1, "k", None), verdict, answer: None });
@@ -63,15 +62,15 @@
 }
 
 #[test]
-fn key_of_an_attempt_that_did_not_run_is_free_again() {
-    let mut home = whole("a");
+fn key_of_an_attempt_that_did_not_run_can_be_claimed_again() {
+    let mut home = home_with_full_history("a");
     assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     home.outcome(
         NOW,
         KeyOutcome { claim: claim(1, "k", None), verdict: Verdict::NotRun, answer: None },
     );
     assert_eq!(home.claim(NOW, &claim(2, "k", None)), KeyDecision::First);
-    // A late word of the first request says nothing about the second.
+    // A late outcome of the first request must not change the state of the second.
     home.outcome(
         NOW,
         KeyOutcome { claim: claim(1, "k", None), verdict: Verdict::NotRun, answer: None },
@@ -80,16 +79,16 @@
 }
 
 #[test]
-fn keys_of_other_accounts_are_unrelated() {
-    let mut home = whole("a");
+fn equal_keys_of_two_accounts_do_not_collide() {
+    let mut home = home_with_full_history("a");
     assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     let other = KeyClaim { account: "b".to_string(), ..claim(2, "k", None) };
     assert_eq!(home.claim(NOW, &other), KeyDecision::First);
 }
 
 #[test]
-fn small_answer_is_kept() {
-    let mut home = whole("a");
+fn stored_answer_is_returned_to_a_second_request() {
+    let mut home = home_with_full_history("a");
     let answer =
         KeptAnswer { status: 200, content_type: "text/plain".to_string(), body: b"yes".to_vec() };
     home.claim(NOW, &claim(1, "k", None));
@@ -106,7 +105,7 @@
 #[case::no_attempt_number(None, Some(RefusalReason::KeyHistoryLost))]
 #[case::first_attempt(Some(1), None)]
 #[case::second_attempt(Some(2), Some(RefusalReason::KeyHistoryLost))]
-fn unknown_key_after_the_history_was_lost(
+fn unknown_key_runs_without_history_only_as_a_first_attempt(
     #[case] attempt: Option<u32>,
     #[case] refused: Option<RefusalReason>,
 ) {
@@ -119,21 +118,21 @@
 }
 
 #[test]
-fn history_is_complete_again_after_the_retry_window() {
+fn unknown_key_runs_again_after_the_retry_window() {
     let mut home = home("a", KeyHomeOptions::default(), NOW - Duration::from_secs(1_801));
     assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
 }
 
 #[test]
-fn timed_key_older_than_the_retry_window_is_refused() {
-    let mut home = whole("a");
-    let minted = uuid::Timestamp::from_unix(uuid::NoContext, NOW.as_secs() - 1_806, 0);
-    let key = uuid::Uuid::new_v7(minted).to_string();
+fn key_created_before_the_retry_window_is_refused() {
+    let mut home = home_with_full_history("a");
+    let created = uuid::Timestamp::from_unix(uuid::NoContext, NOW.as_secs() - 1_806, 0);
+    let key = uuid::Uuid::new_v7(created).to_string();
     assert_eq!(reason(&home.claim(NOW, &claim(1, &key, None))), (RefusalReason::KeyExpired, true));
 }
 
 #[test]
-fn full_home_refuses_new_keys_and_forgets_none() {
+fn full_home_refuses_new_keys_and_keeps_the_held_ones() {
     let mut home =
         home("a", KeyHomeOptions { key_limit: 2, ..KeyHomeOptions::default() }, Duration::ZERO);
     assert_eq!(home.claim(NOW, &claim(1, "k1", None)), KeyDecision::First);
@@ -148,12 +147,12 @@
 }
 
 #[test]
-fn late_repetition_of_an_older_hand_over_does_not_count() {
+fn late_copy_of_an_older_hand_over_is_ignored() {
     let (a, b) = (daemon("a"), daemon("b"));
-    let mut first = whole("a");
+    let mut first = home_with_full_history("a");
     let mut second = KeyHome::new(b.clone(), KeyHomeOptions::default());
     second.table_read(1, first.table().clone());
-    // a hands over to b, b lets a key run and hands back to a, a lets another run and hands to b.
+    // a hands over to b, b grants a claim and hands back to a, and a hands over to b again.
     let (_, old) = first.hand_over(std::slice::from_ref(&b)).remove(0);
     assert!(second.hand_over_received(old.clone()));
     first.hand_over_acked(&b, 0);
@@ -169,7 +168,7 @@
     second.table_read(3, table);
     let (_, again) = first.hand_over(std::slice::from_ref(&b)).remove(0);
     assert!(second.hand_over_received(again));
-    // The oldest one comes once more, late.
+    // A late copy of the first hand-over arrives; it lacks the key that b granted.
     second.hand_over_received(old);
     first.hand_over_acked(&b, 0);
     let table = first.handed_over().expect("acknowledged");
@@ -178,16 +177,16 @@
 }
 
 #[test]
-fn slots_of_gone_vms_go_to_the_least_loaded() {
-    let takers = [daemon("a"), daemon("b"), daemon("c")];
-    let table = KeyTable::deal(9, &takers);
-    let gone = BTreeSet::from(["c".to_string()]);
-    let next = table.reassign(&gone, &takers[0], &takers, NOW).expect("changes");
-    assert_eq!(next.held_by(&takers[2]).len(), 0);
-    assert!(next.held_by(&takers[0]).len() <= 5 && next.held_by(&takers[1]).len() <= 5);
+fn slots_of_removed_vms_go_to_the_holders_with_the_fewest() {
+    let holders = [daemon("a"), daemon("b"), daemon("c")];
+    let table = KeyTable::deal(9, &holders);
+    let removed_vms = BTreeSet::from(["c".to_string()]);
+    let next = table.reassign(&removed_vms, &holders[0], &holders, NOW).expect("changes");
+    assert_eq!(next.held_by(&holders[2]).len(), 0);
+    assert!(next.held_by(&holders[0]).len() <= 5 && next.held_by(&holders[1]).len() <= 5);
     assert!(next
         .slots
         .iter()
         .all(|slot| [0, NOW.as_millis() as u64].contains(&slot.complete_since_ms)));
-    assert_eq!(next.reassign(&gone, &takers[0], &takers, NOW), None);
+    assert_eq!(next.reassign(&removed_vms, &holders[0], &holders, NOW), None);
 }
