--- a/crates/peers/src/codec.rs
+++ b/crates/peers/src/codec.rs
@@ -1,19 +1,19 @@
-//! Bytes of a peer frame.
+//! Encodes and decodes peer frames.
 
 use curlewcleat_core::PeerFrame;
 
-/// Version of the frame format; the first byte of each frame: the first format.
+/// Version of the frame format, the first byte of each frame.
 const FORMAT: u8 = 1;
-/// Longest frame in bytes: bounds what a peer can make this daemon hold.
+/// Longest frame in bytes; limits the memory that a peer can make this daemon allocate.
 pub const FRAME_LIMIT: usize = 16 << 20;
 
-/// Why bytes are not a frame.
+/// Why a frame cannot be encoded or decoded.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The frame is empty or of another format.
+    /// The frame is empty or has another format version.
     #[error("peers: unknown frame format")]
     Format,
-    /// The frame is too long.
+    /// The frame is longer than [`FRAME_LIMIT`].
     #[error("peers: frame of {0} bytes is too long")]
     TooLong(usize),
     /// Bytes follow the frame.
@@ -22,18 +22,18 @@
     /// The frame cannot be encoded.
     #[error("peers: frame cannot be encoded: {0}")]
     Encode(postcard::Error),
-    /// The frame does not decode.
+    /// The frame cannot be decoded.
     #[error("peers: frame does not decode: {0}")]
     Decode(postcard::Error),
 }
 
-/// Result of coding.
+/// Result of encoding or decoding a frame.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Encodes a frame.
 ///
 /// # Errors
-/// Where it cannot be encoded; nothing may be sent in its place.
+/// Returns [`Error::Encode`] where postcard cannot encode the frame. No other bytes may be sent in its place.
 pub fn encode_frame(frame: &PeerFrame) -> Result<Vec<u8>> {
     postcard::to_extend(frame, vec![FORMAT]).map_err(Error::Encode)
 }
@@ -41,7 +41,8 @@
 /// Decodes a frame.
 ///
 /// # Errors
-/// Whatever keeps the bytes from being a frame.
+/// Returns an error where the bytes are too long, have another format version, cannot be decoded, or are longer than
+/// the frame.
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame> {
     if bytes.len() > FRAME_LIMIT {
         return Err(Error::TooLong(bytes.len()));
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,15 +1,14 @@
-//! Frames between daemons over nng: one subscriber to receive, one publisher for each peer.
+//! Sends and receives frames between daemons over nng: one subscriber socket to receive, one publisher socket per peer.
 //!
-//! Sending never waits: a frame that finds a full or missing connection is dropped and counted,
-//! since every message is safe to lose. The shape of frames is that of `curlewcleat-core`, encoded
-//! by postcard with a leading version byte.
+//! Sending never blocks: a frame for a full or missing connection is dropped and counted, because every message may be
+//! lost without harm. Frames are defined by `curlewcleat-core` and encoded by postcard after a version byte.
 
+mod activity;
 mod codec;
-mod hearing;
-mod owed;
+mod pending;
 mod transport;
 
+pub use activity::PeerHearing;
 pub use codec::{decode_frame, encode_frame, Error, Result, FRAME_LIMIT};
-pub use hearing::PeerHearing;
-pub use owed::OwedAnswers;
+pub use pending::PendingAnswers;
 pub use transport::{NngTransport, PeerTransport, TransportCounts};
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -1,6 +1,6 @@
-//! Sockets between daemons.
+//! Sends and receives peer frames on nng sockets.
 //!
-//! Owns: the sockets to and from peers. Relies on: nng; frames may be dropped.
+//! Owns: the sockets to and from peers. Relies on: nng, which may drop frames.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,31 +16,31 @@
 
 use spdlog::prelude::*;
 
+use crate::activity::PeerHearing;
 use crate::codec::{decode_frame, encode_frame, FRAME_LIMIT};
-use crate::hearing::PeerHearing;
-use crate::owed::OwedAnswers;
+use crate::pending::PendingAnswers;
 
-/// Frames that wait for a peer before the oldest are dropped.
+/// Number of frames that wait for a peer before the oldest are dropped.
 const SEND_QUEUE: i32 = 1_024;
-/// Received frames that wait for the thread that reads them before the oldest are dropped.
+/// Number of received frames that wait for the receiving thread before the oldest are dropped.
 const RECEIVE_QUEUE: i32 = 8_192;
-/// Time for which frames go out on both connections after one was dialed anew, so that none is lost while the new one
-/// is being made: several round trips between data centres.
+/// Time for which frames are sent on both connections after a peer was redialed, so that none is lost while the new
+/// connection is established: several round trips between data centres.
 const OVERLAP: Duration = Duration::from_millis(200);
 
-/// The border towards peers.
+/// Sends frames to peers.
 pub trait PeerTransport {
-    /// Sends a frame to an `ip:port`, or drops it.
+    /// Sends a frame to an `ip:port` without waiting, or drops it.
     fn send(&mut self, address: &str, frame: &PeerFrame);
 
-    /// Closes connections to all but these addresses.
+    /// Closes the connections to all addresses except these.
     fn keep_only(&mut self, addresses: &BTreeSet<String>);
 
-    /// Closes everything.
+    /// Closes all sockets.
     fn close(self: Box<Self>);
 }
 
-/// Counts of a transport, shared with the metrics.
+/// Counters of a transport, shared with the metrics.
 #[derive(Debug, Default)]
 pub struct TransportCounts {
     /// Frames sent.
@@ -53,64 +53,69 @@
     pub received: AtomicU64,
     /// Bytes received.
     pub received_bytes: AtomicU64,
-    /// Frames received that do not decode.
+    /// Received frames that cannot be decoded.
     pub unreadable: AtomicU64,
-    /// Peers that were dialed anew.
+    /// Number of times that a peer was redialed.
     pub dialed_anew: AtomicU64,
 }
 
-/// Frames over nng's publish and subscribe sockets, one publisher for each peer.
+/// Transport over nng's publish and subscribe sockets, with one publisher per peer.
 ///
-/// Push and pull would fit better, but nng 1.4.0-rc.0's push socket puts a connection that has just
-/// closed back on its list when a send completes late, and aborts the process at the next send.
+/// Push and pull sockets would fit better, but the push socket of nng 1.4.0-rc.0 puts a closed connection back on its
+/// list when a send completes late, and aborts the process at the next send.
 pub struct NngTransport {
     listener: Socket,
     peers: BTreeMap<String, PeerSocket>,
-    hearing: SharedHearing,
-    owed: OwedAnswers,
+    activity: SharedActivity,
+    pending: PendingAnswers,
     counts: Arc<TransportCounts>,
 }
 
-/// What the thread that receives has heard; `None` stands for a frame without a connection.
-type SharedHearing = Arc<Mutex<PeerHearing<Option<Pipe>>>>;
+/// The frames that the receiving thread has recorded. A frame whose connection is not known has `None` as its
+/// connection.
+type SharedActivity = Arc<Mutex<PeerHearing<Option<Pipe>>>>;
 
-/// The socket on which a peer is sent frames.
+/// The socket for sending frames to one peer.
 struct PeerSocket {
     socket: Socket,
+    /// When `socket` was dialed.
     dialed: Moment,
-    /// The one before, for as long as the present one is being connected.
-    earlier: Option<Socket>,
+    /// The socket before the last redial, kept for [`OVERLAP`] while the new one connects.
+    previous: Option<Socket>,
 }
 
 impl PeerSocket {
-    fn dial(address: &str, earlier: Option<Socket>) -> Result<PeerSocket, nng::Error> {
-        Ok(PeerSocket { socket: dial(address)?, dialed: Moment::now(), earlier })
+    /// Dials a peer and keeps the previous socket, where there is one.
+    fn dial(address: &str, previous: Option<Socket>) -> Result<PeerSocket, nng::Error> {
+        Ok(PeerSocket { socket: dial(address)?, dialed: Moment::now(), previous })
     }
 
+    /// Sends bytes on the current socket and on the previous one. Returns whether either accepted them.
     fn send(&mut self, bytes: &[u8]) -> bool {
-        if let Some(earlier) = self.earlier.take_if(|_| self.dialed.elapsed() >= OVERLAP) {
-            earlier.close();
+        if let Some(previous) = self.previous.take_if(|_| self.dialed.elapsed() >= OVERLAP) {
+            previous.close();
         }
-        // Frames may be repeated.
-        let early = self.earlier.as_ref().is_some_and(|socket| socket.try_send(bytes).is_ok());
-        self.socket.try_send(bytes).is_ok() || early
+        // A frame may arrive twice without harm.
+        let sent_on_previous =
+            self.previous.as_ref().is_some_and(|socket| socket.try_send(bytes).is_ok());
+        self.socket.try_send(bytes).is_ok() || sent_on_previous
     }
 
     fn close(&self) {
         self.socket.close();
-        if let Some(earlier) = &self.earlier {
-            earlier.close();
+        if let Some(previous) = &self.previous {
+            previous.close();
         }
     }
 }
 
 impl NngTransport {
-    /// Listens on `ip:port`. Received frames go into `frames` from a thread of their own, because
-    /// nng's calls must not block the arbiter. A peer is dialed anew where nothing is heard of it for
+    /// Listens on `ip:port`. A separate thread sends the received frames to `frames`, because nng's calls must not
+    /// block the arbiter. A peer is redialed where an answer from it is pending and nothing was received from it for
     /// `dead_after`.
     ///
     /// # Errors
-    /// What nng says when the address cannot be bound.
+    /// Returns nng's error where the address cannot be bound.
     pub fn listen(
         address: &str,
         dead_after: Duration,
@@ -122,11 +127,11 @@
         listener.set_opt::<RecvBufferSize>(RECEIVE_QUEUE)?;
         listener.set_opt::<Subscribe>(Vec::new())?;
         listener.listen(&format!("tcp://{address}"))?;
-        let hearing = SharedHearing::new(Mutex::new(PeerHearing::new(dead_after)));
+        let activity = SharedActivity::new(Mutex::new(PeerHearing::new(dead_after)));
         let receiver = FrameReceiver {
             socket: listener.clone(),
             frames,
-            hearing: Arc::clone(&hearing),
+            activity: Arc::clone(&activity),
             counts: Arc::clone(&counts),
         };
         std::thread::Builder::new()
@@ -136,45 +141,47 @@
         Ok(NngTransport {
             listener,
             peers: BTreeMap::new(),
-            hearing,
-            owed: OwedAnswers::default(),
+            activity,
+            pending: PendingAnswers::default(),
             counts,
         })
     }
 
-    /// The socket for a frame to an address.
+    /// Returns the socket for a frame to an address, and dials or redials the peer where needed.
     fn socket(&mut self, address: &str, frame: &PeerFrame) -> Option<&mut PeerSocket> {
         let dialed = self.peers.get(address).map(|peer| peer.dialed);
-        let dead = {
-            let hearing = heard(&self.hearing);
-            let (now, last) = (Moment::now(), hearing.last(address));
-            self.owed.sent(now, address, last, frame);
-            let owed = self.owed.since(address, last);
-            dialed.is_some_and(|dialed| hearing.is_dead_owing(now, address, dialed, owed))
+        let needs_redial = {
+            let activity = lock_activity(&self.activity);
+            let (now, last) = (Moment::now(), activity.last(address));
+            self.pending.sent(now, address, last, frame);
+            let pending = self.pending.since(address, last);
+            dialed.is_some_and(|dialed| {
+                activity.needs_redial_with_pending(now, address, dialed, pending)
+            })
         };
-        if dead || dialed.is_none() {
+        if needs_redial || dialed.is_none() {
             self.dial(address);
         }
         self.peers.get_mut(address)
     }
 
-    /// Dials a peer, anew where it was dialed before.
+    /// Dials a peer. Where it was dialed before, its socket stays open for [`OVERLAP`].
     fn dial(&mut self, address: &str) {
-        let present = self.peers.remove(address);
-        if let Some(earlier) = present.as_ref().and_then(|peer| peer.earlier.as_ref()) {
-            earlier.close();
+        let replaced = self.peers.remove(address);
+        if let Some(previous) = replaced.as_ref().and_then(|peer| peer.previous.as_ref()) {
+            previous.close();
         }
-        let present = present.map(|peer| peer.socket);
-        let again = present.is_some();
-        match PeerSocket::dial(address, present) {
+        let replaced = replaced.map(|peer| peer.socket);
+        let is_redial = replaced.is_some();
+        match PeerSocket::dial(address, replaced) {
             Ok(peer) => {
-                if again {
+                if is_redial {
                     self.counts.dialed_anew.fetch_add(1, Ordering::Relaxed);
                     debug!("peer_dialed_anew", kv: { address });
                 }
                 self.peers.insert(address.to_string(), peer);
             }
-            // It is dialed with the next frame.
+            // The next frame to this address dials again.
             Err(error) => warn!("peer_not_dialed", kv: { address, error = error.to_string() }),
         }
     }
@@ -207,8 +214,8 @@
             }
             keep
         });
-        heard(&self.hearing).keep_only(addresses);
-        self.owed.keep_only(addresses);
+        lock_activity(&self.activity).keep_only(addresses);
+        self.pending.keep_only(addresses);
     }
 
     fn close(self: Box<Self>) {
@@ -219,6 +226,7 @@
     }
 }
 
+/// Opens a publisher socket and starts to connect it to an address.
 fn dial(address: &str) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Pub0)?;
     socket.set_opt::<SendBufferSize>(SEND_QUEUE)?;
@@ -226,21 +234,22 @@
     Ok(socket)
 }
 
-/// What was heard so far. A thread that panicked with it leaves it whole: each change is one step.
-fn heard(hearing: &SharedHearing) -> MutexGuard<'_, PeerHearing<Option<Pipe>>> {
-    hearing.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks the recorded frames. A poisoned lock is used as well: each change is a single step, so a thread that panicked
+/// leaves consistent state.
+fn lock_activity(activity: &SharedActivity) -> MutexGuard<'_, PeerHearing<Option<Pipe>>> {
+    activity.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Receives frames on a thread of its own.
+/// Receives frames on a separate thread.
 struct FrameReceiver {
     socket: Socket,
     frames: UnboundedSender<PeerFrame>,
-    hearing: SharedHearing,
+    activity: SharedActivity,
     counts: Arc<TransportCounts>,
 }
 
 impl FrameReceiver {
-    /// Receives until the socket is closed.
+    /// Receives frames until the socket or the channel is closed.
     fn run(self) {
         loop {
             let mut message = match self.socket.recv() {
@@ -255,7 +264,7 @@
                 self.counts.unreadable.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
-            heard(&self.hearing).note(Moment::now(), &frame, message.pipe());
+            lock_activity(&self.activity).record(Moment::now(), &frame, message.pipe());
             if self.frames.send(frame).is_err() {
                 return;
             }
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames survive their way, and nothing else is taken for one.
+//! Checks that frames are decoded as they were encoded, and that other bytes are refused.
 
 use curlewcleat_core::{
     DaemonId, DiscoveredTarget, PeerFrame, PeerMessage, PermitId, PermitRequest, RequestId,
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 fn frame(vm: String, incarnation: u64, tier: u8, work: u64) -> PeerFrame {
-    let ask = PermitRequest {
+    let request = PermitRequest {
         permit: PermitId { request: RequestId::from_u128(u128::from(work)), attempt: 1 },
         pool: "pool".to_string(),
         tier,
@@ -23,13 +23,13 @@
         avoid: vec![vm.clone()],
     };
     let pull = StatePull { generation: work, table: incarnation };
-    let messages = vec![PeerMessage::PermitRequest(ask), PeerMessage::StatePull(pull)];
+    let messages = vec![PeerMessage::PermitRequest(request), PeerMessage::StatePull(pull)];
     PeerFrame { from: DaemonId { vm, incarnation }, messages }
 }
 
-/// An engine that starts again under its id is told apart by its start on every daemon.
+/// Without the start, a daemon could not distinguish an engine that restarted under its id from the earlier instance.
 #[test]
-fn starts_of_targets_survive_their_way() {
+fn starts_of_targets_survive_encoding() {
     let target = |id: &str, start: Option<u64>| DiscoveredTarget {
         pool: "p".to_string(),
         entry: TargetEntry {
@@ -51,28 +51,28 @@
         let message = PeerMessage::TargetLivesPush(TargetLivesPush::new(push.clone()));
         let from = DaemonId { vm: "vm".to_string(), incarnation: 1 };
         let frame = PeerFrame { from, messages: vec![message] };
-        let mut taken = decode_frame(&encode_frame(&frame).expect("encodes")).expect("decodes");
-        let Some(PeerMessage::TargetLivesPush(lives)) = taken.messages.pop() else { panic!() };
+        let mut decoded = decode_frame(&encode_frame(&frame).expect("encodes")).expect("decodes");
+        let Some(PeerMessage::TargetLivesPush(lives)) = decoded.messages.pop() else { panic!() };
         assert_eq!(lives.into_push(), push);
     }
 }
 
 proptest! {
     #[test]
-    fn frames_come_back_as_they_went(vm in ".{0,20}", incarnation: u64, tier: u8, work: u64) {
+    fn decoded_frame_equals_the_encoded_one(vm in ".{0,20}", incarnation: u64, tier: u8, work: u64) {
         let frame = frame(vm, incarnation, tier, work);
         prop_assert_eq!(decode_frame(&encode_frame(&frame).expect("encodes")), Ok(frame));
     }
 
     #[test]
-    fn any_bytes_end_in_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_decode_to_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(frame) = decode_frame(&bytes) {
             prop_assert_eq!(decode_frame(&encode_frame(&frame).expect("encodes")), Ok(frame));
         }
     }
 
     #[test]
-    fn cut_and_lengthened_frames_are_refused(work: u64, cut in 1usize..40) {
+    fn truncated_and_extended_frames_are_refused(work: u64, cut in 1usize..40) {
         let bytes = encode_frame(&frame("vm".to_string(), 1, 0, work)).expect("encodes");
         prop_assert!(decode_frame(&bytes[..bytes.len().saturating_sub(cut)]).is_err());
         let longer = [bytes, vec![0; cut]].concat();
--- a/crates/peers/tests/hearing.rs
+++ b/crates/peers/tests/hearing.rs
@@ -1,8 +1,8 @@
-//! When a connection to a peer is dialed anew.
+//! Checks when a connection to a peer is redialed.
 //!
-//! What happened: open connections between daemons went silent without a reset. Each daemon went on to send into
-//! them, `curlewcleat_peer` frames were counted as sent, and no daemon heard another again, since nothing dials
-//! while a connection looks open.
+//! The failure: connections between daemons died without a reset. Each daemon continued to send on them, the
+//! `curlewcleat_peer` frames were counted as sent, and no daemon received a frame again, because nothing redials a
+//! connection that looks open.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use curlewcleat_peers::PeerHearing;
 
 const LIMIT: Duration = Duration::from_millis(1_000);
-const BEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const PEER: &str = "127.0.0.1:1";
 
 fn frame(message: PeerMessage) -> PeerFrame {
@@ -35,64 +35,68 @@
 }
 
 #[test]
-fn peer_that_says_nothing_is_dialed_anew_after_the_limit() {
+fn unresponsive_peer_is_redialed_after_the_limit() {
     let start = Moment::now();
-    let mut hearing = PeerHearing::new(LIMIT);
-    assert!(!hearing.is_dead(start + LIMIT / 2, PEER, start));
-    assert!(hearing.is_dead(start + LIMIT, PEER, start), "never heard of");
-    hearing.note(start + LIMIT, &heartbeat(), 1);
-    assert!(!hearing.is_dead(start + LIMIT + BEAT, PEER, start));
-    assert!(hearing.is_dead(start + LIMIT * 2, PEER, start), "heard of once");
-    // Time has to pass after the dialing, too.
-    assert!(!hearing.is_dead(start + LIMIT * 2, PEER, start + LIMIT + BEAT));
+    let mut activity = PeerHearing::new(LIMIT);
+    assert!(!activity.needs_redial(start + LIMIT / 2, PEER, start));
+    assert!(activity.needs_redial(start + LIMIT, PEER, start), "no frame was ever received");
+    activity.record(start + LIMIT, &heartbeat(), 1);
+    assert!(!activity.needs_redial(start + LIMIT + HEARTBEAT_INTERVAL, PEER, start));
+    assert!(activity.needs_redial(start + LIMIT * 2, PEER, start), "one frame was received");
+    // The limit also counts from the last dialing.
+    assert!(!activity.needs_redial(start + LIMIT * 2, PEER, start + LIMIT + HEARTBEAT_INTERVAL));
 }
 
 #[test]
-fn every_frame_of_a_known_peer_counts() {
+fn every_frame_of_a_known_peer_resets_the_limit() {
     let start = Moment::now();
-    let mut hearing = PeerHearing::new(LIMIT);
+    let mut activity = PeerHearing::new(LIMIT);
     let pull = PeerMessage::StatePull(StatePull { generation: 1, table: 0 });
-    hearing.note(start, &frame(pull.clone()), 1);
-    assert!(hearing.is_dead(start + LIMIT, PEER, start), "its address is not known yet");
-    hearing.note(start, &heartbeat(), 1);
-    hearing.note(start + LIMIT, &frame(pull), 1);
-    assert!(!hearing.is_dead(start + LIMIT + BEAT, PEER, start));
+    activity.record(start, &frame(pull.clone()), 1);
+    assert!(activity.needs_redial(start + LIMIT, PEER, start), "its address is not known yet");
+    activity.record(start, &heartbeat(), 1);
+    activity.record(start + LIMIT, &frame(pull), 1);
+    assert!(!activity.needs_redial(start + LIMIT + HEARTBEAT_INTERVAL, PEER, start));
 }
 
-/// The peer hears nothing of this daemon, while its own frames arrive.
+/// The peer receives nothing from this daemon, while its own frames arrive.
 #[test]
-fn peer_that_dials_anew_is_dialed_anew_once() {
+fn peer_that_redials_is_redialed_once() {
     let start = Moment::now();
-    let mut hearing = PeerHearing::new(LIMIT);
-    hearing.note(start, &heartbeat(), 1);
-    let again = start + LIMIT + BEAT;
-    hearing.note(again, &heartbeat(), 2);
-    assert!(hearing.is_dead(again, PEER, start));
-    assert!(!hearing.is_dead(again + BEAT, PEER, again));
-    hearing.note(again + LIMIT, &heartbeat(), 2);
-    assert!(!hearing.is_dead(again + LIMIT, PEER, again));
+    let mut activity = PeerHearing::new(LIMIT);
+    activity.record(start, &heartbeat(), 1);
+    let again = start + LIMIT + HEARTBEAT_INTERVAL;
+    activity.record(again, &heartbeat(), 2);
+    assert!(activity.needs_redial(again, PEER, start));
+    assert!(!activity.needs_redial(again + HEARTBEAT_INTERVAL, PEER, again));
+    activity.record(again + LIMIT, &heartbeat(), 2);
+    assert!(!activity.needs_redial(again + LIMIT, PEER, again));
 }
 
-/// Both dial anew, a heartbeat apart; were each new connection answered by another one, they would never end.
+/// Both daemons redial, one heartbeat interval apart. If each redial caused one by the other daemon, they would never
+/// stop.
 #[test]
-fn two_daemons_that_lost_each_other_dial_once() {
+fn two_daemons_that_lost_each_other_redial_once() {
     let start = Moment::now();
-    let mut hearing = PeerHearing::new(LIMIT);
-    hearing.note(start, &heartbeat(), 1);
+    let mut activity = PeerHearing::new(LIMIT);
+    activity.record(start, &heartbeat(), 1);
     let dialed = start + LIMIT;
-    assert!(hearing.is_dead(dialed, PEER, start));
-    for beat in 1..20 {
-        let now = dialed + BEAT * beat;
-        hearing.note(now, &heartbeat(), 2);
-        assert!(!hearing.is_dead(now, PEER, dialed), "{beat} beats after the dialing");
+    assert!(activity.needs_redial(dialed, PEER, start));
+    for count in 1..20 {
+        let now = dialed + HEARTBEAT_INTERVAL * count;
+        activity.record(now, &heartbeat(), 2);
+        assert!(
+            !activity.needs_redial(now, PEER, dialed),
+            "{count} heartbeat intervals after the dialing"
+        );
     }
 }
 
 #[test]
-fn addresses_that_are_not_kept_are_forgotten() {
+fn state_of_other_addresses_is_removed() {
     let start = Moment::now();
-    let mut hearing = PeerHearing::new(LIMIT);
-    hearing.note(start + LIMIT, &heartbeat(), 1);
-    hearing.keep_only(&[].into());
-    assert!(hearing.is_dead(start + LIMIT, PEER, start));
+    let mut activity = PeerHearing::new(LIMIT);
+    activity.record(start + LIMIT, &heartbeat(), 1);
+    activity.keep_only(&[].into());
+    assert!(activity.needs_redial(start + LIMIT, PEER, start));
 }
--- a/crates/peers/tests/owed.rs
+++ b/crates/peers/tests/owed.rs
@@ -1,7 +1,8 @@
-//! When silence of a peer says that its connection is dead, and when it says nothing.
+//! Checks when an unresponsive peer is redialed, and when not because no answer is pending from it.
 //!
-//! What happened: in a fleet of 295 daemons, of which most exchange no heartbeats, the descriptors of a daemon rose from
-//! 700 to 1,200: whoever sent anything to a silent peer dialed it anew, and it dialed back.
+//! The failure: in a fleet of 295 daemons, most of which exchange no heartbeats, the file descriptors of a daemon rose
+//! from 700 to 1,200. Each daemon that sent a frame to a peer without heartbeats redialed it, and the peer redialed in
+//! turn.
 
 use std::time::Duration;
 
@@ -10,11 +11,11 @@
     AttemptEnd, DaemonId, FreshnessQuery, Heartbeat, PeerFrame, PeerMessage, PermitId,
     PermitReturn, RequestId,
 };
-use curlewcleat_peers::{OwedAnswers, PeerHearing};
+use curlewcleat_peers::{PeerHearing, PendingAnswers};
 use rstest::rstest;
 
 const LIMIT: Duration = Duration::from_millis(750);
-const BEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const PEER: &str = "127.0.0.1:1";
 
 fn frame(message: PeerMessage) -> PeerFrame {
@@ -48,82 +49,82 @@
     frame(PeerMessage::FreshnessQuery(query))
 }
 
-/// A daemon's side of one connection.
+/// One daemon's state of the connection to a peer.
 struct Link {
-    hearing: PeerHearing<u32>,
-    owed: OwedAnswers,
+    activity: PeerHearing<u32>,
+    pending: PendingAnswers,
     dialed: Moment,
 }
 
 impl Link {
-    /// Dialed, and heard of, at a moment.
-    fn heard(at: Moment) -> Link {
-        let mut hearing = PeerHearing::new(LIMIT);
-        hearing.note(at, &heartbeat(false), 1);
-        Link { hearing, owed: OwedAnswers::default(), dialed: at }
+    /// Creates a link that was dialed, and on which a heartbeat was received, at `at`.
+    fn with_heartbeat(at: Moment) -> Link {
+        let mut activity = PeerHearing::new(LIMIT);
+        activity.record(at, &heartbeat(false), 1);
+        Link { activity, pending: PendingAnswers::default(), dialed: at }
     }
 
-    /// Sends a frame; whether the connection is dialed anew before.
-    fn sends(&mut self, now: Moment, frame: &PeerFrame) -> bool {
-        let last = self.hearing.last(PEER);
-        self.owed.sent(now, PEER, last, frame);
-        let owed = self.owed.since(PEER, last);
-        let dead = self.hearing.is_dead_owing(now, PEER, self.dialed, owed);
-        if dead {
+    /// Sends a frame and returns whether the connection is redialed before.
+    fn send(&mut self, now: Moment, frame: &PeerFrame) -> bool {
+        let last = self.activity.last(PEER);
+        self.pending.sent(now, PEER, last, frame);
+        let pending = self.pending.since(PEER, last);
+        let redials = self.activity.needs_redial_with_pending(now, PEER, self.dialed, pending);
+        if redials {
             self.dialed = now;
         }
-        dead
+        redials
     }
 }
 
-/// Permits given back for a minute, to a scheduler that sends nothing of its own.
+/// Permits are returned for a minute to a scheduler that sends nothing itself.
 #[rstest]
 #[case::permits(permit_return())]
-#[case::heartbeats_that_want_nothing(heartbeat(false))]
-fn silence_of_a_peer_that_owes_nothing_says_nothing(#[case] sent: PeerFrame) {
+#[case::heartbeats_without_a_requested_answer(heartbeat(false))]
+fn unresponsive_peer_without_a_pending_answer_is_not_redialed(#[case] sent: PeerFrame) {
     let start = Moment::now();
-    let mut link = Link::heard(start);
+    let mut link = Link::with_heartbeat(start);
     for second in 3..60 {
-        assert!(!link.sends(start + Duration::from_secs(second), &sent), "after {second} s");
+        assert!(!link.send(start + Duration::from_secs(second), &sent), "after {second} s");
     }
 }
 
-/// Whatever is always answered: a connection that died is found within the limit, as before.
+/// A dead connection is detected within the limit after any message that is always answered.
 #[rstest]
-#[case::question(query())]
-#[case::heartbeat_that_wants_an_answer(heartbeat(true))]
-fn silence_after_a_question_says_that_the_connection_is_dead(#[case] asked: PeerFrame) {
+#[case::query(query())]
+#[case::heartbeat_with_a_requested_answer(heartbeat(true))]
+fn unresponsive_peer_with_a_pending_answer_is_redialed(#[case] sent: PeerFrame) {
     let start = Moment::now() + Duration::from_secs(60);
-    let mut link = Link::heard(start - Duration::from_secs(30));
-    assert!(!link.sends(start, &asked));
-    assert!(!link.sends(start + BEAT, &asked));
-    assert!(link.sends(start + LIMIT, &asked), "the limit has passed since the first question");
-    assert!(!link.sends(start + LIMIT + BEAT, &asked), "it was dialed anew just now");
-    link.hearing.note(start + LIMIT + BEAT, &heartbeat(false), 1);
-    assert!(!link.sends(start + LIMIT * 2, &asked), "it has answered");
+    let mut link = Link::with_heartbeat(start - Duration::from_secs(30));
+    assert!(!link.send(start, &sent));
+    assert!(!link.send(start + HEARTBEAT_INTERVAL, &sent));
+    assert!(link.send(start + LIMIT, &sent), "the limit has passed since the first message");
+    assert!(!link.send(start + LIMIT + HEARTBEAT_INTERVAL, &sent), "it was redialed just now");
+    link.activity.record(start + LIMIT + HEARTBEAT_INTERVAL, &heartbeat(false), 1);
+    assert!(!link.send(start + LIMIT * 2, &sent), "it has answered");
 }
 
-/// Both send heartbeats; then nothing comes any more.
+/// Both daemons send heartbeats, until none arrives from the peer any more.
 #[test]
-fn heartbeats_of_a_near_peer_are_due() {
+fn peer_whose_heartbeats_stop_is_redialed() {
     let start = Moment::now();
-    let mut link = Link::heard(start);
+    let mut link = Link::with_heartbeat(start);
     let mut found = None;
-    for beat in 1..6 {
-        let now = start + BEAT * beat;
-        if link.sends(now, &heartbeat(false)) {
+    for count in 1..6 {
+        let now = start + HEARTBEAT_INTERVAL * count;
+        if link.send(now, &heartbeat(false)) {
             found = found.or(Some(now.saturating_duration_since(start)));
         }
     }
-    assert!(found.is_some_and(|after| after <= LIMIT + BEAT * 2), "{found:?}");
+    assert!(found.is_some_and(|after| after <= LIMIT + HEARTBEAT_INTERVAL * 2), "{found:?}");
 }
 
-/// The peer heard nothing and has dialed anew; that says it, whatever is owed.
+/// The peer has received nothing and redials; this is enough, whether or not an answer is pending.
 #[test]
-fn peer_that_dials_anew_is_dialed_back() {
+fn peer_that_redials_is_redialed_without_a_pending_answer() {
     let start = Moment::now();
-    let mut link = Link::heard(start);
-    link.hearing.note(start + LIMIT, &heartbeat(false), 2);
-    assert!(link.sends(start + LIMIT, &permit_return()));
-    assert!(!link.sends(start + LIMIT * 3, &permit_return()));
+    let mut link = Link::with_heartbeat(start);
+    link.activity.record(start + LIMIT, &heartbeat(false), 2);
+    assert!(link.send(start + LIMIT, &permit_return()));
+    assert!(!link.send(start + LIMIT * 3, &permit_return()));
 }
