--- a/crates/core/src/account.rs
+++ b/crates/core/src/account.rs
@@ -20,7 +20,7 @@
 }
 
 impl TokenHash {
-    /// Parses a hash from 64 hexadecimal digits; returns `None` for anything else.
+    /// Parses a hash from 64 hexadecimal digits, ignoring surrounding white space; returns `None` for anything else.
     pub fn from_hex(text: &str) -> Option<TokenHash> {
         let text = text.trim();
         if text.len() != 64 || !text.is_ascii() {
--- a/crates/core/src/message/lethal.rs
+++ b/crates/core/src/message/lethal.rs
@@ -41,7 +41,7 @@
     pub age: Duration,
 }
 
-/// State of one suspect request.
+/// What is known of one suspect request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// Digest of the request.
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Defines whether a request may have run, and why requests are refused or retried.
+//! Defines verdicts on whether a request may have run, and the reasons for which requests are refused or retried.
 //!
 //! Owns: verdicts and the codes of refusals and retries, which are stable. Relies on: nothing.
 
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -80,7 +80,8 @@
     socket: Socket,
     /// When `socket` was dialed.
     dialed: Moment,
-    /// The socket before the last redial, kept for [`OVERLAP`] while the new one connects.
+    /// The socket before the last redial, used while the new one connects. It is closed by the first send after
+    /// [`OVERLAP`] or by the next redial.
     previous: Option<Socket>,
 }
 
@@ -111,8 +112,7 @@
 
 impl NngTransport {
     /// Listens on `ip:port`. A separate thread sends the received frames to `frames`, because nng's calls must not
-    /// block the arbiter. A peer is redialed where an answer from it is pending and nothing was received from it for
-    /// `dead_after`.
+    /// block the arbiter. A peer is redialed by the rules of [`PeerHearing`], with `dead_after` as the limit.
     ///
     /// # Errors
     /// Returns nng's error where the address cannot be bound.
@@ -165,7 +165,7 @@
         self.peers.get_mut(address)
     }
 
-    /// Dials a peer. Where it was dialed before, its socket stays open for [`OVERLAP`].
+    /// Dials a peer. Where it was dialed before, its socket becomes the previous one of the new [`PeerSocket`].
     fn dial(&mut self, address: &str) {
         let replaced = self.peers.remove(address);
         if let Some(previous) = replaced.as_ref().and_then(|peer| peer.previous.as_ref()) {
