--- a/crates/node/src/awaited_answer.rs
+++ b/crates/node/src/awaited_answer.rs
@@ -15,7 +15,7 @@
 const FIRST_WAIT: Duration = Duration::from_millis(500);
 /// Doublings of the wait at most: with the first wait four seconds, after which a peer that is reachable has answered
 /// over any link that is of use.
-const DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Whether an answer is on its way.
 #[derive(Clone, Copy, Debug)]
@@ -39,12 +39,12 @@
 
     /// Longest wait for an answer.
     pub fn longest_wait(&self) -> Duration {
-        self.first_wait * (1 << DOUBLINGS)
+        self.first_wait * (1 << MAX_DOUBLINGS)
     }
 
     /// Whether to ask now; if so, an answer is awaited from now on.
     pub fn begin(&mut self, now: Uptime) -> bool {
-        let wait = self.first_wait * (1 << self.unanswered.min(DOUBLINGS));
+        let wait = self.first_wait * (1 << self.unanswered.min(MAX_DOUBLINGS));
         match self.sent {
             Some(sent) if now < sent + wait => return false,
             Some(_) => self.unanswered += 1,
--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -14,7 +14,7 @@
 
 /// Least time between two whole configurations to one peer: a megabyte takes a second over the slowest link that the
 /// users' VMs have.
-const WHOLE_PUSH_PAUSE: Duration = Duration::from_secs(2);
+const WHOLE_PUSH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A daemon's part in the exchange of configurations.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 
     /// Whether to send a peer a whole configuration now: not while one is on its way.
     pub fn begin_whole_push(&mut self, now: Uptime, peer: &VmId) -> bool {
-        self.whole_pushes.retain(|_, sent| now < *sent + WHOLE_PUSH_PAUSE);
+        self.whole_pushes.retain(|_, sent| now < *sent + WHOLE_PUSH_INTERVAL);
         let begins = !self.whole_pushes.contains_key(peer);
         if begins {
             self.whole_pushes.insert(peer.clone(), now);
--- a/crates/node/src/config_pull.rs
+++ b/crates/node/src/config_pull.rs
@@ -25,18 +25,18 @@
 
 /// The beginning of an archive.
 #[derive(Clone, Debug)]
-struct BegunArchive {
+struct PartialArchive {
     id: ArchiveId,
     bytes: Vec<u8>,
     /// When the latest part came.
-    grown: Uptime,
+    last_part_at: Uptime,
 }
 
 /// A configuration on its way to this daemon.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigPull {
     answer: AwaitedAnswer,
-    begun: Option<BegunArchive>,
+    partial: Option<PartialArchive>,
     /// The latest archive that could not be used here. A pull says that it is here whole, so that peers
     /// send no part of it again.
     unusable: Option<ArchiveId>,
@@ -53,13 +53,13 @@
     ) -> Option<ConfigPartPull> {
         self.drop_stalled(now, in_force);
         // A peer that is behind what has begun has no part of it.
-        let least = self.begun.as_ref().map_or(in_force + 1, |begun| begun.id.generation);
+        let least = self.partial.as_ref().map_or(in_force + 1, |partial| partial.id.generation);
         (offered >= least && self.answer.begin(now)).then(|| self.next_pull(in_force))
     }
 
     /// Whether a part is awaited, or some have come and more are missing.
     pub fn is_under_way(&self) -> bool {
-        self.begun.is_some() || self.answer.is_awaited()
+        self.partial.is_some() || self.answer.is_awaited()
     }
 
     /// Takes a part that a peer has sent.
@@ -78,12 +78,12 @@
             return PartOutcome::Unused;
         }
         self.answer.answered();
-        match self.begun.take() {
-            Some(begun) if begun.bytes.len() >= begun.id.length as usize => {
-                PartOutcome::Whole(begun.id, begun.bytes)
+        match self.partial.take() {
+            Some(partial) if partial.bytes.len() >= partial.id.length as usize => {
+                PartOutcome::Whole(partial.id, partial.bytes)
             }
             unfinished => {
-                self.begun = unfinished;
+                self.partial = unfinished;
                 self.answer.begin(now);
                 PartOutcome::Next(self.next_pull(in_force))
             }
@@ -91,7 +91,7 @@
     }
 
     /// A configuration is in force, wherever it came from; what was asked for before is not needed.
-    pub fn arrived(&mut self) {
+    pub fn config_applied(&mut self) {
         self.answer.answered();
     }
 
@@ -109,19 +109,19 @@
         if !usable {
             return false;
         }
-        match &mut self.begun {
-            Some(begun) if begun.id == id => {
-                let continues = begun.bytes.len() == part.offset as usize;
+        match &mut self.partial {
+            Some(partial) if partial.id == id => {
+                let continues = partial.bytes.len() == part.offset as usize;
                 if continues {
-                    begun.bytes.extend_from_slice(&part.bytes);
-                    begun.grown = now;
+                    partial.bytes.extend_from_slice(&part.bytes);
+                    partial.last_part_at = now;
                 }
                 continues
             }
             // Two archives of one generation must not throw each other's beginning away in turn.
-            Some(begun) if id.generation <= begun.id.generation => false,
+            Some(partial) if id.generation <= partial.id.generation => false,
             _ if part.offset == 0 => {
-                self.begun = Some(BegunArchive { id, bytes: part.bytes, grown: now });
+                self.partial = Some(PartialArchive { id, bytes: part.bytes, last_part_at: now });
                 true
             }
             _ => false,
@@ -132,13 +132,15 @@
     /// is no longer newer than what is in force.
     fn drop_stalled(&mut self, now: Uptime, in_force: Generation) {
         let limit = self.answer.longest_wait();
-        self.begun.take_if(|begun| begun.id.generation <= in_force || now >= begun.grown + limit);
+        self.partial.take_if(|partial| {
+            partial.id.generation <= in_force || now >= partial.last_part_at + limit
+        });
     }
 
     fn next_pull(&self, known: Generation) -> ConfigPartPull {
         let whole = self.unusable.map(|id| (id, id.length));
-        let begun = self.begun.as_ref().map(|begun| (begun.id, begun.bytes.len() as u32));
-        let (archive, offset) = match begun.or(whole) {
+        let partial = self.partial.as_ref().map(|partial| (partial.id, partial.bytes.len() as u32));
+        let (archive, offset) = match partial.or(whole) {
             Some((id, offset)) => (Some(id), offset),
             None => (None, 0),
         };
--- a/crates/node/src/config_serving.rs
+++ b/crates/node/src/config_serving.rs
@@ -16,10 +16,10 @@
 /// part is asked for twice.
 const OUTSTANDING_TIME: Duration = Duration::from_millis(500);
 /// Peers that are sent a configuration at the same time over the slowest link.
-const LEAST_PEERS: usize = 4;
+const MIN_PEERS: usize = 4;
 /// Time after which a peer that has not asked for its next part has gone elsewhere: twice the first wait for an
 /// answer.
-const PEER_PAUSE: Duration = Duration::from_secs(1);
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The peers that are being sent a configuration, with the time of their latest part.
 #[derive(Clone, Debug)]
@@ -32,13 +32,13 @@
     /// No peer is served yet. The argument is what the link of this VM carries, in bytes a second.
     pub fn new(link_bytes_per_s: u64) -> ConfigServing {
         let outstanding = link_bytes_per_s * OUTSTANDING_TIME.as_millis() as u64 / 1_000;
-        let peer_limit = (outstanding as usize / PART_BYTES).max(LEAST_PEERS);
+        let peer_limit = (outstanding as usize / PART_BYTES).max(MIN_PEERS);
         ConfigServing { peer_limit, peers: BTreeMap::new() }
     }
 
     /// Whether to send a peer a part now; `more` says that others follow it.
     pub fn begin_part(&mut self, now: Uptime, peer: &VmId, more: bool) -> bool {
-        self.peers.retain(|_, sent| now < *sent + PEER_PAUSE);
+        self.peers.retain(|_, sent| now < *sent + PEER_IDLE_TIMEOUT);
         let known = self.peers.contains_key(peer);
         if !more {
             self.peers.remove(peer);
--- a/crates/node/src/ended_lives.rs
+++ b/crates/node/src/ended_lives.rs
@@ -25,7 +25,7 @@
     }
 
     /// A target is no longer listed.
-    pub fn ended(&mut self, id: &TargetId, start: Option<TargetStart>) {
+    pub fn record(&mut self, id: &TargetId, start: Option<TargetStart>) {
         let Some(start) = start else { return };
         if let Some(latest) = self.latest.get_mut(id) {
             *latest = start.max(*latest);
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -17,13 +17,13 @@
 const READERS: usize = 2;
 /// Daemons that are asked where the readers prove too little: those that read, and the next ones: as many that may be
 /// turned away at once.
-const READERS_IN_NEED: usize = 2 * READERS;
+const READERS_WHEN_AGING: usize = 2 * READERS;
 /// Share of that time, in percent, above which a proof is so old that the next ones are asked too: beyond the age
 /// that proofs reach while all is well, a read and a heartbeat, and so long before [`FALLBACK_PERCENT`] that the next
 /// ones have read by then.
-const NEED_PERCENT: u32 = 50;
+const AGING_PERCENT: u32 = 50;
 /// Time between queries while a proof is so old: some round trips and a read of the platform.
-const NEED_PAUSE: Duration = Duration::from_millis(100);
+const AGING_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 /// Reads within the time in which a change has to be in force.
 const READS_PER_LIMIT: u32 = 4;
 /// Share of that time, in percent, above which a proof is too old to go on without an own read.
@@ -36,7 +36,7 @@
 const READ_HOLD: Duration = Duration::from_millis(250);
 /// Time after the platform's return in which targets that lost their entries are back.
 /// From the users' platform: entries that lapsed are back about two seconds after its return.
-const RETURN_LIMIT: Duration = Duration::from_secs(2);
+const RECOVERY_GRACE: Duration = Duration::from_secs(2);
 
 /// Times of a daemon's view of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
         let percent = |percent: u32| limit * percent / 100;
         FreshnessLimits {
             read_every: limit / READS_PER_LIMIT,
-            need_after: percent(NEED_PERCENT),
+            need_after: percent(AGING_PERCENT),
             fallback_after: percent(FALLBACK_PERCENT),
             stale_after: percent(STALE_PERCENT),
             lost_after: percent(LOST_PERCENT),
@@ -82,11 +82,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum PlatformReach {
     /// It answers.
-    Steady,
+    Reachable,
     /// It does not.
-    Lost,
+    Unreachable,
     /// It answers again since then.
-    Returned(Uptime),
+    Recovered(Uptime),
 }
 
 /// A daemon's view of how new what it knows of the platform is.
@@ -95,17 +95,17 @@
     limits: FreshnessLimits,
     incarnation: Incarnation,
     /// When the newest own read that proved the configuration was sent.
-    own: Option<Uptime>,
+    own_read: Option<Uptime>,
     /// The same by way of any daemon.
-    proved: Option<Uptime>,
+    last_proof: Option<Uptime>,
     /// Until when this daemon reads because the others prove too little.
     fallback_until: Uptime,
     /// Until when it reads because others ask it.
-    asked_until: Uptime,
+    serving_until: Uptime,
     /// When it last asked others.
-    queried: Uptime,
+    last_query: Uptime,
     /// Whether own reads have failed for long, and none has succeeded since.
-    turned_away: bool,
+    own_reads_failing: bool,
     reach: PlatformReach,
 }
 
@@ -115,47 +115,47 @@
         PlatformFreshness {
             limits,
             incarnation,
-            own: None,
-            proved: None,
+            own_read: None,
+            last_proof: None,
             fallback_until: Duration::ZERO,
-            asked_until: Duration::ZERO,
-            queried: Duration::ZERO,
-            turned_away: false,
-            reach: PlatformReach::Steady,
+            serving_until: Duration::ZERO,
+            last_query: Duration::ZERO,
+            own_reads_failing: false,
+            reach: PlatformReach::Reachable,
         }
     }
 
     /// When the read was sent that proved the configuration last.
-    pub fn proved(&self) -> Option<Uptime> {
-        self.proved
+    pub fn last_proof(&self) -> Option<Uptime> {
+        self.last_proof
     }
 
     /// An own read that was sent then showed the configuration in force to be the newest.
-    pub fn read(&mut self, now: Uptime, sent: Uptime) {
-        self.own = self.own.max(Some(sent));
-        self.turned_away = false;
-        self.prove(now, sent);
+    pub fn read_succeeded(&mut self, now: Uptime, sent: Uptime) {
+        self.own_read = self.own_read.max(Some(sent));
+        self.own_reads_failing = false;
+        self.record_proof(now, sent);
     }
 
     /// An own read has failed. Where others prove that the platform answers them, this daemon is turned away,
     /// and leaves the roles to them while all proofs are young: later, daemons that cannot read
     /// themselves refused requests until the order had changed.
     pub fn read_failed(&mut self, now: Uptime) {
-        let own_age = self.own.map(|own| now.saturating_sub(own));
-        let others_prove = self.is_within(now, self.limits.need_after);
+        let own_age = self.own_read.map(|own_read| now.saturating_sub(own_read));
+        let others_prove = self.is_proof_younger(now, self.limits.need_after);
         let limit = match others_prove {
             true => self.limits.need_after,
             false => self.limits.stale_after,
         };
-        self.turned_away |= own_age.is_some_and(|age| age > limit);
+        self.own_reads_failing |= own_age.is_some_and(|age| age > limit);
         // Others may still reach the platform; then their proofs keep this view young.
-        if !self.is_within(now, self.limits.lost_after) {
-            self.reach = PlatformReach::Lost;
+        if !self.is_proof_younger(now, self.limits.lost_after) {
+            self.reach = PlatformReach::Unreachable;
         }
     }
 
     /// Takes a peer's answer. Returns when the read was sent at the earliest that it tells of.
-    pub fn answered(&self, now: Uptime, answer: &FreshnessAnswer) -> Option<Uptime> {
+    pub fn answer_received(&self, now: Uptime, answer: &FreshnessAnswer) -> Option<Uptime> {
         let query = answer.query;
         if query.incarnation != self.incarnation || query.sent > now {
             return None;
@@ -164,21 +164,23 @@
     }
 
     /// The configuration in force was the newest then.
-    pub fn prove(&mut self, now: Uptime, at: Uptime) {
-        self.proved = self.proved.max(Some(at));
-        if self.reach == PlatformReach::Lost && self.is_within(now, self.limits.lost_after) {
-            self.reach = PlatformReach::Returned(now);
+    pub fn record_proof(&mut self, now: Uptime, at: Uptime) {
+        self.last_proof = self.last_proof.max(Some(at));
+        if self.reach == PlatformReach::Unreachable
+            && self.is_proof_younger(now, self.limits.lost_after)
+        {
+            self.reach = PlatformReach::Recovered(now);
         }
     }
 
     /// Answers a peer's query with the age of the latest own read. From now on this daemon reads for
     /// others.
-    pub fn asked(&mut self, now: Uptime) -> Option<Duration> {
-        self.asked_until = now + self.limits.fallback_after;
-        self.own.map(|own| now.saturating_sub(own))
+    pub fn answer_query(&mut self, now: Uptime) -> Option<Duration> {
+        self.serving_until = now + self.limits.fallback_after;
+        self.own_read.map(|own_read| now.saturating_sub(own_read))
     }
 
-    /// The query to send now and the daemons to send it to, more of them `in_need`; none where this daemon
+    /// The query to send now and the daemons to send it to, more of them `proof_aging`; none where this daemon
     /// reads well itself. It is sent as soon as a read of its own is due, so that an answer comes before the
     /// proof is too old: asked at twice that age, 7 of 18 daemons that had begun together read for themselves again.
     pub fn query<'a>(
@@ -186,43 +188,43 @@
         now: Uptime,
         me: &DaemonId,
         order: &'a [DaemonId],
-        in_need: bool,
+        proof_aging: bool,
     ) -> (FreshnessQuery, Vec<&'a VmId>) {
         let query = FreshnessQuery { incarnation: self.incarnation, sent: now };
         let young = self.limits.read_every;
-        if self.own.is_some_and(|own| now.saturating_sub(own) < young) {
+        if self.own_read.is_some_and(|own_read| now.saturating_sub(own_read) < young) {
             return (query, Vec::new());
         }
-        self.queried = now;
-        let asked = if in_need { READERS_IN_NEED } else { READERS };
+        self.last_query = now;
+        let asked = if proof_aging { READERS_WHEN_AGING } else { READERS };
         let readers = order.iter().take(asked).filter(|reader| *reader != me);
         (query, readers.map(|reader| &reader.vm).collect())
     }
 
     /// Whether the proof is so old that more daemons are asked than read.
-    pub fn is_in_need(&self, now: Uptime) -> bool {
+    pub fn is_proof_aging(&self, now: Uptime) -> bool {
         self.proof_age(now) >= self.limits.need_after
     }
 
     /// Whether it is time to ask again for one that is in need.
     pub fn is_query_due(&self, now: Uptime) -> bool {
-        now >= self.queried + NEED_PAUSE
+        now >= self.last_query + AGING_QUERY_INTERVAL
     }
 
     /// Age of the proof; of a new process its own age, since it has made its first read as it began.
     fn proof_age(&self, now: Uptime) -> Duration {
-        self.proved.map_or(now, |proved| now.saturating_sub(proved))
+        self.last_proof.map_or(now, |proved| now.saturating_sub(proved))
     }
 
     /// Lets time pass; says whether this daemon has to read.
     pub fn read_role(&mut self, now: Uptime, me: &DaemonId, order: &[DaemonId]) -> ReadRole {
-        if self.proved.is_some() && !self.is_within(now, self.limits.lost_after * 2) {
-            self.reach = PlatformReach::Lost;
+        if self.last_proof.is_some() && !self.is_proof_younger(now, self.limits.lost_after * 2) {
+            self.reach = PlatformReach::Unreachable;
         }
-        if self.proof_age(now) >= self.limits.fallback_after || self.turned_away {
+        if self.proof_age(now) >= self.limits.fallback_after || self.own_reads_failing {
             self.fallback_until = now + READ_HOLD;
         }
-        if order.iter().take(READERS).any(|reader| reader == me) || now < self.asked_until {
+        if order.iter().take(READERS).any(|reader| reader == me) || now < self.serving_until {
             return ReadRole::Reader;
         }
         match now < self.fallback_until {
@@ -234,19 +236,20 @@
     /// Whether this daemon should schedule, and read for others, only where no other daemon can: what
     /// it knows is too old, or the platform turns it away. Nothing is too old before the first read.
     pub fn is_stale(&self, now: Uptime) -> bool {
-        self.turned_away || self.proved.is_some() && !self.is_within(now, self.limits.stale_after)
+        self.own_reads_failing
+            || self.last_proof.is_some() && !self.is_proof_younger(now, self.limits.stale_after)
     }
 
     /// Whether targets that vanish now may come back, since the platform failed shortly before.
     pub fn is_doubtful(&self, now: Uptime) -> bool {
         match self.reach {
-            PlatformReach::Steady => false,
-            PlatformReach::Lost => true,
-            PlatformReach::Returned(since) => now < since + RETURN_LIMIT,
+            PlatformReach::Reachable => false,
+            PlatformReach::Unreachable => true,
+            PlatformReach::Recovered(since) => now < since + RECOVERY_GRACE,
         }
     }
 
-    fn is_within(&self, now: Uptime, limit: Duration) -> bool {
-        self.proved.is_some_and(|proved| now.saturating_sub(proved) < limit)
+    fn is_proof_younger(&self, now: Uptime, limit: Duration) -> bool {
+        self.last_proof.is_some_and(|proved| now.saturating_sub(proved) < limit)
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -32,9 +32,9 @@
 };
 
 use self::lethal::LethalExchange;
-use self::notices::HeardNotices;
+use self::notices::ReceivedNotices;
 use self::rollouts::RolloutExchange;
-use self::stop::HAND_OVER_WAIT;
+use self::stop::HAND_OVER_ACK_WAIT;
 use crate::awaited_answer::AwaitedAnswer;
 use crate::config_exchange::ConfigExchange;
 use crate::event::{NodeAction, NodeEvent};
@@ -94,7 +94,7 @@
     guards: BTreeMap<PoolId, LevelGuard>,
     entry: EntryRequests,
     lethal: LethalExchange,
-    notices: HeardNotices,
+    notices: ReceivedNotices,
     rollouts: RolloutExchange,
     drain: DrainState,
     vms: VmView,
@@ -141,7 +141,7 @@
             guards: BTreeMap::new(),
             entry: EntryRequests::new(options.entry.clone()),
             lethal: LethalExchange::default(),
-            notices: HeardNotices::default(),
+            notices: ReceivedNotices::default(),
             rollouts: RolloutExchange::default(),
             drain: DrainState::new(options.drain_grace, options.hand_over_limit),
             vms: VmView::default(),
@@ -150,7 +150,7 @@
             configs: ConfigExchange::new(options.link_bytes_per_s),
             table_pull: AwaitedAnswer::default(),
             targets_pull: AwaitedAnswer::default(),
-            hand_over_answer: AwaitedAnswer::new(HAND_OVER_WAIT),
+            hand_over_answer: AwaitedAnswer::new(HAND_OVER_ACK_WAIT),
             orders: BTreeMap::new(),
             table_absent: false,
             proposing: false,
@@ -174,18 +174,20 @@
             NodeEvent::Tick => self.tick(),
             NodeEvent::Peer(frame) => self.peer_frame(frame),
             NodeEvent::Admit(spec) => self.admit(*spec),
-            NodeEvent::BrokeOff(digest, broke) => self.broke_off(digest, broke),
-            NodeEvent::TargetSaid(pool, report) => self.target_said(pool, report),
+            NodeEvent::BrokeOff(digest, interruption) => {
+                self.attempt_interrupted(digest, interruption)
+            }
+            NodeEvent::TargetSaid(pool, report) => self.own_notice_received(pool, report),
             NodeEvent::RolloutsListed { rollouts, at, sent } => {
                 self.rollouts_listed(rollouts, at, sent);
             }
-            NodeEvent::AnswerSeen(pool, sample) => self.answer_seen(pool, *sample),
-            NodeEvent::RefusalsRead(reports) => self.suspects_known(reports),
+            NodeEvent::AnswerSeen(pool, sample) => self.answer_observed(pool, *sample),
+            NodeEvent::RefusalsRead(reports) => self.merge_suspects(reports),
             NodeEvent::RefusalStored(digest) => self.refusal_stored(&digest),
             NodeEvent::ClearSuspect(digest) => self.clear_suspect(digest),
             NodeEvent::Finished(id, verdict, end, answer) => {
                 if verdict == Verdict::Ran {
-                    self.served_whole(id);
+                    self.answer_completed(id);
                 }
                 let actions = self.entry.finished(id, verdict, end, answer);
                 self.perform(actions);
@@ -250,7 +252,7 @@
     }
 
     /// What the order of schedulers of a pool is drawn by.
-    fn subject_of<'a>(&self, pool: &'a str) -> &'a str {
+    fn scheduling_subject<'a>(&self, pool: &'a str) -> &'a str {
         if self.options.one_scheduler {
             return ALL_POOLS;
         }
@@ -259,7 +261,7 @@
 }
 
 /// The cached order of schedulers of a pool.
-fn order_of(
+fn cached_order(
     orders: &BTreeMap<PoolId, Vec<DaemonId>>,
     members: &MemberView,
     pool: &str,
--- a/crates/node/src/node/configuration.rs
+++ b/crates/node/src/node/configuration.rs
@@ -21,26 +21,26 @@
                 self.actions.push(NodeAction::Note(NodeNote::ConfigInvalid(generation, report)));
             }
             StoreChange::Accepted => {
-                self.configs.pull.arrived();
-                self.renew_active();
-                self.renew_orders();
+                self.configs.pull.config_applied();
+                self.rebuild_active();
+                self.refresh_orders();
                 self.actions.push(NodeAction::Note(NodeNote::ConfigAccepted(generation)));
             }
         }
     }
 
     /// The targets that announced themselves may have changed.
-    pub(super) fn renew_discovered(&mut self) {
+    pub(super) fn refresh_discovered(&mut self) {
         let targets = self.targets.targets();
         if targets == self.discovered {
             return;
         }
         self.discovered = targets;
-        self.renew_active();
+        self.rebuild_active();
     }
 
     /// Joins the configuration in force with the discovered targets, and tells the schedulers.
-    pub(super) fn renew_active(&mut self) {
+    pub(super) fn rebuild_active(&mut self) {
         self.review_versions();
         let mut active = self.store.active();
         if !self.discovered.is_empty() {
@@ -61,24 +61,24 @@
 
     pub(super) fn configure_pools(&mut self) {
         let config = Arc::clone(&self.active);
-        let away = self.away();
+        let unavailable = self.unavailable_vms();
         let age_per_work = self.options.age_per_work;
         for (id, pool) in &config.pools {
             let scheduler = self.pool(id);
             scheduler.configure(pool_options(&config, pool, age_per_work), pool);
-            scheduler.set_away(away.clone());
+            scheduler.set_away(unavailable.clone());
         }
-        self.keep_versions();
-        self.renew_places();
+        self.apply_versions();
+        self.update_data_centres();
         self.pools
             .retain(|id, scheduler| config.pools.contains_key(id) || scheduler.in_flight() > 0);
     }
 
     /// VMs whose targets get no new work, by the VM list and by what the targets report.
-    pub(super) fn away(&self) -> BTreeSet<VmId> {
+    pub(super) fn unavailable_vms(&self) -> BTreeSet<VmId> {
         let leaving = self.discovered.iter().filter(|target| target.leaving);
-        let mut away = self.vms.away();
-        away.extend(leaving.map(|target| target.entry.vm.clone()));
-        away
+        let mut unavailable = self.vms.unavailable();
+        unavailable.extend(leaving.map(|target| target.entry.vm.clone()));
+        unavailable
     }
 }
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -15,18 +15,18 @@
 /// Subject that decides which daemon proposes key tables.
 const TABLE_SUBJECT: &str = "key table";
 /// Time after the start before a first key table is proposed, so that the peers are known.
-const SETTLE: Duration = Duration::from_secs(2);
+const FIRST_TABLE_DELAY: Duration = Duration::from_secs(2);
 
 impl Node {
     pub(super) fn table_read(&mut self, read: Option<(ObjectVersion, KeyTable)>) {
         self.proposing = false;
         match read {
-            Some((version, table)) => self.table_known(version, table),
+            Some((version, table)) => self.apply_table(version, table),
             None => self.table_absent = true,
         }
     }
 
-    pub(super) fn table_known(&mut self, version: ObjectVersion, table: KeyTable) {
+    pub(super) fn apply_table(&mut self, version: ObjectVersion, table: KeyTable) {
         if version <= self.home.version() {
             return;
         }
@@ -39,7 +39,7 @@
         match write {
             TableWrite::Stored(version, table) => {
                 self.proposing = false;
-                self.table_known(version, table);
+                self.apply_table(version, table);
             }
             TableWrite::ReadAgain => {
                 self.actions.push(NodeAction::Platform(PlatformCall::ReadTable))
@@ -67,23 +67,23 @@
     }
 
     pub(super) fn first_table(&self) -> Option<KeyTable> {
-        let due = self.table_absent && self.now >= SETTLE && self.proposes_tables();
+        let due = self.table_absent && self.now >= FIRST_TABLE_DELAY && self.proposes_tables();
         due.then(|| KeyTable::deal(self.options.key_slots, &self.eligible))
             .filter(|table| !table.slots.is_empty())
     }
 
     pub(super) fn changed_table(&self) -> Option<KeyTable> {
-        let mut gone = self.vms.gone(self.now, &self.options.me.vm);
+        let mut ended = self.vms.ended(self.now, &self.options.me.vm);
         // A VM that still talks is not gone, whatever a list says.
-        gone.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
-        let own_earlier = self.home.table().slots.iter().any(|slot| {
+        ended.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
+        let has_earlier_slots = self.home.table().slots.iter().any(|slot| {
             slot.holder.vm == self.options.me.vm
                 && slot.holder.incarnation != self.options.me.incarnation
         });
-        if !own_earlier && !self.proposes_tables() {
+        if !has_earlier_slots && !self.proposes_tables() {
             return None;
         }
-        self.home.reassign(&gone, &self.eligible, self.wall)
+        self.home.reassign(&ended, &self.eligible, self.wall)
     }
 
     pub(super) fn proposes_tables(&self) -> bool {
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -1,7 +1,7 @@
 //! Requests under which targets end: what this daemon saw, what others tell, and what the platform keeps.
 //!
 //! Each daemon keeps the whole set and judges for itself. News go at once to the daemons that may schedule, and each
-//! daemon asks the first of those every [`PULL_EVERY`] for what it has not, so that all know within two such times,
+//! daemon asks the first of those every [`PULL_INTERVAL`] for what it has not, so that all know within two such times,
 //! also where frames were lost; requests that broke off once only are sent a few at a time. Only that a request is refused goes to the platform, in one call.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `LethalRequests` for the rule, `TargetView` for the lives that
@@ -21,49 +21,53 @@
 
 /// Time between two questions for what others know: with its answer a third of the users' shortest bound for what all
 /// daemons have to know, three seconds, so that one of them may be lost.
-const PULL_EVERY: Duration = Duration::from_secs(1);
+const PULL_INTERVAL: Duration = Duration::from_secs(1);
 /// Daemons that are asked: two, so that one may fail.
-const ASKED: usize = 2;
+const PULL_PEERS: usize = 2;
 /// Time after which a call that would have the platform keep a refusal is made again.
-const STORE_AGAIN: Duration = Duration::from_secs(5);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Least time after which a request may come back that is not refused for good: several reviews, where it cannot be
 /// told when the platform will show what ended.
-const LEAST_ADVICE: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a node keeps beside the requests themselves.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LethalExchange {
     pub requests: LethalRequests,
     /// How far the set of each daemon that was asked is known.
-    known: BTreeMap<VmId, (Incarnation, u64)>,
-    pulled: Option<Uptime>,
+    known_revisions: BTreeMap<VmId, (Incarnation, u64)>,
+    last_pull: Option<Uptime>,
     /// Requests of which the operators know that they are refused.
-    noted: BTreeSet<RequestDigest>,
+    reported: BTreeSet<RequestDigest>,
     /// When the platform was last asked to keep a refusal.
-    storing: BTreeMap<RequestDigest, Uptime>,
+    store_requested: BTreeMap<RequestDigest, Uptime>,
 }
 
 impl Node {
     /// A request broke off at a target. It counts where the target had said nothing of leaving.
-    pub(super) fn broke_off(&mut self, digest: RequestDigest, broke: RequestBreak) {
-        let life = &broke.life;
+    pub(super) fn attempt_interrupted(
+        &mut self,
+        digest: RequestDigest,
+        interruption: RequestBreak,
+    ) {
+        let life = &interruption.life;
         let announced = self.targets.shows(life);
-        let told = self.targets.is_leaving(&life.id) || self.says_that_it_leaves(&life.id);
+        let told = self.targets.is_leaving(&life.id) || self.has_announced_leaving(&life.id);
         let leaving = told || self.is_shut_target(&life.id);
         if leaving || !announced && !names_target(&self.store.active(), life) {
             return;
         }
-        if self.lethal.requests.broken_off(self.now, digest, broke) {
-            self.tell_suspect(&digest);
-            self.note_refused();
+        if self.lethal.requests.broken_off(self.now, digest, interruption) {
+            self.send_suspect(&digest);
+            self.report_refusal_changes();
         }
     }
 
     /// A request that has ended was served whole.
-    pub(super) fn served_whole(&mut self, id: RequestId) {
+    pub(super) fn answer_completed(&mut self, id: RequestId) {
         let Some(digest) = self.entry.digest_of(id) else { return };
         if self.lethal.requests.served(self.now, &digest) {
-            self.tell_suspect(&digest);
+            self.send_suspect(&digest);
         }
     }
 
@@ -72,12 +76,12 @@
         let refused = self.lethal.requests.refused().any(|refused| *refused == digest);
         if self.lethal.requests.clear(&digest) {
             self.actions.push(NodeAction::Note(NodeNote::SuspectCleared(digest)));
-            self.tell_suspect(&digest);
+            self.send_suspect(&digest);
         }
         if refused {
             self.actions.push(NodeAction::Platform(PlatformCall::DropRefusal(digest)));
         }
-        self.note_refused();
+        self.report_refusal_changes();
     }
 
     /// The refusal of a request that may not be sent to a target, now or at all.
@@ -85,7 +89,7 @@
         match self.lethal.requests.verdict(self.now, &digest?) {
             LethalVerdict::Clear => None,
             LethalVerdict::Held(time) => {
-                let wait = time.max(LEAST_ADVICE);
+                let wait = time.max(MIN_RETRY_AFTER);
                 Some(Refusal::not_run(RefusalReason::RequestSuspect, Some(wait)))
             }
             LethalVerdict::Refused => Some(Refusal::not_run(RefusalReason::RequestLethal, None)),
@@ -132,27 +136,27 @@
             self.actions.push(NodeAction::Note(NodeNote::TargetEnded(digest, life)));
         }
         // Most requests at a target that ends are under no other end; what is known of them others ask for.
-        repeated.iter().for_each(|digest| self.tell_suspect(digest));
-        self.note_refused();
-        self.store_refused();
+        repeated.iter().for_each(|digest| self.send_suspect(digest));
+        self.report_refusal_changes();
+        self.store_refusals();
     }
 
     /// Asks the daemons that may schedule for what this one does not know.
     pub(super) fn pull_suspects(&mut self) {
-        if self.lethal.pulled.is_some_and(|pulled| self.now < pulled + PULL_EVERY) {
+        if self.lethal.last_pull.is_some_and(|last| self.now < last + PULL_INTERVAL) {
             return;
         }
-        self.lethal.pulled = Some(self.now);
+        self.lethal.last_pull = Some(self.now);
         let me = &self.options.me;
         let asked: Vec<DaemonId> =
-            self.order.iter().filter(|daemon| *daemon != me).take(ASKED).cloned().collect();
+            self.order.iter().filter(|daemon| *daemon != me).take(PULL_PEERS).cloned().collect();
         for daemon in asked {
-            self.ask_for_suspects(&daemon);
+            self.pull_suspects_from(&daemon);
         }
     }
 
-    fn ask_for_suspects(&mut self, daemon: &DaemonId) {
-        let known = self.lethal.known.get(&daemon.vm);
+    fn pull_suspects_from(&mut self, daemon: &DaemonId) {
+        let known = self.lethal.known_revisions.get(&daemon.vm);
         let known = known.filter(|(incarnation, _)| *incarnation == daemon.incarnation);
         let known = known.map_or(0, |(_, at)| *at);
         self.post(&daemon.vm, PeerMessage::SuspectsPull(SuspectsPull { known }));
@@ -170,28 +174,28 @@
 
     pub(super) fn suspects_pushed(&mut self, from: &DaemonId, push: SuspectsPush) {
         if push.at > 0 {
-            self.lethal.known.insert(from.vm.clone(), (from.incarnation, push.at));
+            self.lethal.known_revisions.insert(from.vm.clone(), (from.incarnation, push.at));
         }
-        self.suspects_known(push.requests);
+        self.merge_suspects(push.requests);
     }
 
     /// Peers or the platform know of suspect requests.
-    pub(super) fn suspects_known(&mut self, reports: Vec<SuspectReport>) {
+    pub(super) fn merge_suspects(&mut self, reports: Vec<SuspectReport>) {
         let cleared = self.lethal.requests.merge(self.now, reports);
-        cleared.iter().for_each(|digest| self.tell_suspect(digest));
+        cleared.iter().for_each(|digest| self.send_suspect(digest));
         self.review_lethal();
     }
 
     /// The platform keeps that a request is refused.
     pub(super) fn refusal_stored(&mut self, digest: &RequestDigest) {
-        self.lethal.storing.remove(digest);
+        self.lethal.store_requested.remove(digest);
         self.lethal.requests.stored(digest);
-        self.tell_suspect(digest);
+        self.send_suspect(digest);
     }
 
     /// Daemons that may schedule from now on learn what this one knows: those before them may have ended with it, or
     /// have been out of its reach.
-    pub(super) fn tell_new_schedulers(&mut self, before: &[DaemonId]) {
+    pub(super) fn send_suspects_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let requests = self.lethal.requests.since(self.now, 0);
         if requests.is_empty() {
             return;
@@ -202,7 +206,7 @@
         }
     }
 
-    fn tell_suspect(&mut self, digest: &RequestDigest) {
+    fn send_suspect(&mut self, digest: &RequestDigest) {
         let Some(report) = self.lethal.requests.report(self.now, digest) else { return };
         for daemon in self.other_schedulers() {
             let push = SuspectsPush { at: 0, requests: vec![report.clone()] };
@@ -211,33 +215,33 @@
     }
 
     /// Tells the operators which requests are refused from now on, or no longer.
-    fn note_refused(&mut self) {
+    fn report_refusal_changes(&mut self) {
         let refused: BTreeSet<RequestDigest> = self.lethal.requests.refused().copied().collect();
-        if refused == self.lethal.noted {
+        if refused == self.lethal.reported {
             return;
         }
-        for digest in refused.difference(&self.lethal.noted) {
+        for digest in refused.difference(&self.lethal.reported) {
             let Some(report) = self.lethal.requests.report(self.now, digest) else { continue };
             self.actions.push(NodeAction::Note(NodeNote::RequestLethal(report)));
         }
-        for digest in self.lethal.noted.difference(&refused) {
+        for digest in self.lethal.reported.difference(&refused) {
             self.actions.push(NodeAction::Note(NodeNote::RequestAllowed(*digest)));
         }
-        self.lethal.noted = refused;
+        self.lethal.reported = refused;
     }
 
     /// The first daemon in the order has the platform keep what is refused.
-    fn store_refused(&mut self) {
+    fn store_refusals(&mut self) {
         if self.order.first() != Some(&self.options.me) {
             return;
         }
         let unstored: Vec<RequestDigest> = self.lethal.requests.unstored().copied().collect();
         for digest in unstored {
-            let asked = self.lethal.storing.get(&digest);
-            if asked.is_some_and(|asked| self.now < *asked + STORE_AGAIN) {
+            let requested = self.lethal.store_requested.get(&digest);
+            if requested.is_some_and(|requested| self.now < *requested + STORE_RETRY_AFTER) {
                 continue;
             }
-            self.lethal.storing.insert(digest, self.now);
+            self.lethal.store_requested.insert(digest, self.now);
             if let Some(report) = self.lethal.requests.report(self.now, &digest) {
                 self.actions.push(NodeAction::Platform(PlatformCall::StoreRefusal(report)));
             }
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -8,7 +8,7 @@
 use curlewcleat_core::{DaemonId, DaemonRecord, PoolId, VmId};
 use curlewcleat_sched::ALL_POOLS;
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::ListedVm;
 
 impl Node {
@@ -25,7 +25,7 @@
         self.last_heartbeat = None;
     }
 
-    pub(super) fn entry_ended(&mut self, daemon: &DaemonId) {
+    pub(super) fn entry_daemon_ended(&mut self, daemon: &DaemonId) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
             let actions = self.pool(&pool).entry_gone(now, daemon);
@@ -43,13 +43,13 @@
         self.hand_over_answer.answered();
         let order = self.members.scheduler_order(ALL_POOLS);
         let schedulers = std::mem::replace(&mut self.order, order);
-        self.tell_new_schedulers(&schedulers);
-        self.tell_notices(&schedulers);
-        self.tell_answers(&schedulers);
+        self.send_suspects_to_new_schedulers(&schedulers);
+        self.send_notices_to_new_schedulers(&schedulers);
+        self.send_answers_to_new_schedulers(&schedulers);
         let before = std::mem::take(&mut self.orders);
-        self.renew_orders();
-        self.renew_places();
-        self.renew_parts();
+        self.refresh_orders();
+        self.update_data_centres();
+        self.update_rate_shares();
         if before == self.orders {
             return;
         }
@@ -57,50 +57,51 @@
         let orders = &self.orders;
         let members = &self.members;
         let actions =
-            self.entry.schedulers_changed(self.now, &|pool| order_of(orders, members, pool));
+            self.entry.schedulers_changed(self.now, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
     }
 
     /// Tells the schedulers where the entries are.
-    pub(super) fn renew_places(&mut self) {
+    pub(super) fn update_data_centres(&mut self) {
         let peers = self.members.peers().iter();
-        let mut places: BTreeMap<VmId, String> =
+        let mut data_centres: BTreeMap<VmId, String> =
             peers.map(|(vm, peer)| (vm.clone(), peer.data_centre.clone())).collect();
-        let own = self.options.members.data_centre.clone();
-        places.insert(self.options.me.vm.clone(), own);
+        let own_data_centre = self.options.members.data_centre.clone();
+        data_centres.insert(self.options.me.vm.clone(), own_data_centre);
         for scheduler in self.pools.values_mut() {
-            scheduler.set_places(places.clone());
+            scheduler.set_places(data_centres.clone());
         }
     }
 
     /// A daemon that begins to schedule, or to be asked next, knows nothing of what others gave out of
     /// the rates.
     fn review_rates(&mut self, before: &BTreeMap<PoolId, Vec<DaemonId>>) {
-        if rate_role(&self.orders, &self.options.me) != rate_role(before, &self.options.me) {
+        if permit_duties(&self.orders, &self.options.me) != permit_duties(before, &self.options.me)
+        {
             self.rates.restart(self.now);
         }
     }
 
-    pub(super) fn renew_orders(&mut self) {
+    pub(super) fn refresh_orders(&mut self) {
         let config = Arc::clone(&self.active);
         self.orders = config
             .pools
             .keys()
-            .map(|pool| (pool.clone(), self.members.scheduler_order(self.subject_of(pool))))
+            .map(|pool| (pool.clone(), self.members.scheduler_order(self.scheduling_subject(pool))))
             .collect();
     }
 
     pub(super) fn vms_read(&mut self, list: &[ListedVm]) {
         self.vms.read(self.now, list);
-        let away = self.away();
+        let unavailable = self.unavailable_vms();
         for scheduler in self.pools.values_mut() {
-            scheduler.set_away(away.clone());
+            scheduler.set_away(unavailable.clone());
         }
     }
 }
 
 /// Whether a daemon is asked first for permits of some pool, and the daemons before which it is next.
-fn rate_role<'a>(
+fn permit_duties<'a>(
     orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
     me: &DaemonId,
 ) -> (bool, Vec<&'a DaemonId>) {
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -9,7 +9,7 @@
 };
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 
 impl Node {
@@ -90,14 +90,14 @@
             PeerMessage::ConfigPartPull(pull) => self.config_part_pulled(&from.vm, pull),
             PeerMessage::ConfigPart(part) => self.config_part_received(&from.vm, part),
             PeerMessage::SuspectsPull(pull) => self.suspects_pulled(&from.vm, pull),
-            PeerMessage::TargetNotice(notice) => self.target_noticed(&from.vm, &notice),
+            PeerMessage::TargetNotice(notice) => self.peer_notice_received(&from.vm, &notice),
             PeerMessage::SuspectsPush(push) => self.suspects_pushed(from, push),
             PeerMessage::TargetVersionsPull(known) => self.target_versions_pulled(&from.vm, known),
             PeerMessage::TargetVersionsPush(versions) => {
                 self.targets_pushed(&from.vm, versions.into_push());
             }
-            PeerMessage::RolloutNews(news) => self.rollout_told(&news),
-            PeerMessage::RolloutAnswers(answers) => self.answers_told(from, &answers),
+            PeerMessage::RolloutNews(news) => self.rollout_report_received(&news),
+            PeerMessage::RolloutAnswers(answers) => self.peer_answers_received(from, &answers),
         }
     }
 
@@ -155,23 +155,23 @@
     }
 
     pub(super) fn heartbeat_received(&mut self, from: &DaemonId, beat: &Heartbeat) {
-        let news = self.members.heartbeat_received(self.now, from, beat);
-        if news.newcomer {
-            self.greet(&beat.address);
+        let change = self.members.heartbeat_received(self.now, from, beat);
+        if change.newcomer {
+            self.send_greeting(&beat.address);
         }
-        if let Some(ended) = news.ended {
+        if let Some(ended) = change.ended {
             self.actions.push(NodeAction::Note(NodeNote::PeerReplaced(ended.clone())));
-            self.entry_ended(&ended);
+            self.entry_daemon_ended(&ended);
         }
         self.entry.heartbeat_received(self.now, &from.vm);
         self.review_roles();
-        self.config_offered_by(&from.vm, beat.generation);
-        self.table_offered_by(&from.vm, beat.table);
+        self.config_advertised(&from.vm, beat.generation);
+        self.table_advertised(&from.vm, beat.table);
     }
 
     /// A daemon that was not known learns at once what this one knows, not only at the next heartbeat: until it
     /// does it asks daemons that may have ended.
-    fn greet(&mut self, address: &str) {
+    fn send_greeting(&mut self, address: &str) {
         let greeting = self.members.greeting(self.store.generation(), self.home.version());
         self.send_heartbeat(address.to_string(), greeting);
     }
@@ -179,7 +179,7 @@
     pub(super) fn permit_answered(&mut self, from: &VmId, answer: PermitAnswer) {
         let orders = &self.orders;
         let members = &self.members;
-        let order = |pool: &str| order_of(orders, members, pool);
+        let order = |pool: &str| cached_order(orders, members, pool);
         let actions = self.entry.permit_answered(self.now, from, answer, &order);
         self.perform(actions);
     }
@@ -192,7 +192,7 @@
         let orders = &self.orders;
         let members = &self.members;
         let actions =
-            self.entry.key_answered(self.now, answer, &|pool| order_of(orders, members, pool));
+            self.entry.key_answered(self.now, answer, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
     }
 
@@ -205,7 +205,7 @@
             let peers = self.other_schedulers();
             let step =
                 self.guards.entry(pool.clone()).or_default().pass(self.now, action, lowest, &peers);
-            self.take_guard_step(&pool, step);
+            self.apply_guard_step(&pool, step);
         }
     }
 
@@ -218,7 +218,7 @@
         }
     }
 
-    pub(super) fn take_guard_step(&mut self, pool: &PoolId, step: GuardStep) {
+    pub(super) fn apply_guard_step(&mut self, pool: &PoolId, step: GuardStep) {
         self.post_answers(step.answers);
         let Some((tier, round, peers)) = step.raise else { return };
         for peer in peers {
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -16,29 +16,32 @@
 use super::Node;
 
 /// Time for which those that come to schedule are told what a target said last.
-const TOLD_FOR: Duration = Duration::from_secs(600);
+const NOTICE_RETENTION: Duration = Duration::from_secs(600);
 
 /// What targets have said to this daemon.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeardNotices {
+pub(super) struct ReceivedNotices {
     lives: BTreeMap<TargetLife, (PoolNotice, Uptime)>,
 }
 
-impl HeardNotices {
-    fn keep(&mut self, now: Uptime, notice: PoolNotice) {
-        self.lives.retain(|_, (_, heard)| now < *heard + TOLD_FOR);
+impl ReceivedNotices {
+    fn record(&mut self, now: Uptime, notice: PoolNotice) {
+        self.lives.retain(|_, (_, received)| now < *received + NOTICE_RETENTION);
         self.lives.insert(notice.report.life.clone(), (notice, now));
     }
 
     /// What still counts now.
-    fn present(&self, now: Uptime) -> Vec<PoolNotice> {
-        let heard = self.lives.values().filter(|(_, heard)| now < *heard + TOLD_FOR);
-        heard.map(|(notice, heard)| aged(notice, now.saturating_sub(*heard))).collect()
+    fn current(&self, now: Uptime) -> Vec<PoolNotice> {
+        let received =
+            self.lives.values().filter(|(_, received)| now < *received + NOTICE_RETENTION);
+        received
+            .map(|(notice, received)| with_added_age(notice, now.saturating_sub(*received)))
+            .collect()
     }
 }
 
 /// A notice after some time.
-fn aged(notice: &PoolNotice, time: Duration) -> PoolNotice {
+fn with_added_age(notice: &PoolNotice, time: Duration) -> PoolNotice {
     let report = &notice.report;
     let limit = report.limit.map(|limit| LimitReport { age: limit.age + time, ..limit });
     let rest = report.rest.and_then(|rest| rest.checked_sub(time));
@@ -48,9 +51,9 @@
 
 impl Node {
     /// A target has said something to this daemon.
-    pub(super) fn target_said(&mut self, pool: PoolId, report: NoticeReport) {
+    pub(super) fn own_notice_received(&mut self, pool: PoolId, report: NoticeReport) {
         let notice = PoolNotice { pool, report };
-        self.notices.keep(self.now, notice.clone());
+        self.notices.record(self.now, notice.clone());
         let me = self.options.me.vm.clone();
         let others = self.other_schedulers().into_iter().map(|daemon| daemon.vm);
         for vm in others.chain([me]).collect::<Vec<VmId>>() {
@@ -59,7 +62,7 @@
     }
 
     /// A daemon tells what a target has said to it.
-    pub(super) fn target_noticed(&mut self, from: &VmId, notice: &PoolNotice) {
+    pub(super) fn peer_notice_received(&mut self, from: &VmId, notice: &PoolNotice) {
         if !self.active.pools.contains_key(&notice.pool) {
             return;
         }
@@ -69,8 +72,8 @@
     }
 
     /// Daemons that may schedule from now on learn what targets have said to this one.
-    pub(super) fn tell_notices(&mut self, before: &[DaemonId]) {
-        let notices = self.notices.present(self.now);
+    pub(super) fn send_notices_to_new_schedulers(&mut self, before: &[DaemonId]) {
+        let notices = self.notices.current(self.now);
         if notices.is_empty() {
             return;
         }
@@ -82,15 +85,15 @@
     }
 
     /// Whether a target has said to any daemon that it leaves, also where the platform does not show it.
-    pub(super) fn says_that_it_leaves(&self, target: &str) -> bool {
+    pub(super) fn has_announced_leaving(&self, target: &str) -> bool {
         let states = self.pools.values().filter_map(|pool| pool.targets().get(target));
         states.into_iter().any(|state| state.word().is_leaving())
     }
 
     /// The part of the limits of a pool's targets that this daemon grants: none while another one is asked first.
-    pub(super) fn renew_parts(&mut self) {
+    pub(super) fn update_rate_shares(&mut self) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
-            let (now, part) = (self.now, self.rate_part(&pool));
+            let (now, part) = (self.now, self.rate_share(&pool));
             self.pool(&pool).set_part(now, part);
         }
     }
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -15,7 +15,7 @@
     /// An own read that was sent then showed the configuration in force to be the newest.
     pub(super) fn platform_read(&mut self, sent: Uptime) {
         let Some(freshness) = self.freshness.as_mut() else { return };
-        freshness.read(self.now, sent);
+        freshness.read_succeeded(self.now, sent);
         self.actions.push(NodeAction::Platform(PlatformCall::ConfigConfirmed(sent)));
         self.review_freshness();
     }
@@ -30,7 +30,7 @@
         let Some(freshness) = self.freshness.as_mut() else { return };
         let answer = FreshnessAnswer {
             query,
-            age: freshness.asked(self.now),
+            age: freshness.answer_query(self.now),
             generation: self.store.generation(),
             targets_at: self.targets.at(),
         };
@@ -39,12 +39,12 @@
 
     pub(super) fn freshness_answered(&mut self, from: &DaemonId, answer: &FreshnessAnswer) {
         let Some(freshness) = self.freshness.as_mut() else { return };
-        let Some(read) = freshness.answered(self.now, answer) else { return };
+        let Some(read) = freshness.answer_received(self.now, answer) else { return };
         if answer.generation > self.store.generation() {
-            self.config_offered_by(&from.vm, answer.generation);
+            self.config_advertised(&from.vm, answer.generation);
         } else {
             // What is in force here is at least as new as what the peer's read showed.
-            freshness.prove(self.now, read);
+            freshness.record_proof(self.now, read);
             self.actions.push(NodeAction::Platform(PlatformCall::ConfigConfirmed(read)));
         }
         if answer.targets_at > self.targets.at() {
@@ -103,9 +103,9 @@
     pub(super) fn targets_listed(&mut self, targets: Vec<DiscoveredTarget>, at: ObjectVersion) {
         let doubtful = self.is_doubtful();
         let known = self.targets.at();
-        if self.targets.list(targets, at, doubtful) == ViewUpdate::Taken {
-            self.note_lives();
-            self.renew_discovered();
+        if self.targets.apply_list(targets, at, doubtful) == ViewUpdate::Applied {
+            self.note_target_changes();
+            self.refresh_discovered();
             return;
         }
         self.actions.push(NodeAction::Note(NodeNote::TargetListLate { at, known }));
@@ -118,20 +118,20 @@
         at: ObjectVersion,
     ) -> ViewUpdate {
         let doubtful = self.is_doubtful();
-        let news = !changes.is_empty();
-        let update = self.targets.change(from, changes, at, doubtful);
-        if update == ViewUpdate::Taken && news {
-            self.note_lives();
-            self.renew_discovered();
+        let changed = !changes.is_empty();
+        let update = self.targets.apply_changes(from, changes, at, doubtful);
+        if update == ViewUpdate::Applied && changed {
+            self.note_target_changes();
+            self.refresh_discovered();
         }
         update
     }
 
-    fn note_lives(&mut self) {
-        let news = self.targets.take_news().into_iter().map(NodeNote::TargetLife);
-        self.actions.extend(news.map(NodeAction::Note));
-        let gone = self.targets.take_gone().into_iter().map(NodeNote::TargetGone);
-        self.actions.extend(gone.map(NodeAction::Note));
+    fn note_target_changes(&mut self) {
+        let changes = self.targets.take_instance_changes().into_iter().map(NodeNote::TargetLife);
+        self.actions.extend(changes.map(NodeAction::Note));
+        let removed = self.targets.take_removed().into_iter().map(NodeNote::TargetGone);
+        self.actions.extend(removed.map(NodeAction::Note));
         self.review_lethal();
     }
 
@@ -141,9 +141,10 @@
 
     /// Asks the daemons that read the platform how old their reads are.
     pub(super) fn query_freshness(&mut self) {
-        let in_need = self.is_in_need();
+        let proof_aging = self.is_proof_aging();
         let Some(freshness) = self.freshness.as_mut() else { return };
-        let (query, readers) = freshness.query(self.now, &self.options.me, &self.order, in_need);
+        let (query, readers) =
+            freshness.query(self.now, &self.options.me, &self.order, proof_aging);
         let readers: Vec<VmId> = readers.into_iter().cloned().collect();
         for reader in readers {
             self.post(&reader, PeerMessage::FreshnessQuery(query));
@@ -152,9 +153,10 @@
 
     /// Whether the readers prove too little. While a configuration is on its way here no daemon can prove the
     /// one in force, and each answer would offer it once more.
-    fn is_in_need(&self) -> bool {
-        let in_need = self.freshness.as_ref().is_some_and(|known| known.is_in_need(self.now));
-        in_need && !self.configs.pull.is_under_way()
+    fn is_proof_aging(&self) -> bool {
+        let proof_aging =
+            self.freshness.as_ref().is_some_and(|known| known.is_proof_aging(self.now));
+        proof_aging && !self.configs.pull.is_under_way()
     }
 
     /// Decides whether this daemon has to read the platform.
@@ -168,9 +170,9 @@
         }
         let query_due = freshness.is_query_due(self.now);
         if !freshness.is_doubtful(self.now) && self.targets.settle() {
-            self.renew_discovered();
+            self.refresh_discovered();
         }
-        if query_due && self.is_in_need() {
+        if query_due && self.is_proof_aging() {
             self.query_freshness();
         }
         self.review_freshness();
--- a/crates/node/src/node/pulls.rs
+++ b/crates/node/src/node/pulls.rs
@@ -19,7 +19,7 @@
 
 impl Node {
     /// A peer has a configuration of this generation.
-    pub(super) fn config_offered_by(&mut self, peer: &VmId, generation: Generation) {
+    pub(super) fn config_advertised(&mut self, peer: &VmId, generation: Generation) {
         let in_force = self.store.generation();
         if let Some(pull) = self.configs.pull.offered(self.now, generation, in_force) {
             self.post(peer, PeerMessage::ConfigPartPull(pull));
@@ -91,7 +91,7 @@
     }
 
     /// A peer has a key table of this version.
-    pub(super) fn table_offered_by(&mut self, peer: &VmId, version: ObjectVersion) {
+    pub(super) fn table_advertised(&mut self, peer: &VmId, version: ObjectVersion) {
         if version <= self.home.version() || !self.table_pull.begin(self.now) {
             return;
         }
@@ -122,6 +122,6 @@
 
     pub(super) fn table_pushed(&mut self, push: TablePush) {
         self.table_pull.answered();
-        self.table_known(push.version, KeyTable { slots: push.slots });
+        self.apply_table(push.version, KeyTable { slots: push.slots });
     }
 }
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -13,7 +13,7 @@
     rate_advice, EntryAction, RatePart, RateTurn, ReplacementStep, RequestSpec,
 };
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{CallerDecision, NodeAction, NodeNote};
 
 /// Share of the request limit, in percent, that each tier may use less than the one above it, so that
@@ -23,18 +23,18 @@
 const PERCENT_FOR_ALL: usize = 50;
 
 /// Advice where the daemon itself takes no request in.
-const ENTRY_ADVICE: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Advice of a daemon that stops. Load pattern: all daemons are replaced one after the other, and callers'
 /// connections stay with those that stop. Another daemon has room now, so that a wait only makes the answer
 /// late: with none, credit of the requests of a day with such a series rose from .827 to .844 (mean of six
 /// seeds).
-const DRAINING_ADVICE: Duration = Duration::ZERO;
+const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
 
 /// When the caller of a request that is not taken in may come back.
-fn return_advice(reason: RefusalReason) -> Duration {
+fn retry_after(reason: RefusalReason) -> Duration {
     match reason {
-        RefusalReason::Draining => DRAINING_ADVICE,
-        _ => ENTRY_ADVICE,
+        RefusalReason::Draining => DRAINING_RETRY_AFTER,
+        _ => DEFAULT_RETRY_AFTER,
     }
 }
 
@@ -58,13 +58,13 @@
             None
         };
         if let Some(reason) = reason {
-            let refusal = Refusal::not_run(reason, Some(return_advice(reason)));
+            let refusal = Refusal::not_run(reason, Some(retry_after(reason)));
             self.actions.push(NodeAction::Decide(id, CallerDecision::Refuse(refusal)));
             return;
         }
         let orders = &self.orders;
         let members = &self.members;
-        let actions = self.entry.admit(self.now, spec, &|pool| order_of(orders, members, pool));
+        let actions = self.entry.admit(self.now, spec, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
     }
 
@@ -76,14 +76,14 @@
         }
         let account = self.active.accounts.get(&request.account);
         let Some(rate) = account.and_then(|account| account.shared_rate) else { return Ok(()) };
-        let part = self.rate_part(&request.pool);
+        let part = self.rate_share(&request.pool);
         self.rates.take(self.now, &request.account, &rate, request.cost, part)
     }
 
     /// The refusal of a permit request for which there is no room in its account's rate. Where the
     /// daemon that keeps the rate is unresponsive, there may be room once another one has taken over.
     pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
-        let (reason, wait) = match self.rate_turn(&request.pool) {
+        let (reason, wait) = match self.own_rate_role(&request.pool) {
             RateTurn::Leader => (RefusalReason::AccountRate, wait),
             _ => (RefusalReason::RateUnknown, wait.min(self.options.members.suspect_after)),
         };
@@ -92,8 +92,8 @@
     }
 
     /// The part of what all daemons share that this one gives out for a pool.
-    pub(super) fn rate_part(&self, pool: &str) -> RatePart {
-        match self.rate_turn(pool) {
+    pub(super) fn rate_share(&self, pool: &str) -> RatePart {
+        match self.own_rate_role(pool) {
             RateTurn::Leader => self.members.reached_part(self.now),
             // Another daemon gives it out; this one was asked because that one seems unresponsive.
             turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
@@ -101,7 +101,7 @@
     }
 
     /// Whether this daemon is to be asked for permits of a pool first, next, or later.
-    fn rate_turn(&self, pool: &str) -> RateTurn {
+    fn own_rate_role(&self, pool: &str) -> RateTurn {
         let order = self.orders.get(pool).map_or(&[][..], Vec::as_slice);
         match order.iter().position(|daemon| *daemon == self.options.me) {
             Some(0) => RateTurn::Leader,
@@ -113,8 +113,9 @@
     pub(super) fn attempt_not_run(&mut self, id: RequestId, end: AttemptEnd, retry: RetryReason) {
         let orders = &self.orders;
         let members = &self.members;
-        let actions =
-            self.entry.not_run(self.now, id, end, retry, &|pool| order_of(orders, members, pool));
+        let actions = self
+            .entry
+            .not_run(self.now, id, end, retry, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
     }
 
@@ -122,7 +123,7 @@
         let orders = &self.orders;
         let members = &self.members;
         let actions =
-            self.entry.replacement(self.now, id, step, &|pool| order_of(orders, members, pool));
+            self.entry.replacement(self.now, id, step, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
     }
 
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -20,29 +20,29 @@
     ToldVersion,
 };
 
-use self::answers::SeenAnswers;
+use self::answers::ObservedAnswers;
 use super::Node;
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 use crate::status::RolloutStatus;
 
 /// Time between two reports of the answers that were seen.
-const ANSWERS_EVERY: Duration = Duration::from_millis(200);
+const ANSWER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two words of how far an order is, and the time for which it is told after its end.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-const TOLD_AFTER_END: Duration = Duration::from_secs(60);
+const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const ENDED_ROLLOUT_REPORT_TIME: Duration = Duration::from_secs(60);
 /// Time between two wishes to know the orders anew, while a version is held back.
-const WANT_EVERY: Duration = Duration::from_secs(1);
+const HELD_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a node keeps of roll-outs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutExchange {
     pools: BTreeMap<PoolId, PoolVersions>,
     /// When the orders were read that are known.
-    read: Option<Uptime>,
-    wanted: Option<Uptime>,
-    seen: BTreeMap<PoolId, SeenAnswers>,
-    reported: Uptime,
-    told: Uptime,
+    last_read: Option<Uptime>,
+    last_read_request: Option<Uptime>,
+    observed: BTreeMap<PoolId, ObservedAnswers>,
+    last_answer_report: Uptime,
+    last_sent: Uptime,
     leads_since: Option<Uptime>,
 }
 
@@ -74,7 +74,7 @@
         if self.options.rollout.is_none() {
             return;
         }
-        self.rollouts.read = self.rollouts.read.max(Some(sent));
+        self.rollouts.last_read = self.rollouts.last_read.max(Some(sent));
         let now = self.now;
         let mut changed = false;
         for (pool, versions) in &mut self.rollouts.pools {
@@ -93,11 +93,11 @@
                 self.note_order(&record.order.pool, None);
             }
         }
-        self.renew_versions(changed);
+        self.apply_version_changes(changed);
     }
 
     /// A peer tells how far an order is.
-    pub(super) fn rollout_told(&mut self, news: &RolloutNews) {
+    pub(super) fn rollout_report_received(&mut self, news: &RolloutNews) {
         let pool = &news.order.pool;
         if self.options.rollout.is_none() || !self.active.pools.contains_key(pool) {
             return;
@@ -105,16 +105,16 @@
         let versions = self.rollouts.pools.entry(pool.clone()).or_default();
         if versions.order_told(self.now, news) {
             self.note_order(pool, None);
-            self.renew_versions(true);
+            self.apply_version_changes(true);
         }
     }
 
     /// Lets time pass.
     pub(super) fn step_rollouts(&mut self) {
         let Some(limits) = self.options.rollout else { return };
-        self.review_held();
-        if self.now >= self.rollouts.reported + ANSWERS_EVERY {
-            self.rollouts.reported = self.now;
+        self.request_held_orders();
+        if self.now >= self.rollouts.last_answer_report + ANSWER_REPORT_INTERVAL {
+            self.rollouts.last_answer_report = self.now;
             self.report_answers();
         }
         let leads = self.order.first() == Some(&self.options.me);
@@ -126,20 +126,21 @@
         for pool in pools {
             self.step_rollout(&pool, limits);
         }
-        if leads && self.now >= self.rollouts.told + TELL_EVERY {
-            self.rollouts.told = self.now;
-            self.tell_rollouts();
+        if leads && self.now >= self.rollouts.last_sent + ROLLOUT_REPORT_INTERVAL {
+            self.rollouts.last_sent = self.now;
+            self.send_rollout_reports();
         }
     }
 
     /// Wants to know the orders anew while a version is held back; what they tell may release it.
-    fn review_held(&mut self) {
+    fn request_held_orders(&mut self) {
         let is_held = |versions: &PoolVersions| versions.held().next().is_some();
         if !self.rollouts.pools.values().any(is_held) {
             return;
         }
-        if self.rollouts.wanted.is_none_or(|wanted| self.now >= wanted + WANT_EVERY) {
-            self.rollouts.wanted = Some(self.now);
+        if self.rollouts.last_read_request.is_none_or(|last| self.now >= last + HELD_READ_INTERVAL)
+        {
+            self.rollouts.last_read_request = Some(self.now);
             self.actions.push(NodeAction::Platform(PlatformCall::ReadRollouts));
         }
     }
@@ -147,7 +148,7 @@
     /// Decides what is next for the order of a pool, where this daemon decides.
     fn step_rollout(&mut self, pool: &PoolId, limits: RolloutLimits) {
         let leads_since = self.rollouts.leads_since;
-        let decides = self.rate_part(pool).turn == RateTurn::Leader;
+        let decides = self.rate_share(pool).turn == RateTurn::Leader;
         let versions = self.rollouts.pools.get(pool).and_then(PoolVersions::rollout);
         let open = versions.filter(|rollout| !rollout.is_kept());
         let (Some(leads_since), Some(rollout), true) = (leads_since, open, decides) else {
@@ -185,8 +186,8 @@
             versions.settle_stage(true);
         }
         self.note_order(pool, Some(reason));
-        self.renew_versions(true);
-        self.tell_rollouts();
+        self.apply_version_changes(true);
+        self.send_rollout_reports();
     }
 
     fn write_rollout(&mut self, pool: &PoolId, stage: RolloutStage) {
@@ -202,10 +203,10 @@
     }
 
     /// Tells all peers how far the orders are.
-    fn tell_rollouts(&mut self) {
+    fn send_rollout_reports(&mut self) {
         let now = self.now;
         let due = |rollout: &&PoolRollout| {
-            !rollout.stage().is_final() || now < rollout.staged() + TOLD_AFTER_END
+            !rollout.stage().is_final() || now < rollout.staged() + ENDED_ROLLOUT_REPORT_TIME
         };
         let known = self.rollouts.pools.values().filter_map(PoolVersions::rollout).filter(due);
         let news: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
@@ -221,9 +222,9 @@
     }
 
     /// What the targets of each version may get is worked out anew, and kept to where it has changed.
-    fn renew_versions(&mut self, changed: bool) {
+    fn apply_version_changes(&mut self, changed: bool) {
         if self.review_versions() || changed {
-            self.renew_active();
+            self.rebuild_active();
         }
     }
 
@@ -239,7 +240,7 @@
                 *versions.entry(target.entry.version.clone()).or_default() += 1;
             }
         }
-        let (now, read) = (self.now, self.rollouts.read);
+        let (now, read) = (self.now, self.rollouts.last_read);
         let mut changed = false;
         for (pool, shown) in shown {
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
@@ -254,7 +255,7 @@
     }
 
     /// The schedulers keep to what each version may get.
-    pub(super) fn keep_versions(&mut self) {
+    pub(super) fn apply_versions(&mut self) {
         for (pool, versions) in &self.rollouts.pools {
             if let Some(scheduler) = self.pools.get_mut(pool) {
                 scheduler.keep_versions(versions);
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -13,7 +13,7 @@
 
 /// First wait for the acknowledgement of records: a link of 10 Mbit/s carries 20,000 keys meanwhile; sent with each
 /// tick they filled it fifty times.
-pub(super) const HAND_OVER_WAIT: Duration = Duration::from_secs(1);
+pub(super) const HAND_OVER_ACK_WAIT: Duration = Duration::from_secs(1);
 
 impl Node {
     pub(super) fn begin_drain(&mut self) {
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -6,28 +6,28 @@
 
 use curlewcleat_core::{Heartbeat, PeerFrame, PeerMessage};
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{NodeAction, NodeNote};
 
 /// Time between looks whether the key table has to change, and between pulls.
-const REVIEW: Duration = Duration::from_millis(500);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Heartbeats within the time of one while a daemon announces itself.
-const ANNOUNCED_BEATS_PER_BEAT: u32 = 4;
+const ANNOUNCING_HEARTBEAT_FACTOR: u32 = 4;
 /// Time between clean-ups of old keys.
-const EXPIRE: Duration = Duration::from_secs(10);
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Node {
     pub(super) fn tick(&mut self) {
         for lost in self.members.tick(self.now) {
             self.actions.push(NodeAction::Note(NodeNote::PeerLost(lost.clone())));
-            self.entry_ended(&lost);
+            self.entry_daemon_ended(&lost);
         }
         self.review_roles();
         self.entry.set_daemons(self.members.fleet_size() as u64);
-        self.renew_parts();
+        self.update_rate_shares();
         let orders = &self.orders;
         let members = &self.members;
-        let actions = self.entry.tick(self.now, &|pool| order_of(orders, members, pool));
+        let actions = self.entry.tick(self.now, &|pool| cached_order(orders, members, pool));
         self.perform(actions);
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
@@ -35,18 +35,18 @@
             self.send_answers(actions);
             let peers = self.other_schedulers();
             let step = self.guards.entry(pool.clone()).or_default().tick(self.now, &peers);
-            self.take_guard_step(&pool, step);
+            self.apply_guard_step(&pool, step);
         }
         self.step_rollouts();
         self.step_freshness();
         self.send_heartbeats();
-        if self.now >= self.last_review + REVIEW {
+        if self.now >= self.last_review + REVIEW_INTERVAL {
             self.last_review = self.now;
             self.note_waiting();
             self.review_table();
             self.review_lethal();
         }
-        if self.now >= self.last_expire + EXPIRE {
+        if self.now >= self.last_expire + EXPIRE_INTERVAL {
             self.last_expire = self.now;
             self.home.expire(self.wall);
         }
@@ -63,7 +63,7 @@
 
     pub(super) fn send_heartbeats(&mut self) {
         let pause = match self.members.is_announcing() {
-            true => self.options.heartbeat_every / ANNOUNCED_BEATS_PER_BEAT,
+            true => self.options.heartbeat_every / ANNOUNCING_HEARTBEAT_FACTOR,
             false => self.options.heartbeat_every,
         };
         if self.last_heartbeat.is_some_and(|last| self.now < last + pause) {
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -45,13 +45,13 @@
             rests: state.rests(self.now),
         });
         // The order names at least this daemon.
-        let order = self.members.scheduler_order(self.subject_of(id));
+        let order = self.members.scheduler_order(self.scheduling_subject(id));
         PoolStatus {
             id: id.clone(),
             scheduler: order[0].vm.clone(),
             waiting: pool.waiting(),
             late: pool.waiting_late(),
-            granted: granted_parts(pool),
+            granted: granted_shares(pool),
             in_flight: pool.in_flight(),
             lowest_open: pool.level().lowest_open(),
             targets: targets.collect(),
@@ -59,7 +59,7 @@
     }
 }
 
-fn granted_parts(pool: &PoolScheduler) -> Vec<GrantedPart> {
+fn granted_shares(pool: &PoolScheduler) -> Vec<GrantedPart> {
     let part = |((tier, urgency), flow): (_, &UrgencyFlow)| {
         let percent = flow.granted_percent();
         GrantedPart { tier, urgency, percent }
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewUpdate {
     /// It was taken in.
-    Taken,
+    Applied,
     /// It says nothing new.
-    Old,
+    Stale,
     /// Changes in between are missing.
     Gap,
 }
@@ -67,8 +67,8 @@
     /// ended, and are used until they are back or the platform has settled.
     missing: BTreeMap<TargetId, DiscoveredTarget>,
     ended: EndedLives,
-    news: Vec<LifeNews>,
-    gone: Vec<GoneTarget>,
+    instance_changes: Vec<LifeNews>,
+    removed: Vec<GoneTarget>,
     at: ObjectVersion,
     /// Revision from which the log is complete.
     log_from: ObjectVersion,
@@ -108,34 +108,34 @@
     }
 
     /// Takes all targets at a revision. `doubtful` says whether those that are missing may come back.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         targets: Vec<DiscoveredTarget>,
         at: ObjectVersion,
         doubtful: bool,
     ) -> ViewUpdate {
         if at < self.at {
-            return ViewUpdate::Old;
+            return ViewUpdate::Stale;
         }
         let mut before = std::mem::take(&mut self.listed);
         for target in targets {
             let id = &target.entry.id;
             // An entry that moves between two pages of a list stands in both.
             let listed = before.remove(id).or_else(|| self.listed.remove(id));
-            self.put(target, listed);
+            self.insert_entry(target, listed);
         }
         for (id, target) in before {
-            self.vanished(id, target, doubtful);
+            self.remove_entry(id, target, doubtful);
         }
         self.at = at;
         // What happened between the revisions is not known, so the log begins anew.
         self.log_from = at;
         self.log.clear();
-        ViewUpdate::Taken
+        ViewUpdate::Applied
     }
 
     /// Takes the changes between two revisions.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         from: ObjectVersion,
         changes: Vec<TargetChange>,
@@ -143,7 +143,7 @@
         doubtful: bool,
     ) -> ViewUpdate {
         if at <= self.at {
-            return ViewUpdate::Old;
+            return ViewUpdate::Stale;
         }
         if from > self.at {
             return ViewUpdate::Gap;
@@ -158,7 +158,7 @@
             }
         }
         self.at = at;
-        ViewUpdate::Taken
+        ViewUpdate::Applied
     }
 
     /// What a peer lacks that knows the targets up to a revision.
@@ -171,32 +171,32 @@
     }
 
     /// The lives that entries stated since the last call.
-    pub fn take_news(&mut self) -> Vec<LifeNews> {
-        std::mem::take(&mut self.news)
+    pub fn take_instance_changes(&mut self) -> Vec<LifeNews> {
+        std::mem::take(&mut self.instance_changes)
     }
 
     /// The targets whose entries have gone since the last call.
-    pub fn take_gone(&mut self) -> Vec<GoneTarget> {
-        std::mem::take(&mut self.gone)
+    pub fn take_removed(&mut self) -> Vec<GoneTarget> {
+        std::mem::take(&mut self.removed)
     }
 
     /// The platform has settled: what is still missing has ended. Returns whether any target was
     /// removed.
     pub fn settle(&mut self) -> bool {
-        let news = !self.missing.is_empty();
+        let changed = !self.missing.is_empty();
         self.missing.clear();
-        news
+        changed
     }
 
     fn apply(&mut self, change: TargetChange, doubtful: bool) {
         match change {
             TargetChange::Present(target) => {
                 let listed = self.listed.remove(&target.entry.id);
-                self.put(target, listed);
+                self.insert_entry(target, listed);
             }
             TargetChange::Gone(id) => {
                 if let Some(target) = self.listed.remove(&id) {
-                    self.vanished(id, target, doubtful);
+                    self.remove_entry(id, target, doubtful);
                 }
             }
         }
@@ -204,7 +204,7 @@
 
     /// Takes an entry in, of a target that was listed so before. In the same life a target that leaves
     /// never stays after all, and its start stays known where a peer does not tell it.
-    fn put(&mut self, mut stated: DiscoveredTarget, listed: Option<DiscoveredTarget>) {
+    fn insert_entry(&mut self, mut stated: DiscoveredTarget, listed: Option<DiscoveredTarget>) {
         let id = stated.entry.id.clone();
         let known = listed.as_ref().or_else(|| self.missing.get(&id));
         let start = known.and_then(|known| known.entry.start);
@@ -213,7 +213,7 @@
         if let (Some((stated, known)), true) =
             (stated.entry.start.zip(latest), order != LifeOrder::Same)
         {
-            self.news.push(LifeNews { target: id.clone(), stated, known });
+            self.instance_changes.push(LifeNews { target: id.clone(), stated, known });
         }
         match order {
             LifeOrder::Earlier => {
@@ -230,9 +230,9 @@
         self.listed.insert(id, stated);
     }
 
-    fn vanished(&mut self, id: TargetId, target: DiscoveredTarget, doubtful: bool) {
-        self.ended.ended(&id, target.entry.start);
-        self.gone.push(GoneTarget { target: id.clone(), left: target.leaving });
+    fn remove_entry(&mut self, id: TargetId, target: DiscoveredTarget, doubtful: bool) {
+        self.ended.record(&id, target.entry.start);
+        self.removed.push(GoneTarget { target: id.clone(), left: target.leaving });
         if doubtful && !target.leaving {
             self.missing.insert(id, target);
         }
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -9,7 +9,7 @@
 
 /// Time for which a VM has to stay off the list before it counts as gone. Lists of different age may alternate for a
 /// while after a VM starts.
-const GONE_AFTER: Duration = Duration::from_secs(10);
+const ENDED_AFTER: Duration = Duration::from_secs(10);
 
 /// What the lists have said. Only a VM that was listed before can be gone; one that never was may
 /// have just started.
@@ -36,17 +36,17 @@
 
     /// VMs that have ended according to the platform's list. None while this daemon's own VM is
     /// missing too: such a list proves nothing.
-    pub fn gone(&self, now: Uptime, me: &VmId) -> BTreeSet<VmId> {
+    pub fn ended(&self, now: Uptime, me: &VmId) -> BTreeSet<VmId> {
         if self.missing.contains_key(me) {
             return BTreeSet::new();
         }
-        let gone =
-            self.missing.iter().filter(|(_, since)| now.saturating_sub(**since) >= GONE_AFTER);
-        gone.map(|(vm, _)| vm.clone()).collect()
+        let ended =
+            self.missing.iter().filter(|(_, since)| now.saturating_sub(**since) >= ENDED_AFTER);
+        ended.map(|(vm, _)| vm.clone()).collect()
     }
 
     /// VMs whose targets get no new work: those that leave and those that are off the list.
-    pub fn away(&self) -> BTreeSet<VmId> {
+    pub fn unavailable(&self) -> BTreeSet<VmId> {
         self.leaving.iter().chain(self.missing.keys()).cloned().collect()
     }
 }
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -31,8 +31,8 @@
 }
 
 fn broke_off(id: &str) -> NodeEvent {
-    let broke = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
-    NodeEvent::BrokeOff(digest(), broke)
+    let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
+    NodeEvent::BrokeOff(digest(), interruption)
 }
 
 fn ids(count: usize) -> Vec<String> {
@@ -227,8 +227,8 @@
             caller: "a",
             body: &[number as u8],
         };
-        let broke = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
-        fleet.event(number % 3, NodeEvent::BrokeOff(identity.digest(), broke));
+        let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
+        fleet.event(number % 3, NodeEvent::BrokeOff(identity.digest(), interruption));
     }
     lapse(&mut fleet, 12);
     fleet.run(CONTACT);
@@ -423,12 +423,12 @@
     let mut fleet = fleet_of(3);
     let now = fleet.now;
     for number in 0..300 {
-        let broke = RequestBreak { life: life("t0"), kind: BreakKind::Closed, begun: false };
-        fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(number), broke));
+        let interruption = RequestBreak { life: life("t0"), kind: BreakKind::Closed, begun: false };
+        fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(number), interruption));
     }
     // One of the last ones breaks off twice.
-    let broke = RequestBreak { life: life("t1"), kind: BreakKind::Closed, begun: false };
-    fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(299), broke));
+    let interruption = RequestBreak { life: life("t1"), kind: BreakKind::Closed, begun: false };
+    fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(299), interruption));
     let mut ask = |known| answer_to_pull(&mut fleet, known);
     let first = ask(0);
     let told: Vec<RequestDigest> = first.requests.iter().map(|report| report.digest).collect();
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -226,8 +226,8 @@
     }
     let identity =
         RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: b"ends" };
-    let broke = RequestBreak { life: life(), kind: BreakKind::Closed, begun: false };
-    fleet.event(fleet.leader(), NodeEvent::BrokeOff(identity.digest(), broke));
+    let interruption = RequestBreak { life: life(), kind: BreakKind::Closed, begun: false };
+    fleet.event(fleet.leader(), NodeEvent::BrokeOff(identity.digest(), interruption));
     let suspects = fleet.daemons[fleet.leader()].node.status().suspects;
     assert_eq!(suspects, [], "a target that leaves ends as planned");
 }
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -34,8 +34,8 @@
 /// A view whose target has started again at 20, after a life from 10 that left.
 fn view_of_second_life() -> TargetView {
     let mut view = TargetView::default();
-    view.list(vec![started("a", 10, true)], 1, false);
-    view.change(1, present(started("a", 20, false)), 2, false);
+    view.apply_list(vec![started("a", 10, true)], 1, false);
+    view.apply_changes(1, present(started("a", 20, false)), 2, false);
     view
 }
 
@@ -46,11 +46,11 @@
         let (told, known) = (TargetStart(told), TargetStart(known));
         [LifeNews { target: "a".to_string(), stated: told, known }]
     };
-    assert_eq!(view.take_news(), news(20, 10));
-    view.change(2, present(started("a", 20, true)), 3, false);
-    assert_eq!(view.take_news(), []);
-    view.change(3, present(started("a", 10, true)), 4, false);
-    assert_eq!(view.take_news(), news(10, 20));
+    assert_eq!(view.take_instance_changes(), news(20, 10));
+    view.apply_changes(2, present(started("a", 20, true)), 3, false);
+    assert_eq!(view.take_instance_changes(), []);
+    view.apply_changes(3, present(started("a", 10, true)), 4, false);
+    assert_eq!(view.take_instance_changes(), news(10, 20));
 }
 
 /// A target that left was never used again, since its id was taken for one start of its process.
@@ -58,8 +58,8 @@
 fn target_that_left_stays_once_it_has_started_again() {
     assert_eq!(lives(&view_of_second_life()), [("a".to_string(), Some(20), false)]);
     let mut listed = TargetView::default();
-    listed.list(vec![started("a", 10, true)], 1, false);
-    listed.list(vec![started("a", 20, false)], 2, false);
+    listed.apply_list(vec![started("a", 10, true)], 1, false);
+    listed.apply_list(vec![started("a", 20, false)], 2, false);
     assert_eq!(lives(&listed), [("a".to_string(), Some(20), false)]);
 }
 
@@ -67,10 +67,10 @@
 fn target_that_leaves_never_stays_after_all_in_the_same_life() {
     for start in [Some(TargetStart(10)), None] {
         let mut view = TargetView::default();
-        view.list(vec![started("a", 10, true)], 1, false);
+        view.apply_list(vec![started("a", 10, true)], 1, false);
         let mut late = target("a", false);
         late.entry.start = start;
-        view.change(1, present(late), 2, false);
+        view.apply_changes(1, present(late), 2, false);
         assert_eq!(lives(&view), [("a".to_string(), Some(10), true)]);
     }
 }
@@ -79,23 +79,23 @@
 fn late_entry_of_an_earlier_life_changes_nothing() {
     let known = [("a".to_string(), Some(20), false)];
     let mut view = view_of_second_life();
-    view.change(2, present(started("a", 10, true)), 3, false);
+    view.apply_changes(2, present(started("a", 10, true)), 3, false);
     assert_eq!(lives(&view), known, "a watch");
-    view.list(vec![started("a", 10, true)], 4, false);
+    view.apply_list(vec![started("a", 10, true)], 4, false);
     assert_eq!(lives(&view), known, "a list");
-    view.change(4, present(target("a", false)), 5, false);
+    view.apply_changes(4, present(target("a", false)), 5, false);
     assert_eq!(lives(&view), known, "a peer that tells no start");
 }
 
 #[test]
 fn earlier_life_does_not_come_back_after_the_later_one_is_gone() {
     let mut view = view_of_second_life();
-    view.change(2, vec![TargetChange::Gone("a".to_string())], 3, false);
-    view.change(3, present(started("a", 10, false)), 4, false);
+    view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, false);
+    view.apply_changes(3, present(started("a", 10, false)), 4, false);
     assert_eq!(lives(&view), []);
-    view.list(vec![started("a", 10, false)], 5, false);
+    view.apply_list(vec![started("a", 10, false)], 5, false);
     assert_eq!(lives(&view), []);
-    view.change(5, present(started("a", 20, false)), 6, false);
+    view.apply_changes(5, present(started("a", 20, false)), 6, false);
     assert_eq!(lives(&view), [("a".to_string(), Some(20), false)], "it was only out of sight");
 }
 
@@ -103,22 +103,22 @@
 #[test]
 fn unusable_entry_in_between_brings_no_earlier_life_back() {
     let mut view = view_of_second_life();
-    view.change(2, present(DiscoveredTarget::unusable("a".to_string())), 3, false);
-    view.change(3, present(started("a", 10, false)), 4, false);
+    view.apply_changes(2, present(DiscoveredTarget::unusable("a".to_string())), 3, false);
+    view.apply_changes(3, present(started("a", 10, false)), 4, false);
     assert_eq!(view.targets()[0].pool, "", "nothing is sent there");
-    view.change(4, present(started("a", 20, false)), 5, false);
+    view.apply_changes(4, present(started("a", 20, false)), 5, false);
     assert_eq!(view.targets(), [started("a", 20, false)]);
 }
 
 #[test]
 fn earlier_life_does_not_come_back_while_the_platform_fails() {
     let mut view = view_of_second_life();
-    view.change(2, vec![TargetChange::Gone("a".to_string())], 3, true);
-    view.change(3, present(started("a", 10, false)), 4, true);
+    view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, true);
+    view.apply_changes(3, present(started("a", 10, false)), 4, true);
     assert_eq!(lives(&view), [("a".to_string(), Some(20), false)]);
     view.settle();
     assert_eq!(lives(&view), []);
-    view.change(4, present(started("a", 10, false)), 5, false);
+    view.apply_changes(4, present(started("a", 10, false)), 5, false);
     assert_eq!(lives(&view), []);
 }
 
@@ -126,9 +126,9 @@
 fn peers_learn_of_both_lives_in_order() {
     let view = view_of_second_life();
     let mut peer = TargetView::default();
-    peer.list(vec![started("a", 10, true)], 1, false);
+    peer.apply_list(vec![started("a", 10, true)], 1, false);
     let TargetsContent::Since(from, changes) = view.since(1) else { panic!("a list") };
-    assert_eq!(peer.change(from, changes, view.at(), false), ViewUpdate::Taken);
+    assert_eq!(peer.apply_changes(from, changes, view.at(), false), ViewUpdate::Applied);
     assert_eq!(lives(&peer), lives(&view));
 }
 
