--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -1,6 +1,6 @@
-//! Configurations that come from peers and go to them.
+//! Tracks the transfer of configurations from peers and to peers.
 //!
-//! Owns: what is on its way in both directions, and the bytes that came. Relies on: [`ConfigPull`] and
+//! Owns: the transfers in progress in both directions, and the count of received bytes. Relies on: [`ConfigPull`] and
 //! [`ConfigServing`] for their bounds.
 
 use std::collections::BTreeMap;
@@ -12,25 +12,25 @@
 use crate::config_serving::ConfigServing;
 use crate::status::ConfigIntake;
 
-/// Least time between two whole configurations to one peer: a megabyte takes a second over the slowest link that the
-/// users' VMs have.
+/// Minimum time between two whole configurations to one peer: a megabyte takes a second over the slowest link that
+/// the users' VMs have.
 const WHOLE_PUSH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A daemon's part in the exchange of configurations.
+/// The state of a daemon's configuration transfers.
 #[derive(Clone, Debug)]
 pub struct ConfigExchange {
-    /// The configuration that comes.
+    /// The configuration that is being fetched.
     pub pull: ConfigPull,
-    /// The peers to which the one in force goes.
+    /// The peers that fetch the configuration in force.
     pub serving: ConfigServing,
-    /// What has come so far.
+    /// Bytes received so far.
     pub intake: ConfigIntake,
-    /// When peers that cannot ask for parts were last sent a whole configuration.
+    /// When peers that cannot request parts were last sent a whole configuration.
     whole_pushes: BTreeMap<VmId, Uptime>,
 }
 
 impl ConfigExchange {
-    /// Nothing is on its way. The argument is what the link of this VM carries, in bytes a second.
+    /// Returns a state without transfers. The argument is the capacity of the link of this VM, in bytes per second.
     pub fn new(link_bytes_per_s: u64) -> ConfigExchange {
         ConfigExchange {
             pull: ConfigPull::default(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether to send a peer a whole configuration now: not while one is on its way.
+    /// Returns whether to send a peer a whole configuration now: not while one may still be on its way.
     pub fn begin_whole_push(&mut self, now: Uptime, peer: &VmId) -> bool {
         self.whole_pushes.retain(|_, sent| now < *sent + WHOLE_PUSH_INTERVAL);
         let begins = !self.whole_pushes.contains_key(peer);
--- a/crates/node/src/config_pull.rs
+++ b/crates/node/src/config_pull.rs
@@ -1,50 +1,50 @@
-//! Fetching a newer configuration from peers.
+//! Fetches a newer configuration from peers.
 //!
-//! A configuration comes in parts of bounded length, of which one is asked for at a time, so that
-//! neither a slow link nor a sender's memory holds more than one part for each daemon. A part that is
-//! lost is asked for again, of whichever peer next says that it has the configuration. A beginning that
-//! does not grow, since whoever has the rest of it is gone, makes room for what the others have.
+//! A configuration is sent in parts of bounded length, and one part is requested at a time, so that neither a slow
+//! link nor a sender's memory holds more than one part for each daemon. A lost part is requested again from whichever
+//! peer next advertises the configuration. A partial archive that no longer grows, since the peers with the rest of
+//! it have ended, is dropped in favour of what the other peers have.
 //!
-//! Owns: the parts that have come so far. Relies on: peers that name equal archives equally.
+//! Owns: the parts received so far. Relies on: peers that name equal archives equally.
 
 use curlewcleat_config::ARCHIVE_LIMIT;
 use curlewcleat_core::{ArchiveId, ConfigPart, ConfigPartPull, Generation, Uptime};
 
 use crate::awaited_answer::AwaitedAnswer;
 
-/// What a part led to.
+/// Result of receiving a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// It was not needed.
+    /// The part was not needed.
     Unused,
-    /// It was kept; its sender is asked for the next one.
+    /// The part was kept; this pull requests the next one from its sender.
     Next(ConfigPartPull),
-    /// It was the last one; here is the whole archive.
+    /// The part was the last one; this is the whole archive.
     Whole(ArchiveId, Vec<u8>),
 }
 
-/// The beginning of an archive.
+/// The first bytes of an archive.
 #[derive(Clone, Debug)]
 struct PartialArchive {
     id: ArchiveId,
     bytes: Vec<u8>,
-    /// When the latest part came.
+    /// When the latest part arrived.
     last_part_at: Uptime,
 }
 
-/// A configuration on its way to this daemon.
+/// The state of fetching a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigPull {
     answer: AwaitedAnswer,
     partial: Option<PartialArchive>,
-    /// The latest archive that could not be used here. A pull says that it is here whole, so that peers
-    /// send no part of it again.
+    /// The latest archive that this daemon could not use. A pull claims that this daemon has the whole of it, so that
+    /// peers send no part of it again.
     unusable: Option<ArchiveId>,
 }
 
 impl ConfigPull {
-    /// A peer has a configuration of this generation. Returns what to ask it for, `None` where there is
-    /// nothing new or an answer is on its way.
+    /// Handles a peer's advertisement of a configuration. Returns the pull to send, `None` if the configuration is
+    /// not new or an answer is awaited.
     pub fn offered(
         &mut self,
         now: Uptime,
@@ -52,17 +52,17 @@
         in_force: Generation,
     ) -> Option<ConfigPartPull> {
         self.drop_stalled(now, in_force);
-        // A peer that is behind what has begun has no part of it.
+        // A peer with an older generation than the partial archive has no part of it.
         let least = self.partial.as_ref().map_or(in_force + 1, |partial| partial.id.generation);
         (offered >= least && self.answer.begin(now)).then(|| self.next_pull(in_force))
     }
 
-    /// Whether a part is awaited, or some have come and more are missing.
+    /// Returns whether a part is awaited, or some have arrived and more are missing.
     pub fn is_under_way(&self) -> bool {
         self.partial.is_some() || self.answer.is_awaited()
     }
 
-    /// Takes a part that a peer has sent.
+    /// Handles a part that a peer has sent.
     pub fn part_received(
         &mut self,
         now: Uptime,
@@ -70,7 +70,7 @@
         in_force: Generation,
     ) -> PartOutcome {
         if part.bytes.is_empty() {
-            // Another peer may have time for this daemon sooner.
+            // An empty part means that the sender is busy; another peer may be able to send one sooner.
             self.answer.answered();
             return PartOutcome::Unused;
         }
@@ -90,17 +90,17 @@
         }
     }
 
-    /// A configuration is in force, wherever it came from; what was asked for before is not needed.
+    /// Records that a configuration is in force, from any source; the pull that was sent before is not needed.
     pub fn config_applied(&mut self) {
         self.answer.answered();
     }
 
-    /// An archive that has come whole cannot be used by this daemon.
+    /// Records that this daemon cannot use an archive that it has received in full.
     pub fn reject(&mut self, archive: ArchiveId) {
         self.unusable = Some(archive);
     }
 
-    /// Appends a part that continues what is here, or begins a newer archive.
+    /// Appends a part to the partial archive, or starts a newer archive with it. Returns whether the part was kept.
     fn keep(&mut self, now: Uptime, part: ConfigPart, in_force: Generation) -> bool {
         let id = part.archive;
         let usable = id.generation > in_force
@@ -118,7 +118,7 @@
                 }
                 continues
             }
-            // Two archives of one generation must not throw each other's beginning away in turn.
+            // Two archives of one generation must not replace each other's partial archive in turn.
             Some(partial) if id.generation <= partial.id.generation => false,
             _ if part.offset == 0 => {
                 self.partial = Some(PartialArchive { id, bytes: part.bytes, last_part_at: now });
@@ -128,8 +128,8 @@
         }
     }
 
-    /// A beginning is given up when no part has come for longer than an answer is waited for, or when it
-    /// is no longer newer than what is in force.
+    /// Drops the partial archive if no part has arrived for longer than the longest wait for an answer, or if it is
+    /// no longer newer than the configuration in force.
     fn drop_stalled(&mut self, now: Uptime, in_force: Generation) {
         let limit = self.answer.longest_wait();
         self.partial.take_if(|partial| {
--- a/crates/node/src/config_serving.rs
+++ b/crates/node/src/config_serving.rs
@@ -1,10 +1,10 @@
-//! Peers that fetch this daemon's configuration.
+//! Limits how many peers fetch this daemon's configuration at a time.
 //!
-//! A configuration of several parts goes to as many peers at a time as the link of this VM has room for,
-//! however many ask; the others get a part without bytes, and ask again whoever has it by then.
+//! A configuration of several parts is sent to as many peers at a time as the link of this VM has capacity for. Other
+//! peers get a part without bytes, and request it again from any daemon that has it by then.
 //!
-//! Owns: who is being sent a configuration. Relies on: peers that ask for the next part once they have
-//! one.
+//! Owns: which peers are being sent a configuration. Relies on: peers that request the next part once they have
+//! received one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use curlewcleat_config::PART_BYTES;
 use curlewcleat_core::{Uptime, VmId};
 
-/// Time in which a link carries the parts that are on their way at once: the first wait for an answer, so that no
-/// part is asked for twice.
+/// Time in which the link carries the parts that are on their way at once: the first wait for an answer, so that no
+/// part is requested twice.
 const OUTSTANDING_TIME: Duration = Duration::from_millis(500);
-/// Peers that are sent a configuration at the same time over the slowest link.
+/// Number of peers that are sent a configuration at the same time over the slowest link.
 const MIN_PEERS: usize = 4;
-/// Time after which a peer that has not asked for its next part has gone elsewhere: twice the first wait for an
-/// answer.
+/// Time after which a peer that has not requested its next part is considered to fetch it elsewhere: twice the first
+/// wait for an answer.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The peers that are being sent a configuration, with the time of their latest part.
@@ -29,14 +29,15 @@
 }
 
 impl ConfigServing {
-    /// No peer is served yet. The argument is what the link of this VM carries, in bytes a second.
+    /// Returns a state in which no peer is served. The argument is the capacity of the link of this VM, in bytes per
+    /// second.
     pub fn new(link_bytes_per_s: u64) -> ConfigServing {
         let outstanding = link_bytes_per_s * OUTSTANDING_TIME.as_millis() as u64 / 1_000;
         let peer_limit = (outstanding as usize / PART_BYTES).max(MIN_PEERS);
         ConfigServing { peer_limit, peers: BTreeMap::new() }
     }
 
-    /// Whether to send a peer a part now; `more` says that others follow it.
+    /// Returns whether to send a peer a part now; `more` states that other parts follow it.
     pub fn begin_part(&mut self, now: Uptime, peer: &VmId, more: bool) -> bool {
         self.peers.retain(|_, sent| now < *sent + PEER_IDLE_TIMEOUT);
         let known = self.peers.contains_key(peer);
--- a/crates/node/src/ended_lives.rs
+++ b/crates/node/src/ended_lives.rs
@@ -1,4 +1,4 @@
-//! Lives of targets that are not listed any more.
+//! Remembers the target instances that are no longer listed.
 //!
 //! Owns: their latest starts, up to a limit. Relies on: `TargetView` for what is listed.
 
@@ -6,25 +6,26 @@
 
 use curlewcleat_core::{TargetId, TargetStart};
 
-/// Targets that are remembered: more than a fleet has, since all may vanish and come back at an outage; some 200 kB.
+/// Number of targets that are remembered: more than a fleet has, since all may vanish and return in an outage; some
+/// 200 kB.
 const ENDED_LIMIT: usize = 2_048;
 
-/// Latest starts of targets that have vanished, so that a late entry of an earlier life does not bring
-/// that life back.
+/// Latest starts of targets that are no longer listed, so that a late list entry of an earlier instance does not
+/// restore that instance.
 #[derive(Clone, Debug, Default)]
 pub struct EndedLives {
     latest: BTreeMap<TargetId, TargetStart>,
-    /// The same targets in the order in which they vanished first.
+    /// The same targets in the order in which they first vanished.
     order: VecDeque<TargetId>,
 }
 
 impl EndedLives {
-    /// The latest start that is remembered of a target.
+    /// Returns the latest start that is remembered of a target.
     pub fn latest(&self, id: &str) -> Option<TargetStart> {
         self.latest.get(id).copied()
     }
 
-    /// A target is no longer listed.
+    /// Records that a target is no longer listed.
     pub fn record(&mut self, id: &TargetId, start: Option<TargetStart>) {
         let Some(start) = start else { return };
         if let Some(latest) = self.latest.get_mut(id) {
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! Events into a node and actions out of it.
+//! Defines the events that a node handles and the actions that it returns.
 //!
 //! Owns: the form of both. Relies on: nothing.
 
@@ -19,18 +19,18 @@
 /// A line of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedVm {
-    /// Name.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Whether it is about to be taken away.
+    /// Whether the VM is about to be removed.
     pub leaving: bool,
 }
 
 /// Result of proposing a key table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableWrite {
-    /// Stored under this version.
+    /// The table was stored under this version.
     Stored(ObjectVersion, KeyTable),
-    /// Another table was stored before, or the answer was lost: read it again.
+    /// Another table was stored before, or the answer was lost: the table has to be read again.
     ReadAgain,
 }
 
@@ -43,27 +43,27 @@
     Peer(PeerFrame),
     /// A caller's request.
     Admit(Box<RequestSpec>),
-    /// A dispatched request ended for good.
+    /// A dispatched request has ended and is not retried.
     Finished(RequestId, Verdict, AttemptEnd, Option<KeptAnswer>),
     /// An attempt provably did not run.
     NotRun(RequestId, AttemptEnd, RetryReason),
-    /// A dispatched request's target is stalled, or speaks again.
+    /// A dispatched request's target is stalled or responds again, or a step of its replacement.
     Replacement(RequestId, ReplacementStep),
-    /// The caller of a dispatched request has a part of its answer.
+    /// The caller of a dispatched request has received a part of its answer.
     AnswerBegun(RequestId),
-    /// The caller has gone while its request waited.
+    /// The caller disconnected while its request waited.
     Cancelled(RequestId),
-    /// A configuration as the platform shows it.
+    /// The configuration that the platform shows.
     ConfigRead(ConfigBundle),
-    /// The key table as the platform shows it; `None` where there is none.
+    /// The key table that the platform shows; `None` if it has none.
     TableRead(Option<(ObjectVersion, KeyTable)>),
-    /// The result of a proposal.
+    /// The result of proposing a key table.
     TableWritten(TableWrite),
-    /// A request broke off at a life of a target.
+    /// A request was interrupted at a target instance.
     BrokeOff(RequestDigest, RequestBreak),
-    /// What a target of a pool has said to this daemon and still counts.
+    /// The valid notices of a target of a pool that this daemon has received.
     TargetSaid(PoolId, NoticeReport),
-    /// The orders to move pools to targets of other versions, all of them at a revision.
+    /// All orders to move pools to targets of other versions, at a revision.
     RolloutsListed {
         /// The orders.
         rollouts: Vec<RolloutRecord>,
@@ -72,19 +72,19 @@
         /// When the read was sent.
         sent: Uptime,
     },
-    /// A target of a pool that is being rolled out has answered.
+    /// An answer of a target was observed in a pool that is being rolled out.
     AnswerSeen(PoolId, Box<AnswerSample>),
-    /// The requests that are refused for good, as the platform keeps them.
+    /// The permanently refused requests that the platform has stored.
     RefusalsRead(Vec<SuspectReport>),
-    /// The platform keeps that a request is refused.
+    /// The platform has stored the refusal of a request.
     RefusalStored(RequestDigest),
-    /// An operator says that a request is not the reason for which targets ended.
+    /// An operator states that a request is not the reason for which targets terminated.
     ClearSuspect(RequestDigest),
-    /// A target's report, for the scheduler of its pool.
+    /// The report on a target, for the scheduler of its pool.
     TargetReported(PoolId, TargetLife, TargetReport),
-    /// Targets that announced themselves at the platform, all of them at a revision.
+    /// All discovered targets at a revision.
     TargetsListed(Vec<DiscoveredTarget>, ObjectVersion),
-    /// What changed among them between two revisions.
+    /// The changes of the discovered targets between two revisions.
     TargetsChanged {
         /// The earlier revision.
         from: ObjectVersion,
@@ -93,13 +93,13 @@
         /// The later revision.
         at: ObjectVersion,
     },
-    /// A read of the platform that was sent then showed the configuration in force to be the newest.
+    /// A read of the platform that was sent at this time showed the configuration in force to be the newest.
     PlatformRead(Uptime),
     /// A read of the platform failed.
     PlatformFailed,
     /// All daemons that are recorded at the platform.
     DaemonsListed(Vec<DaemonRecord>),
-    /// The settings name these addresses of peers to begin with.
+    /// The initial peer addresses in the settings have changed.
     SeedsChanged(Vec<String>),
     /// The platform's VM list.
     VmsRead(Vec<ListedVm>),
@@ -110,97 +110,98 @@
 /// The answer to a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerDecision {
-    /// Send it to this target, once.
+    /// Send the request to this target, once.
     Dispatch(PermitId, TargetEntry),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
-    /// Answer with what an earlier attempt got.
+    /// Answer with the stored answer of an earlier attempt.
     Replay(KeptAnswer),
 }
 
-/// What a node wants of its platform.
+/// A call that a node requests of its platform, or a fact that the platform's tasks need.
 #[derive(Clone, Debug)]
 pub enum PlatformCall {
-    /// Store a key table if the version is still this one.
+    /// Store a key table if the stored version is still this one.
     ProposeTable(ObjectVersion, KeyTable),
     /// Read the key table.
     ReadTable,
-    /// The configuration in force was the newest then, as a peer's read has shown.
+    /// The configuration in force was the newest at this time, as a peer's read has shown.
     ConfigConfirmed(Uptime),
-    /// Read the platform from now on, or no longer.
+    /// Set whether the daemon reads the platform from now on.
     Read(ReadRole),
-    /// Keep that a request is refused.
+    /// Store the refusal of a request.
     StoreRefusal(SuspectReport),
-    /// Keep that no longer.
+    /// Delete the stored refusal of a request.
     DropRefusal(RequestDigest),
-    /// Read the orders of roll-outs anew.
+    /// Read the rollout orders again.
     ReadRollouts,
-    /// Keep how far an order is, and read the orders anew.
+    /// Store the stage of an order, and read the orders again.
     WriteRollout(RolloutWrite),
 }
 
-/// What a node wants done.
+/// An action that the driver of a node has to perform.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
     /// Send a frame to an `ip:port`.
     Send(String, PeerFrame),
     /// Answer a caller.
     Decide(RequestId, CallerDecision),
-    /// Make a call of the platform, or take note of what is said about them.
+    /// Call the platform, or pass a fact to the tasks that call it.
     Platform(PlatformCall),
     /// A new configuration is in force.
     ConfigChanged,
     /// Count a retry.
     Count(RetryReason),
-    /// Tell the operators.
+    /// Report to the operators.
     Note(NodeNote),
     /// The planned stop is complete.
     End,
 }
 
-/// Something an operator may want to know.
+/// An event that is reported to the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeNote {
     /// A configuration is in force.
     ConfigAccepted(Generation),
-    /// A configuration does not pass the checks here.
+    /// A configuration does not pass the checks of this daemon.
     ConfigInvalid(Generation, CheckReport),
     /// The configuration in force cannot be packed for peers.
     ConfigNotPacked(Generation, String),
-    /// A configuration that came from peers cannot be unpacked.
+    /// A configuration that was received from peers cannot be unpacked.
     ConfigUnreadable(Generation, String),
-    /// A request is not tried again.
+    /// A request is not retried, because of this bound.
     RetryDenied(RequestId, RetryBound),
     /// A peer became unreachable.
     PeerLost(DaemonId),
     /// A peer's VM has started a new daemon.
     PeerReplaced(DaemonId),
-    /// An entry stated another life of its target.
+    /// A list entry stated another instance of its target.
     TargetLife(LifeNews),
-    /// The entry of a target has gone.
+    /// The list entry of a target was removed.
     TargetGone(GoneTarget),
-    /// A list of targets was left out, since a later one is known.
+    /// A list of targets was ignored, since a later one is known.
     TargetListLate {
         /// Revision of the list.
         at: ObjectVersion,
         /// Revision that is known.
         known: ObjectVersion,
     },
-    /// A target has ended under a request.
+    /// A target has terminated while running a request.
     TargetEnded(RequestDigest, TargetLife),
-    /// A request is refused for good from now on.
+    /// A request is refused permanently from now on.
     RequestLethal(SuspectReport),
-    /// A request is refused no longer.
+    /// A request is no longer refused.
     RequestAllowed(RequestDigest),
     /// An operator has cleared a request.
     SuspectCleared(RequestDigest),
-    /// An order is this far, where this daemon has decided that for this reason.
+    /// An order has reached this stage, and the reason if this daemon has decided it.
     RolloutStage(RolloutStatus, Option<RolloutReason>),
-    /// These versions of a pool's targets are held back until the orders are read; none any more where there are none.
+    /// These versions of a pool's targets are held back until the orders are read; empty if none is held back any
+    /// more.
     VersionsHeld(PoolId, Vec<TargetVersion>),
-    /// A key table is known, and the number of slots that this daemon holds.
+    /// A key table became known; with the number of slots that this daemon holds.
     TableKnown(ObjectVersion, usize),
-    /// What the scheduler of a pool sees while requests wait there.
+    /// The state of a pool's scheduler while requests wait there.
     PoolWaits(PoolStatus),
     /// The planned stop has begun.
     DrainBegun,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! All state machines of one daemon put together, still without input or output.
+//! Combines all state machines of one daemon, without any input or output.
 //!
-//! [`Node::handle`] takes an event with the time and gives the actions to perform.
+//! [`Node::handle`] takes an event with the time and returns the actions to perform.
 
 mod awaited_answer;
 mod config_exchange;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,6 +1,6 @@
-//! The node: routes events between the state machines and collects their actions.
+//! Routes events between the state machines of one daemon and collects their actions.
 //!
-//! Owns: all state machines of one daemon. Relies on: its driver for clocks, messages and calls.
+//! Owns: all state machines of one daemon. Relies on: its driver for clocks, messages and platform calls.
 
 mod configuration;
 mod keys;
@@ -42,38 +42,38 @@
 use crate::target_view::TargetView;
 use crate::vms::VmView;
 
-/// What a node is made with.
+/// Options of a [`Node`].
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// This daemon.
+    /// Identity of this daemon.
     pub me: DaemonId,
-    /// Peers.
+    /// Options of the membership view.
     pub members: MemberOptions,
-    /// Keys.
+    /// Options of the idempotency key store.
     pub keys: KeyHomeOptions,
-    /// Slots of a key table that this node creates; 0 where keys are not kept.
+    /// Slots of a key table that this node creates; 0 if the daemon keeps no keys.
     pub key_slots: u16,
-    /// Requests.
+    /// Options of request handling at the entry daemon.
     pub entry: EntryOptions,
-    /// How far the rates that all daemons share may be exceeded.
+    /// How far daemons together may exceed the rates that they share.
     pub rate_margin: RateMargin,
-    /// Age that makes up for a unit of work in the order of an account's queue.
+    /// Age that offsets one unit of work when the requests of an account are ordered.
     pub age_per_work: u64,
-    /// Whether one daemon schedules all pools, so that it can keep the rates that daemons share.
+    /// Whether one daemon schedules all pools, so that it can enforce the rates that daemons share.
     pub one_scheduler: bool,
-    /// Requests in progress at most.
+    /// Maximum number of requests in progress.
     pub request_limit: usize,
-    /// What the link of this VM carries, in bytes a second.
+    /// Capacity of the link of this VM, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Times of the view of a platform that daemons read for each other, `None` where each reads it.
+    /// Age limits for the view of a platform that few daemons read on behalf of all, `None` if each daemon reads it.
     pub freshness: Option<FreshnessLimits>,
-    /// The part of a pool's requests that a version on trial may get, `None` where no roll-outs are ordered.
+    /// Limits on the share of a pool's requests that a version on trial may get, `None` if rollouts are off.
     pub rollout: Option<RolloutLimits>,
     /// Time between heartbeats.
     pub heartbeat_every: Duration,
-    /// Time for the balancer to notice a failing health check.
+    /// Time that the load balancer needs to notice a failing health check.
     pub drain_grace: Duration,
-    /// Time for which an unreachable platform may delay a planned stop.
+    /// Maximum time for which an unreachable platform may delay a planned stop.
     pub hand_over_limit: Duration,
 }
 
@@ -82,7 +82,7 @@
     options: NodeOptions,
     members: MemberView,
     store: ConfigStore,
-    /// The configuration in force with the targets that announced themselves.
+    /// The configuration in force, with the discovered targets added.
     active: Arc<ActiveConfig>,
     discovered: Vec<DiscoveredTarget>,
     targets: TargetView,
@@ -98,14 +98,14 @@
     rollouts: RolloutExchange,
     drain: DrainState,
     vms: VmView,
-    /// Reachable daemons that may take roles, this one too.
+    /// Reachable daemons that may take roles, including this one.
     eligible: Vec<DaemonId>,
-    /// Order of schedulers over all pools.
+    /// Order of schedulers across all pools.
     order: Vec<DaemonId>,
     configs: ConfigExchange,
     table_pull: AwaitedAnswer,
     targets_pull: AwaitedAnswer,
-    /// Acknowledgements of the records that this daemon hands over at its planned stop.
+    /// Acknowledgement of the key records that this daemon hands over during its planned stop.
     hand_over_answer: AwaitedAnswer,
     orders: BTreeMap<PoolId, Vec<DaemonId>>,
     table_absent: bool,
@@ -121,7 +121,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Returns a node without configuration, peers or targets.
     pub fn new(options: NodeOptions) -> Node {
         let me = options.me.clone();
         Node {
@@ -133,7 +133,7 @@
             freshness: options
                 .freshness
                 .map(|limits| PlatformFreshness::new(limits, me.incarnation)),
-            // As the tasks that read the platform begin.
+            // Matches the tasks that read the platform, which start in this role.
             read_role: ReadRole::Reader,
             home: KeyHome::new(me.clone(), options.keys.clone()),
             rates: AccountRates::new(options.rate_margin),
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Takes an event and gives the actions to perform, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn handle(&mut self, now: Uptime, wall: WallTime, event: NodeEvent) -> Vec<NodeAction> {
         self.now = now;
         self.wall = wall;
@@ -221,37 +221,37 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.active)
     }
 
-    /// Texts of the configuration in force.
+    /// Returns the texts of the configuration in force.
     pub fn config_bundle(&self) -> Option<&ConfigBundle> {
         self.store.bundle()
     }
 
-    /// Whether the health check succeeds.
+    /// Returns whether the health check succeeds.
     pub fn ready(&self) -> bool {
         self.drain.ready() && self.store.generation() > 0
     }
 
-    /// Peer addresses in use.
+    /// Returns the peer addresses in use.
     pub fn peer_addresses(&self) -> BTreeSet<String> {
         self.members.addresses()
     }
 
-    /// A copy of the scheduler of a pool, where this daemon has one; for measurements.
+    /// Returns a copy of the scheduler of a pool, if this daemon has one.
     pub fn scheduler(&self, pool: &str) -> Option<PoolScheduler> {
         self.pools.get(pool).cloned()
     }
 
-    /// Daemons in the order in which they would schedule, best first.
+    /// Returns the daemons in the order in which they are preferred as schedulers, best first.
     pub fn scheduler_order(&self) -> &[DaemonId] {
         &self.order
     }
 
-    /// What the order of schedulers of a pool is drawn by.
+    /// Returns the subject from which the order of schedulers of a pool is computed.
     fn scheduling_subject<'a>(&self, pool: &'a str) -> &'a str {
         if self.options.one_scheduler {
             return ALL_POOLS;
@@ -260,7 +260,7 @@
     }
 }
 
-/// The cached order of schedulers of a pool.
+/// Returns the cached order of schedulers of a pool, computed anew if the pool is not in the cache.
 fn cached_order(
     orders: &BTreeMap<PoolId, Vec<DaemonId>>,
     members: &MemberView,
--- a/crates/node/src/node/configuration.rs
+++ b/crates/node/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that are offered, and the targets that announce themselves.
+//! Applies new configurations and merges the discovered targets into them.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `ConfigStore` for the order of generations.
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The targets that announced themselves may have changed.
+    /// Rebuilds the active configuration if the set of discovered targets has changed.
     pub(super) fn refresh_discovered(&mut self) {
         let targets = self.targets.targets();
         if targets == self.discovered {
@@ -39,7 +39,7 @@
         self.rebuild_active();
     }
 
-    /// Joins the configuration in force with the discovered targets, and tells the schedulers.
+    /// Merges the discovered targets into the configuration in force and reconfigures the schedulers.
     pub(super) fn rebuild_active(&mut self) {
         self.review_versions();
         let mut active = self.store.active();
@@ -74,7 +74,7 @@
             .retain(|id, scheduler| config.pools.contains_key(id) || scheduler.in_flight() > 0);
     }
 
-    /// VMs whose targets get no new work, by the VM list and by what the targets report.
+    /// Returns the VMs whose targets get no new work, according to the VM list and to what the targets report.
     pub(super) fn unavailable_vms(&self) -> BTreeSet<VmId> {
         let leaving = self.discovered.iter().filter(|target| target.leaving);
         let mut unavailable = self.vms.unavailable();
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -1,7 +1,6 @@
-//! The key table: what is known of it, and when to propose another.
+//! Tracks the key table and decides when to propose a new one.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the
-//! table.
+//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the stored table.
 
 use std::time::Duration;
 
@@ -12,9 +11,9 @@
 use super::Node;
 use crate::event::{NodeAction, NodeNote, PlatformCall, TableWrite};
 
-/// Subject that decides which daemon proposes key tables.
+/// Subject of the scheduler order whose first daemon proposes key tables.
 const TABLE_SUBJECT: &str = "key table";
-/// Time after the start before a first key table is proposed, so that the peers are known.
+/// Delay after the start before the first key table is proposed, so that the peers are known by then.
 const FIRST_TABLE_DELAY: Duration = Duration::from_secs(2);
 
 impl Node {
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Proposes a key table where one is wanted.
+    /// Proposes a new key table if one is needed.
     pub(super) fn review_table(&mut self) {
         if self.proposing || self.options.key_slots == 0 {
             return;
@@ -74,7 +73,7 @@
 
     pub(super) fn changed_table(&self) -> Option<KeyTable> {
         let mut ended = self.vms.ended(self.now, &self.options.me.vm);
-        // A VM that still talks is not gone, whatever a list says.
+        // A VM whose daemon is still reachable has not ended, whatever a VM list says.
         ended.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
         let has_earlier_slots = self.home.table().slots.iter().any(|slot| {
             slot.holder.vm == self.options.me.vm
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -1,11 +1,12 @@
-//! Requests under which targets end: what this daemon saw, what others tell, and what the platform keeps.
+//! Exchanges reports on requests that terminate their targets: with peers, and with the platform.
 //!
-//! Each daemon keeps the whole set and judges for itself. News go at once to the daemons that may schedule, and each
-//! daemon asks the first of those every [`PULL_INTERVAL`] for what it has not, so that all know within two such times,
-//! also where frames were lost; requests that broke off once only are sent a few at a time. Only that a request is refused goes to the platform, in one call.
+//! Each daemon keeps the whole set and evaluates it on its own. Updates are sent at once to the daemons that may
+//! schedule. Each daemon also pulls what it lacks from the first of these every [`PULL_INTERVAL`], so that all
+//! daemons know within two such intervals even if frames are lost. Requests that were interrupted only once are sent
+//! a few at a time. The platform stores only that a request is refused, in one call.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `LethalRequests` for the rule, `TargetView` for the lives that
-//! are shown.
+//! Owns: nothing; these are methods of `Node`. Relies on: `LethalRequests` for the rule, `TargetView` for the target
+//! instances that the platform lists.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,32 +20,32 @@
 use super::Node;
 use crate::event::{CallerDecision, NodeAction, NodeNote, PlatformCall};
 
-/// Time between two questions for what others know: with its answer a third of the users' shortest bound for what all
-/// daemons have to know, three seconds, so that one of them may be lost.
+/// Interval between pulls. With the answer it takes a third of the users' shortest bound in which all daemons have to
+/// know, three seconds, so that one pull may be lost.
 const PULL_INTERVAL: Duration = Duration::from_secs(1);
-/// Daemons that are asked: two, so that one may fail.
+/// Number of daemons to pull from: two, so that one may fail.
 const PULL_PEERS: usize = 2;
-/// Time after which a call that would have the platform keep a refusal is made again.
+/// Time after which an unanswered call to store a refusal is repeated.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Least time after which a request may come back that is not refused for good: several reviews, where it cannot be
-/// told when the platform will show what ended.
+/// Minimum retry advice for a request that is held but not refused permanently: several reviews, since it is unknown
+/// when the platform will show which targets terminated.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a node keeps beside the requests themselves.
+/// The suspect requests and the state of their exchange.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LethalExchange {
     pub requests: LethalRequests,
-    /// How far the set of each daemon that was asked is known.
+    /// Up to which revision the set of each polled daemon is known.
     known_revisions: BTreeMap<VmId, (Incarnation, u64)>,
     last_pull: Option<Uptime>,
-    /// Requests of which the operators know that they are refused.
+    /// Refused requests that were reported to the operators.
     reported: BTreeSet<RequestDigest>,
-    /// When the platform was last asked to keep a refusal.
+    /// When the platform was last called to store each refusal.
     store_requested: BTreeMap<RequestDigest, Uptime>,
 }
 
 impl Node {
-    /// A request broke off at a target. It counts where the target had said nothing of leaving.
+    /// Records that a request was interrupted at a target, unless the target had announced that it leaves.
     pub(super) fn attempt_interrupted(
         &mut self,
         digest: RequestDigest,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// A request that has ended was served whole.
+    /// Records that a request was answered in full.
     pub(super) fn answer_completed(&mut self, id: RequestId) {
         let Some(digest) = self.entry.digest_of(id) else { return };
         if self.lethal.requests.served(self.now, &digest) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// An operator clears a request.
+    /// Clears a request on an operator's order.
     pub(super) fn clear_suspect(&mut self, digest: RequestDigest) {
         let refused = self.lethal.requests.refused().any(|refused| *refused == digest);
         if self.lethal.requests.clear(&digest) {
@@ -84,7 +85,7 @@
         self.report_refusal_changes();
     }
 
-    /// The refusal of a request that may not be sent to a target, now or at all.
+    /// Returns the refusal of a request that may not be sent to a target, either for now or permanently.
     pub(super) fn lethal_refusal(&mut self, digest: Option<RequestDigest>) -> Option<Refusal> {
         match self.lethal.requests.verdict(self.now, &digest?) {
             LethalVerdict::Clear => None,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Gives up a request that was granted a target: it has proved lethal while it waited. One that is still at
-    /// a target stays there.
+    /// Refuses a request that was granted a target but was found lethal while it waited. A request that already runs
+    /// at a target stays there.
     pub(super) fn refuse_granted(&mut self, id: RequestId, refusal: Refusal) {
         let actions = match self.entry.keeps_target(id) {
             true => return self.replacement(id, ReplacementStep::Declined),
@@ -107,7 +108,7 @@
         self.actions.push(NodeAction::Decide(id, CallerDecision::Refuse(refusal)));
     }
 
-    /// Looks which targets have ended, and has the platform keep what is refused.
+    /// Checks which targets have terminated, and has the platform store the refusals.
     pub(super) fn review_lethal(&mut self) {
         if self.lethal.requests.is_empty() {
             return;
@@ -135,13 +136,14 @@
         for (digest, life) in ended {
             self.actions.push(NodeAction::Note(NodeNote::TargetEnded(digest, life)));
         }
-        // Most requests at a target that ends are under no other end; what is known of them others ask for.
+        // Most requests that ran at a terminated target are involved in no other termination; peers pull those
+        // reports.
         repeated.iter().for_each(|digest| self.send_suspect(digest));
         self.report_refusal_changes();
         self.store_refusals();
     }
 
-    /// Asks the daemons that may schedule for what this one does not know.
+    /// Pulls from the first daemons that may schedule the reports that this one lacks.
     pub(super) fn pull_suspects(&mut self) {
         if self.lethal.last_pull.is_some_and(|last| self.now < last + PULL_INTERVAL) {
             return;
@@ -162,7 +164,7 @@
         self.post(&daemon.vm, PeerMessage::SuspectsPull(SuspectsPull { known }));
     }
 
-    /// A peer asks; it gets an answer only where it has not asked before, or there is anything that it does not know.
+    /// Answers a pull if the peer has not pulled before or lacks any report.
     pub(super) fn suspects_pulled(&mut self, from: &VmId, pull: SuspectsPull) {
         let at = self.lethal.requests.at();
         if pull.known >= at {
@@ -179,22 +181,22 @@
         self.merge_suspects(push.requests);
     }
 
-    /// Peers or the platform know of suspect requests.
+    /// Merges reports on suspect requests from peers or from the platform.
     pub(super) fn merge_suspects(&mut self, reports: Vec<SuspectReport>) {
         let cleared = self.lethal.requests.merge(self.now, reports);
         cleared.iter().for_each(|digest| self.send_suspect(digest));
         self.review_lethal();
     }
 
-    /// The platform keeps that a request is refused.
+    /// Records that the platform has stored a refusal.
     pub(super) fn refusal_stored(&mut self, digest: &RequestDigest) {
         self.lethal.store_requested.remove(digest);
         self.lethal.requests.stored(digest);
         self.send_suspect(digest);
     }
 
-    /// Daemons that may schedule from now on learn what this one knows: those before them may have ended with it, or
-    /// have been out of its reach.
+    /// Sends all reports to daemons that may schedule as of now: the earlier schedulers may have ended without
+    /// passing them on, or may have been unable to reach the new ones.
     pub(super) fn send_suspects_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let requests = self.lethal.requests.since(self.now, 0);
         if requests.is_empty() {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Tells the operators which requests are refused from now on, or no longer.
+    /// Reports to the operators which requests are refused from now on, and which are no longer refused.
     fn report_refusal_changes(&mut self) {
         let refused: BTreeSet<RequestDigest> = self.lethal.requests.refused().copied().collect();
         if refused == self.lethal.reported {
@@ -230,7 +232,7 @@
         self.lethal.reported = refused;
     }
 
-    /// The first daemon in the order has the platform keep what is refused.
+    /// Has the platform store the refusals, if this daemon is first in the order of schedulers.
     fn store_refusals(&mut self) {
         if self.order.first() != Some(&self.options.me) {
             return;
@@ -249,7 +251,7 @@
     }
 }
 
-/// Whether a configuration itself names the target, so that no entry tells of its lives.
+/// Returns whether the configuration itself names the target, so that no list entry shows its instances.
 fn names_target(config: &ActiveConfig, life: &TargetLife) -> bool {
     config.pools.values().any(|pool| pool.targets.contains_key(&life.id))
 }
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Eligible daemons, ended peers, and the VM list.
+//! Handles membership: eligible daemons, ended peers, and the VM list.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `MemberView` for the peers.
 
@@ -12,11 +12,11 @@
 use crate::event::ListedVm;
 
 impl Node {
-    /// The platform has named the daemons that it knows.
+    /// Applies the list of daemons that are recorded at the platform.
     pub(super) fn daemons_listed(&mut self, records: Vec<DaemonRecord>) {
         self.members.records_listed(records);
         self.review_roles();
-        // A new daemon is known to the others at once, and they to it.
+        // Sends a heartbeat with the next tick, so that new daemons and this one learn of each other at once.
         self.last_heartbeat = None;
     }
 
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Moves permit requests to the right schedulers when the set of eligible daemons has changed.
+    /// Moves permit requests to the right schedulers after the set of eligible daemons has changed.
     pub(super) fn review_roles(&mut self) {
         if !self.members.take_changed() {
             return;
         }
         self.eligible = self.members.eligible_daemons();
-        // Records on their way to a daemon that has gone go to another one at once.
+        // Key records that were sent to a daemon that has ended are sent to another one at once.
         self.hand_over_answer.answered();
         let order = self.members.scheduler_order(ALL_POOLS);
         let schedulers = std::mem::replace(&mut self.order, order);
@@ -61,7 +61,7 @@
         self.perform(actions);
     }
 
-    /// Tells the schedulers where the entries are.
+    /// Passes the data centres of the entry daemons to the schedulers.
     pub(super) fn update_data_centres(&mut self) {
         let peers = self.members.peers().iter();
         let mut data_centres: BTreeMap<VmId, String> =
@@ -73,8 +73,8 @@
         }
     }
 
-    /// A daemon that begins to schedule, or to be asked next, knows nothing of what others gave out of
-    /// the rates.
+    /// Restarts the rate accounting if this daemon has become first or second in the order of schedulers, since it
+    /// does not know what others granted from the rates.
     fn review_rates(&mut self, before: &BTreeMap<PoolId, Vec<DaemonId>>) {
         if permit_duties(&self.orders, &self.options.me) != permit_duties(before, &self.options.me)
         {
@@ -100,7 +100,8 @@
     }
 }
 
-/// Whether a daemon is asked first for permits of some pool, and the daemons before which it is next.
+/// Returns whether a daemon is first in the order of schedulers of any pool, and the first daemons of the pools in
+/// whose order it is second.
 fn permit_duties<'a>(
     orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
     me: &DaemonId,
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between daemons, in and out.
+//! Sends messages to peers and dispatches the received ones.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: transports that may lose or delay frames.
+//! Owns: nothing; these are methods of `Node`. Relies on: nothing; transports may lose or delay frames.
 
 use curlewcleat_core::{
     DaemonId, Heartbeat, KeyAnswer, KeyClaim, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
@@ -13,7 +13,7 @@
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 
 impl Node {
-    /// Puts a message on its way; to this daemon itself without a frame.
+    /// Queues a message to a daemon; a message to this daemon itself bypasses the network.
     pub(super) fn post(&mut self, vm: &VmId, message: PeerMessage) {
         if *vm == self.options.me.vm {
             self.inbox.push_back(message);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Turns the outbox into one frame for each peer, and one for each message that has to stand alone.
+    /// Packs the outbox into one frame per peer, plus one for each message that needs a frame of its own.
     pub(super) fn flush(&mut self) {
         for (vm, messages) in std::mem::take(&mut self.outbox) {
             let Some(address) = self.members.address_of(&vm).map(str::to_string) else { continue };
@@ -143,7 +143,7 @@
         let now = self.now;
         let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
         self.return_unused(&actions);
-        // What is shed here is shed on behalf of a round that has begun already.
+        // The guard does not apply here: these requests are shed for a round that a peer has already begun.
         self.post_answers(actions);
         self.post(from, PeerMessage::ShedConfirm(raise.pool, raise.round));
     }
@@ -169,8 +169,8 @@
         self.table_advertised(&from.vm, beat.table);
     }
 
-    /// A daemon that was not known learns at once what this one knows, not only at the next heartbeat: until it
-    /// does it asks daemons that may have ended.
+    /// Sends a heartbeat at once to a daemon that was not known, instead of with the next interval. Until the new
+    /// daemon receives it, it sends its requests to daemons that may have ended.
     fn send_greeting(&mut self, address: &str) {
         let greeting = self.members.greeting(self.store.generation(), self.home.version());
         self.send_heartbeat(address.to_string(), greeting);
@@ -196,7 +196,7 @@
         self.perform(actions);
     }
 
-    /// Sends a scheduler's answers; refusals for want of capacity pass the guard of their pool.
+    /// Sends a scheduler's answers; refusals for lack of capacity pass the guard of their pool.
     pub(super) fn send_answers(&mut self, actions: Vec<SchedulerAction>) {
         self.return_unused(&actions);
         for action in actions {
@@ -209,9 +209,9 @@
         }
     }
 
-    /// Gives what refused requests were charged back to their accounts. Without that, an account at its rate
-    /// was served 220,000 of the 324,000 units a second that it may use while its pool was overloaded
-    /// (sums of the log's costs over ten seconds): the rest was charged to requests that ran nowhere.
+    /// Refunds the charges of refused requests to their accounts. Without the refund, an account at its rate was
+    /// served 220,000 of the 324,000 units per second that it may use while its pool was overloaded (sums of the
+    /// log's costs over ten seconds): the rest was charged to requests that ran nowhere.
     fn return_unused(&mut self, actions: &[SchedulerAction]) {
         for charge in actions.iter().filter_map(|action| action.unused.as_ref()) {
             self.rates.give_back(&charge.account, charge.cost);
@@ -227,14 +227,14 @@
         }
     }
 
-    /// Reachable daemons other than this one that may be asked for permits. In a large fleet these are few:
-    /// a refusal that waited until each of hundreds had confirmed would wait for the slowest of them.
+    /// Returns the reachable daemons, other than this one, that may be asked for permits. They are few even in a
+    /// large fleet: a refusal that waited for confirmation by hundreds of daemons would wait for the slowest of them.
     pub(super) fn other_schedulers(&self) -> Vec<DaemonId> {
         let others = self.order.iter().filter(|daemon| **daemon != self.options.me);
         others.filter(|daemon| self.eligible.contains(daemon)).cloned().collect()
     }
 
-    /// Those of them that were not in the order before.
+    /// Returns the VMs of the other schedulers that are not in the earlier order `before`.
     pub(super) fn new_schedulers(&self, before: &[DaemonId]) -> Vec<VmId> {
         let others = self.other_schedulers().into_iter();
         others.filter(|daemon| !before.contains(daemon)).map(|daemon| daemon.vm).collect()
@@ -246,7 +246,7 @@
         }
     }
 
-    /// The scheduler of a pool; a pool that this daemon does not know yet has no targets.
+    /// Returns the scheduler of a pool. For a pool that is not known yet it creates one without targets.
     pub(super) fn pool(&mut self, pool: &PoolId) -> &mut PoolScheduler {
         self.pools
             .entry(pool.clone())
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -1,10 +1,11 @@
-//! What targets say of themselves: from the daemon that heard it to those that may schedule.
+//! Distributes the notices of targets from the daemon that receives them to those that may schedule.
 //!
-//! The daemon that hears keeps to it by itself. The daemons that may schedule are told at once; those that come to schedule
-//! are told by everyone, since those before them may have ended with what they knew.
+//! The receiving daemon applies a notice by itself and forwards it at once to the daemons that may schedule. Daemons
+//! that become schedulers later are sent the notices by all daemons, since the earlier schedulers may have ended with
+//! what they knew.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: [`TargetGate`](curlewcleat_sched::TargetGate) for what is worth
-//! telling, and for telling it again while it is heard.
+//! Owns: nothing; these are methods of `Node`. Relies on: [`TargetGate`](curlewcleat_sched::TargetGate) to decide
+//! which notices need to be reported, and to report them again while they keep arriving.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,10 +16,10 @@
 
 use super::Node;
 
-/// Time for which those that come to schedule are told what a target said last.
+/// Time for which new schedulers are sent the last notice of a target.
 const NOTICE_RETENTION: Duration = Duration::from_secs(600);
 
-/// What targets have said to this daemon.
+/// The latest notice of each target instance that this daemon has received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReceivedNotices {
     lives: BTreeMap<TargetLife, (PoolNotice, Uptime)>,
@@ -30,7 +31,7 @@
         self.lives.insert(notice.report.life.clone(), (notice, now));
     }
 
-    /// What still counts now.
+    /// Returns the notices that are still valid now.
     fn current(&self, now: Uptime) -> Vec<PoolNotice> {
         let received =
             self.lives.values().filter(|(_, received)| now < *received + NOTICE_RETENTION);
@@ -40,7 +41,7 @@
     }
 }
 
-/// A notice after some time.
+/// Returns a notice with its age increased and its rest shortened by `time`.
 fn with_added_age(notice: &PoolNotice, time: Duration) -> PoolNotice {
     let report = &notice.report;
     let limit = report.limit.map(|limit| LimitReport { age: limit.age + time, ..limit });
@@ -50,7 +51,7 @@
 }
 
 impl Node {
-    /// A target has said something to this daemon.
+    /// Records a notice that this daemon has received and forwards it to all schedulers.
     pub(super) fn own_notice_received(&mut self, pool: PoolId, report: NoticeReport) {
         let notice = PoolNotice { pool, report };
         self.notices.record(self.now, notice.clone());
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A daemon tells what a target has said to it.
+    /// Applies a notice that a daemon has received, in the scheduler of its pool.
     pub(super) fn peer_notice_received(&mut self, from: &VmId, notice: &PoolNotice) {
         if !self.active.pools.contains_key(&notice.pool) {
             return;
@@ -71,7 +72,7 @@
         self.send_answers(actions);
     }
 
-    /// Daemons that may schedule from now on learn what targets have said to this one.
+    /// Sends the notices that this daemon has received to daemons that may schedule as of now.
     pub(super) fn send_notices_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let notices = self.notices.current(self.now);
         if notices.is_empty() {
@@ -84,13 +85,14 @@
         }
     }
 
-    /// Whether a target has said to any daemon that it leaves, also where the platform does not show it.
+    /// Returns whether a target has announced to any daemon that it leaves, even if the platform does not show it.
     pub(super) fn has_announced_leaving(&self, target: &str) -> bool {
         let states = self.pools.values().filter_map(|pool| pool.targets().get(target));
         states.into_iter().any(|state| state.word().is_leaving())
     }
 
-    /// The part of the limits of a pool's targets that this daemon grants: none while another one is asked first.
+    /// Updates the share of the limits of each pool's targets that this daemon grants: none while another daemon is
+    /// asked first.
     pub(super) fn update_rate_shares(&mut self) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let (now, part) = (self.now, self.rate_share(&pool));
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -1,4 +1,4 @@
-//! What is known of the platform: by own reads, and by way of the peers that read it.
+//! Tracks the platform's state, from this daemon's reads and from the peers that read it.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `PlatformFreshness` and `TargetView`.
 
@@ -12,7 +12,7 @@
 use crate::target_view::ViewUpdate;
 
 impl Node {
-    /// An own read that was sent then showed the configuration in force to be the newest.
+    /// Records that a read by this daemon, sent at `sent`, showed the configuration in force to be the newest.
     pub(super) fn platform_read(&mut self, sent: Uptime) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         freshness.read_succeeded(self.now, sent);
@@ -43,7 +43,7 @@
         if answer.generation > self.store.generation() {
             self.config_advertised(&from.vm, answer.generation);
         } else {
-            // What is in force here is at least as new as what the peer's read showed.
+            // The configuration in force here is at least as new as the one that the peer's read showed.
             freshness.record_proof(self.now, read);
             self.actions.push(NodeAction::Platform(PlatformCall::ConfigConfirmed(read)));
         }
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Asks a peer for the targets, unless an answer is on its way. A peer of an earlier version cannot
-    /// read the pull for their versions, or that for their starts, and drops its frame; so a repeated one is followed by
-    /// the pulls that such peers know, in other frames. A peer that reads them answers each, and the later answers
-    /// change nothing.
+    /// Pulls the targets from a peer, unless an answer is awaited. A peer of an earlier version cannot decode the
+    /// pull for target versions, or that for target instances, and drops its frame. A repeated pull is therefore
+    /// followed by the pulls that such peers know, in separate frames. A peer that can decode them answers each, and
+    /// the later answers change nothing.
     fn pull_targets(&mut self, peer: &VmId) {
         if !self.targets_pull.begin(self.now) {
             return;
@@ -139,7 +139,7 @@
         self.freshness.as_ref().is_some_and(|freshness| freshness.is_doubtful(self.now))
     }
 
-    /// Asks the daemons that read the platform how old their reads are.
+    /// Asks the daemons that read the platform for the age of their reads.
     pub(super) fn query_freshness(&mut self) {
         let proof_aging = self.is_proof_aging();
         let Some(freshness) = self.freshness.as_mut() else { return };
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Whether the readers prove too little. While a configuration is on its way here no daemon can prove the
-    /// one in force, and each answer would offer it once more.
+    /// Returns whether the proof is so old that more daemons have to be asked. While a configuration is being
+    /// fetched, no daemon can prove the one in force, and each answer would advertise the new one again.
     fn is_proof_aging(&self) -> bool {
         let proof_aging =
             self.freshness.as_ref().is_some_and(|known| known.is_proof_aging(self.now));
@@ -178,7 +178,7 @@
         self.review_freshness();
     }
 
-    /// A daemon whose view of the platform is old says so to its peers at once.
+    /// Announces to the peers at once whether this daemon's view of the platform is stale.
     fn review_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_ref() else { return };
         if self.members.set_stale(freshness.is_stale(self.now)) {
--- a/crates/node/src/node/pulls.rs
+++ b/crates/node/src/node/pulls.rs
@@ -1,7 +1,7 @@
-//! What peers have newer: configurations and key tables, in and out.
+//! Transfers newer configurations and key tables between peers, in both directions.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: [`ConfigExchange`] and [`AwaitedAnswer`] for
-//! asking once for what is on its way.
+//! Owns: nothing; these are methods of `Node`. Relies on: [`ConfigExchange`] and [`AwaitedAnswer`] so that nothing is
+//! requested while it is on its way.
 //!
 //! [`ConfigExchange`]: crate::config_exchange::ConfigExchange
 //! [`AwaitedAnswer`]: crate::awaited_answer::AwaitedAnswer
@@ -18,7 +18,7 @@
 use crate::event::{NodeAction, NodeNote};
 
 impl Node {
-    /// A peer has a configuration of this generation.
+    /// Requests a configuration that a peer advertises, if it is newer.
     pub(super) fn config_advertised(&mut self, peer: &VmId, generation: Generation) {
         let in_force = self.store.generation();
         if let Some(pull) = self.configs.pull.offered(self.now, generation, in_force) {
@@ -26,8 +26,8 @@
         }
     }
 
-    /// A peer asks for a part of a newer configuration. What it has of another one than that in force
-    /// here is of no use, so it gets the beginning.
+    /// Answers a peer's request for a part of a newer configuration. Bytes that the peer has of any other archive are
+    /// useless, so it then gets the first part.
     pub(super) fn config_part_pulled(&mut self, peer: &VmId, pull: ConfigPartPull) {
         if pull.known >= self.store.generation() {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A peer has sent a whole configuration.
+    /// Applies a whole configuration that a peer has sent.
     pub(super) fn config_pushed(&mut self, bundle: ConfigBundle) {
         let (generation, bytes) = (bundle.generation, bundle.text_bytes());
         let before = self.store.generation();
@@ -90,17 +90,17 @@
         }
     }
 
-    /// A peer has a key table of this version.
+    /// Requests a key table that a peer advertises, if it is newer.
     pub(super) fn table_advertised(&mut self, peer: &VmId, version: ObjectVersion) {
         if version <= self.home.version() || !self.table_pull.begin(self.now) {
             return;
         }
-        // The configuration comes in parts, so no generation is asked for here.
+        // Configurations are fetched in parts, so this pull requests none.
         let pull = StatePull { generation: Generation::MAX, table: self.home.version() };
         self.post(peer, PeerMessage::StatePull(pull));
     }
 
-    /// A peer asks for what it has not, whole.
+    /// Answers a peer's pull with the whole configuration and key table, where the peer's are older.
     pub(super) fn state_pulled(&mut self, peer: &VmId, pull: StatePull) {
         if pull.generation < self.store.generation() {
             self.push_whole(peer);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Sends a whole configuration, unless one is on its way to the peer.
+    /// Sends a whole configuration, unless one was sent to the peer a short time ago.
     fn push_whole(&mut self, peer: &VmId) {
         let Some(bundle) = self.store.bundle().cloned() else { return };
         if self.configs.begin_whole_push(self.now, peer) {
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: admission, and the actions of the entry.
+//! Admits callers' requests and performs the actions of the entry daemon.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `EntryRequests` for the phases of a request.
 
@@ -16,21 +16,20 @@
 use super::{cached_order, Node};
 use crate::event::{CallerDecision, NodeAction, NodeNote};
 
-/// Share of the request limit, in percent, that each tier may use less than the one above it, so that
-/// an entry that fills up refuses the lowest tier first.
+/// Share of the request limit, in percent, by which each tier's limit is below that of the tier above, so that an
+/// entry daemon that fills up refuses the lowest tier first.
 const PERCENT_PER_TIER: usize = 10;
 /// Share of the request limit that every tier may use, in percent.
 const PERCENT_FOR_ALL: usize = 50;
 
-/// Advice where the daemon itself takes no request in.
+/// Retry advice when the daemon refuses a request at admission.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Advice of a daemon that stops. Load pattern: all daemons are replaced one after the other, and callers'
-/// connections stay with those that stop. Another daemon has room now, so that a wait only makes the answer
-/// late: with none, credit of the requests of a day with such a series rose from .827 to .844 (mean of six
-/// seeds).
+/// Retry advice of a daemon that is stopping. When all daemons are replaced one after the other, callers' connections
+/// stay with the stopping ones, while another daemon already has capacity, so that a wait only delays the answer.
+/// With no wait, credit of the requests of a day with such a series rose from .827 to .844 (mean of six seeds).
 const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
 
-/// When the caller of a request that is not taken in may come back.
+/// Returns the time after which the caller of a request that is not admitted may retry.
 fn retry_after(reason: RefusalReason) -> Duration {
     match reason {
         RefusalReason::Draining => DRAINING_RETRY_AFTER,
@@ -68,7 +67,7 @@
         self.perform(actions);
     }
 
-    /// Charges a permit request to its account's rate, where it arrives here for the first time.
+    /// Charges a permit request to its account's rate when the request arrives for the first time.
     pub(super) fn charge(&mut self, request: &PermitRequest) -> Result<(), Duration> {
         let known = self.pools.get(&request.pool).is_some_and(|pool| pool.knows(&request.permit));
         if known || request.permit.attempt > 0 {
@@ -80,8 +79,8 @@
         self.rates.take(self.now, &request.account, &rate, request.cost, part)
     }
 
-    /// The refusal of a permit request for which there is no room in its account's rate. Where the
-    /// daemon that keeps the rate is unresponsive, there may be room once another one has taken over.
+    /// Returns the refusal of a permit request that exceeds its account's rate. If the daemon that keeps the rate is
+    /// unresponsive, there may be capacity once another daemon has taken over.
     pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
         let (reason, wait) = match self.own_rate_role(&request.pool) {
             RateTurn::Leader => (RefusalReason::AccountRate, wait),
@@ -91,16 +90,16 @@
         Refusal::not_run(reason, Some(advice))
     }
 
-    /// The part of what all daemons share that this one gives out for a pool.
+    /// Returns the share of the common rates that this daemon grants for a pool.
     pub(super) fn rate_share(&self, pool: &str) -> RatePart {
         match self.own_rate_role(pool) {
             RateTurn::Leader => self.members.reached_part(self.now),
-            // Another daemon gives it out; this one was asked because that one seems unresponsive.
+            // Another daemon grants the rates; this one was asked because that one seems unresponsive.
             turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
         }
     }
 
-    /// Whether this daemon is to be asked for permits of a pool first, next, or later.
+    /// Returns whether this daemon is first, second or later in the order of schedulers of a pool.
     fn own_rate_role(&self, pool: &str) -> RateTurn {
         let order = self.orders.get(pool).map_or(&[][..], Vec::as_slice);
         match order.iter().position(|daemon| *daemon == self.options.me) {
@@ -155,7 +154,7 @@
     }
 
     pub(super) fn dispatch(&mut self, permit: PermitId, target: &str) {
-        // Engines may have ended under it, here or elsewhere, since it was admitted.
+        // Targets may have terminated while running this request, here or elsewhere, since it was admitted.
         let digest = self.entry.digest_of(permit.request);
         if let Some(refusal) = self.lethal_refusal(digest) {
             return self.refuse_granted(permit.request, refusal);
@@ -165,7 +164,7 @@
         let mut pools = config.pools.iter();
         let known = pools.find_map(|(id, pool)| Some((id, pool.targets.get(target)?)));
         if known.is_some_and(|(pool, entry)| self.is_shut(pool, entry)) {
-            // Its version has been sent back, or moved from, since the permit was granted.
+            // The version was rolled back or replaced since the permit was granted.
             return self.attempt_not_run(
                 permit.request,
                 AttemptEnd::Unused,
@@ -180,7 +179,7 @@
                     CallerDecision::Dispatch(permit, entry),
                 ));
             }
-            // The scheduler's view is older, or newer, than this daemon's; nothing was sent anywhere.
+            // The scheduler's view is older or newer than this daemon's. Nothing was sent to any target.
             None => {
                 self.attempt_not_run(permit.request, AttemptEnd::Unused, RetryReason::TargetUnknown)
             }
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -1,8 +1,9 @@
-//! Roll-outs: the orders that the platform shows, what targets of each version may get, and who decides.
+//! Handles rollouts: the orders on the platform, what targets of each version may get, and the decisions.
 //!
-//! The daemon that schedules decides; those that read the platform show it the orders, all daemons show it the answers of the
-//! targets, and it tells all of them how far each order is. Every grant passes [`Node::is_shut`] before it is used, so that one
-//! that was given before, or by a scheduler that knows less, comes to nothing.
+//! The daemon that schedules decides. Daemons that read the platform pass it the orders, all daemons pass it the
+//! answers of the targets, and it reports the stage of each order to all of them. Every grant passes
+//! [`Node::is_shut`] before it is used, so that a grant that was given earlier, or by a scheduler that knows less, is
+//! discarded.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`PoolVersions`] for the rules.
 
@@ -25,19 +26,20 @@
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 use crate::status::RolloutStatus;
 
-/// Time between two reports of the answers that were seen.
+/// Interval between reports of observed answers to the schedulers.
 const ANSWER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two words of how far an order is, and the time for which it is told after its end.
+/// Interval between reports of the stage of the orders, and the time for which it is reported after the order has
+/// ended.
 const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 const ENDED_ROLLOUT_REPORT_TIME: Duration = Duration::from_secs(60);
-/// Time between two wishes to know the orders anew, while a version is held back.
+/// Interval between requests to read the orders again while a version is held back.
 const HELD_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node keeps of roll-outs.
+/// Rollout state of a node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutExchange {
     pools: BTreeMap<PoolId, PoolVersions>,
-    /// When the orders were read that are known.
+    /// When the read was sent that showed the known orders.
     last_read: Option<Uptime>,
     last_read_request: Option<Uptime>,
     observed: BTreeMap<PoolId, ObservedAnswers>,
@@ -47,24 +49,24 @@
 }
 
 impl Node {
-    /// Whether the answers of a pool's targets are to be noted.
+    /// Returns whether the answers of a pool's targets have to be recorded.
     pub(super) fn is_rolled_out(&self, pool: &str) -> bool {
         self.rollouts.pools.get(pool).is_some_and(PoolVersions::is_under_way)
     }
 
-    /// Whether nothing may go to a target since its version was sent back, or the pool is moved from it.
+    /// Returns whether a target gets no requests because its version was rolled back or is being replaced.
     pub(super) fn is_shut(&self, pool: &str, target: &TargetEntry) -> bool {
         self.rollouts.pools.get(pool).is_some_and(|versions| versions.is_shut(&target.version))
     }
 
-    /// The same where only the target's name is known.
+    /// Returns the same as [`Node::is_shut`] for a target of which only the name is known.
     pub(super) fn is_shut_target(&self, target: &str) -> bool {
         let mut pools = self.active.pools.iter();
         pools
             .any(|(id, pool)| pool.targets.get(target).is_some_and(|entry| self.is_shut(id, entry)))
     }
 
-    /// The platform shows these orders, and no others.
+    /// Applies the complete list of orders that the platform shows at revision `at`.
     pub(super) fn rollouts_listed(
         &mut self,
         records: Vec<RolloutRecord>,
@@ -96,7 +98,7 @@
         self.apply_version_changes(changed);
     }
 
-    /// A peer tells how far an order is.
+    /// Applies a peer's report of the stage of an order.
     pub(super) fn rollout_report_received(&mut self, news: &RolloutNews) {
         let pool = &news.order.pool;
         if self.options.rollout.is_none() || !self.active.pools.contains_key(pool) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Performs the periodic work of all rollouts.
     pub(super) fn step_rollouts(&mut self) {
         let Some(limits) = self.options.rollout else { return };
         self.request_held_orders();
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Wants to know the orders anew while a version is held back; what they tell may release it.
+    /// Requests another read of the orders while a version is held back, since it may release the version.
     fn request_held_orders(&mut self) {
         let is_held = |versions: &PoolVersions| versions.held().next().is_some();
         if !self.rollouts.pools.values().any(is_held) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Decides what is next for the order of a pool, where this daemon decides.
+    /// Decides the next step of a pool's order, if this daemon is the one that decides.
     fn step_rollout(&mut self, pool: &PoolId, limits: RolloutLimits) {
         let leads_since = self.rollouts.leads_since;
         let decides = self.rate_share(pool).turn == RateTurn::Leader;
@@ -202,7 +204,7 @@
         self.actions.push(NodeAction::Platform(PlatformCall::WriteRollout(write)));
     }
 
-    /// Tells all peers how far the orders are.
+    /// Reports the stage of the orders to all reachable peers.
     fn send_rollout_reports(&mut self) {
         let now = self.now;
         let due = |rollout: &&PoolRollout| {
@@ -221,14 +223,14 @@
         }
     }
 
-    /// What the targets of each version may get is worked out anew, and kept to where it has changed.
+    /// Evaluates anew what the targets of each version may get, and rebuilds the configuration if that has changed.
     fn apply_version_changes(&mut self, changed: bool) {
         if self.review_versions() || changed {
             self.rebuild_active();
         }
     }
 
-    /// Looks which versions the targets show; returns whether what any of them may get has changed.
+    /// Checks which versions the targets report; returns whether what any of them may get has changed.
     pub(super) fn review_versions(&mut self) -> bool {
         if self.options.rollout.is_none() {
             return false;
@@ -254,7 +256,7 @@
         changed
     }
 
-    /// The schedulers keep to what each version may get.
+    /// Passes what each version may get to the schedulers.
     pub(super) fn apply_versions(&mut self) {
         for (pool, versions) in &self.rollouts.pools {
             if let Some(scheduler) = self.pools.get_mut(pool) {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// What operators see of all orders.
+    /// Returns the status of all orders for operators.
     pub(super) fn rollout_statuses(&self) -> Vec<RolloutStatus> {
         self.rollouts.pools.keys().filter_map(|pool| self.rollout_status(pool)).collect()
     }
--- a/crates/node/src/node/rollouts/answers.rs
+++ b/crates/node/src/node/rollouts/answers.rs
@@ -1,6 +1,7 @@
-//! The answers of targets that this daemon has observed during a roll-out: to the daemons that may schedule, and from them.
+//! Exchanges the answers of targets that daemons observe during a rollout.
 //!
-//! Owns: what was observed here, until the roll-out ends. Relies on: the daemon's requests, which tell what they see at once.
+//! Owns: the answers that were observed here, until the rollout ends. Relies on: the daemon's requests, which report
+//! each observation at once.
 
 use curlewcleat_core::{
     AnswerSample, DaemonId, PeerMessage, PoolId, RolloutAnswers, TargetVersion,
@@ -9,19 +10,20 @@
 
 use crate::node::Node;
 
-/// Answers of versions in service that one report has at most: they are many, and stand for each other.
+/// Maximum number of answers of other versions in one report: these answers are many, and a sample of them represents
+/// the rest.
 const OTHERS_PER_REPORT: usize = 16;
-/// Answers that are kept for daemons that come to schedule.
+/// Answers that are kept for daemons that become schedulers later.
 const ANSWERS_KEPT: usize = 512;
 
-/// Answers that this daemon has observed during one roll-out.
+/// Answers that this daemon has observed during one rollout.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedAnswers {
     version: TargetVersion,
-    /// How many have been dropped, and how many have been told.
+    /// How many answers were dropped, and the position up to which they were sent.
     dropped: u64,
     sent_until: u64,
-    /// How many of other versions have not been told.
+    /// Answers of other versions since the last report.
     unsent_others: usize,
     samples: Vec<AnswerSample>,
 }
@@ -42,7 +44,7 @@
         true
     }
 
-    /// Those from a position on among all that were observed.
+    /// Returns the kept answers from a position among all observed answers.
     fn since(&self, pool: &PoolId, position: u64) -> Option<RolloutAnswers> {
         let first = position.max(self.dropped);
         let skipped = usize::try_from(first - self.dropped).unwrap_or(usize::MAX);
@@ -56,7 +58,7 @@
 }
 
 impl Node {
-    /// A target has answered a request of this daemon.
+    /// Records the answer of a target to a request of this daemon.
     pub(in crate::node) fn answer_observed(&mut self, pool: PoolId, sample: AnswerSample) {
         let Some(rollout) = self.rollouts.pools.get_mut(&pool).and_then(PoolVersions::rollout_mut)
         else {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// A peer tells what answers it has observed.
+    /// Records the answers that a peer has observed.
     pub(in crate::node) fn peer_answers_received(
         &mut self,
         from: &DaemonId,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Tells the daemons that may schedule what answers this one has observed since the last report.
+    /// Sends the answers observed since the last report to the daemons that may schedule.
     pub(super) fn report_answers(&mut self) {
         let mut reports = Vec::new();
         for (pool, observed) in &mut self.rollouts.observed {
@@ -106,7 +108,7 @@
         ended.iter().for_each(|pool| drop(self.rollouts.observed.remove(pool)));
     }
 
-    /// Daemons that may schedule from now on learn what answers this one has observed before.
+    /// Sends all kept answers to daemons that may schedule as of now.
     pub(in crate::node) fn send_answers_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let observed = self.rollouts.observed.iter();
         let reports: Vec<RolloutAnswers> =
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -1,7 +1,7 @@
-//! The planned stop.
+//! Performs the planned stop.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `DrainState` for when to end, `KeyHome` for the
-//! records that go to other daemons.
+//! Owns: nothing; these are methods of `Node`. Relies on: `DrainState` for when to end, `KeyHome` for the key records
+//! that are handed over to other daemons.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use super::Node;
 use crate::event::{NodeAction, NodeNote};
 
-/// First wait for the acknowledgement of records: a link of 10 Mbit/s carries 20,000 keys meanwhile; sent with each
-/// tick they filled it fifty times.
+/// First wait for the acknowledgement of key records. A link of 10 Mbit/s carries 20,000 keys in this time; sent
+/// again with each tick they filled it fifty times.
 pub(super) const HAND_OVER_ACK_WAIT: Duration = Duration::from_secs(1);
 
 impl Node {
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -1,4 +1,4 @@
-//! What the node does as time passes.
+//! Performs the periodic work of the node.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: a tick every few milliseconds.
 
@@ -9,11 +9,11 @@
 use super::{cached_order, Node};
 use crate::event::{NodeAction, NodeNote};
 
-/// Time between looks whether the key table has to change, and between pulls.
+/// Interval between reviews of the key table, the lethal requests and the waiting pools.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Heartbeats within the time of one while a daemon announces itself.
+/// Factor by which heartbeats are more frequent while a daemon announces itself.
 const ANNOUNCING_HEARTBEAT_FACTOR: u32 = 4;
-/// Time between clean-ups of old keys.
+/// Interval between clean-ups of expired keys.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Node {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends a heartbeat, also to an address of which no daemon was heard.
+    /// Sends a heartbeat, even to an address from which no daemon has been heard from.
     pub(super) fn send_heartbeat(&mut self, address: String, beat: Heartbeat) {
         let messages = vec![PeerMessage::Heartbeat(beat)];
         let frame = PeerFrame { from: self.options.me.clone(), messages };
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node.
+//! Builds the status of a node for operators.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`NodeStatus`] for the form.
 
@@ -9,7 +9,7 @@
 use crate::status::{GrantedPart, NodeStatus, PoolStatus, TargetStatus};
 
 impl Node {
-    /// A view for operators.
+    /// Returns the status for operators.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             me: self.options.me.clone(),
@@ -44,7 +44,7 @@
             limit: state.word().rate(),
             rests: state.rests(self.now),
         });
-        // The order names at least this daemon.
+        // The order contains at least this daemon.
         let order = self.members.scheduler_order(self.scheduling_subject(id));
         PoolStatus {
             id: id.clone(),
--- a/crates/node/src/pool_options.rs
+++ b/crates/node/src/pool_options.rs
@@ -1,9 +1,9 @@
-//! Turns the configuration into what the schedulers need.
+//! Derives the options of the schedulers from the configuration.
 
 use curlewcleat_core::{ActiveConfig, TargetPool};
 use curlewcleat_sched::{AccountLimit, PoolOptions};
 
-/// Options of a pool's scheduler.
+/// Returns the options of a pool's scheduler.
 pub(crate) fn pool_options(
     config: &ActiveConfig,
     pool: &TargetPool,
@@ -17,7 +17,7 @@
         };
         (account.id.clone(), limit)
     });
-    // Without tiers no rule passes the check, so that no request needs the rank.
+    // Without tiers no rule passes the checks, so no request needs the rank.
     let lowest = config.tiers.values().map(|tier| tier.rank).max().unwrap_or(0);
     PoolOptions {
         queue_limit: pool.queue_limit as usize,
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -1,4 +1,4 @@
-//! A view of a node for operators and metrics.
+//! Defines the status of a node for operators and metrics.
 //!
 //! Owns: the form of a status inside the product. Relies on: nothing.
 
@@ -22,24 +22,24 @@
     pub slots: u32,
     /// Learned slowness in thousandths.
     pub slowness: u64,
-    /// Whether it leaves.
+    /// Whether the target is leaving.
     pub leaving: bool,
-    /// Whether it is ejected for failures.
+    /// Whether the target is ejected because of failures.
     pub ejected: bool,
-    /// The requests a second that it takes from all daemons, by its own word, `None` for any number.
+    /// The requests per second that the target accepts from all daemons, as it reports itself, `None` if unlimited.
     pub limit: Option<RequestRate>,
-    /// Whether it has asked any daemon for rest that lasts.
+    /// Whether the target has requested rest from any daemon and the rest still lasts.
     pub rests: bool,
 }
 
-/// The part of the work of one urgency that was granted.
+/// The share of the requested work of one urgency that was granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantedPart {
     /// Rank of the tier.
     pub tier: TierRank,
     /// Rank of the rules.
     pub urgency: TierRank,
-    /// Part, in percent.
+    /// Share, in percent.
     pub percent: u64,
 }
 
@@ -54,17 +54,17 @@
 pub struct PoolStatus {
     /// Name.
     pub id: PoolId,
-    /// VM that schedules it.
+    /// VM that schedules the pool.
     pub scheduler: String,
     /// Requests that wait here.
     pub waiting: usize,
-    /// Those of them that can no longer begin in time.
+    /// Waiting requests that can no longer start in time.
     pub late: usize,
-    /// Of each urgency of each tier the part of the work asked for that was granted here lately, in percent.
+    /// The share of the requested work that was granted here recently, for each urgency of each tier.
     pub granted: Vec<GrantedPart>,
     /// Permits given here and in use.
     pub in_flight: usize,
-    /// Lowest tier taken in here, `None` for all.
+    /// Lowest tier that is admitted here, `None` for all.
     pub lowest_open: Option<TierRank>,
     /// Targets.
     pub targets: Vec<TargetStatus>,
@@ -77,43 +77,43 @@
     pub pool: PoolId,
     /// The version.
     pub version: TargetVersion,
-    /// How far it is.
+    /// Stage of the order.
     pub stage: RolloutStage,
-    /// Time since the order was known to any daemon.
+    /// Time since any daemon first knew the order.
     pub age: Duration,
-    /// Time within which the pool is to have the version, `None` where the order names no usable one.
+    /// Time within which the pool has to be moved to the version, `None` if the order names no usable one.
     pub time: Option<Duration>,
-    /// Requests granted by this daemon during the trial, and those of them that went to the version.
+    /// Requests granted by this daemon during the trial, and how many of them went to the version.
     pub requests: u64,
     pub trial_requests: u64,
-    /// Answers of the version and of others that are known here.
+    /// Answers of the version and of other versions that are known here.
     pub answers: usize,
     pub other_answers: usize,
-    /// Answers of the version that failed or broke off.
+    /// Answers of the version that failed or were interrupted.
     pub bad_answers: u64,
 }
 
 /// Bytes of configurations that peers have sent to a daemon since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigIntake {
-    /// Of those that were needed.
+    /// Bytes of configurations that were needed.
     pub taken: u64,
-    /// Of those that were here already, or too old.
+    /// Bytes of configurations that were here already or too old.
     pub unused: u64,
 }
 
-/// A daemon as it sees itself and its peers.
+/// The state of a daemon and its view of its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
     /// This daemon.
     pub me: DaemonId,
     /// Configuration in force.
     pub generation: Generation,
-    /// Known key table.
+    /// Version of the known key table.
     pub table: ObjectVersion,
-    /// Requests under which targets ended, or may have.
+    /// Requests that terminated their targets, or are suspected of it.
     pub suspects: Vec<SuspectReport>,
-    /// Those that are refused for good.
+    /// Requests that are refused permanently.
     pub refused: Vec<RequestDigest>,
     /// Key slots held.
     pub key_slots: usize,
@@ -125,7 +125,7 @@
     pub rollouts: Vec<RolloutStatus>,
     /// Configurations that peers have sent.
     pub config_intake: ConfigIntake,
-    /// Planned stop.
+    /// Phase of the planned stop.
     pub drain: DrainPhase,
     /// Pools.
     pub pools: Vec<PoolStatus>,
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -1,13 +1,12 @@
-//! The targets that announced themselves, as the platform showed them at a revision.
+//! Holds the discovered targets as the platform lists them at a revision.
 //!
-//! A daemon learns of them from the platform itself or from a peer that reads it. The view keeps the
-//! latest changes, so that a peer that knows an earlier revision gets only what it lacks.
+//! A daemon learns of them from the platform itself or from a peer that reads it. The view keeps the latest changes,
+//! so that a peer that knows an earlier revision gets only what it lacks.
 //!
-//! A target may start again under its id. An entry of an earlier life than the latest that was seen says
-//! nothing any more, whatever revision it has: its target may write it late.
+//! A target may restart under its id. A list entry of an earlier instance than the latest known one is ignored,
+//! whatever its revision: the target may have written it late.
 //!
-//! Owns: the targets that announced themselves, and recent changes. Relies on: revisions of the
-//! platform.
+//! Owns: the discovered targets and recent changes. Relies on: revisions of the platform.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,53 +17,54 @@
 
 use crate::ended_lives::EndedLives;
 
-/// Changes that are kept for peers.
+/// Number of changes that are kept for peers.
 const LOG_LENGTH: usize = 256;
 
-/// Whether an update follows on what the view has.
+/// Result of applying an update to the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewUpdate {
-    /// It was taken in.
+    /// The update was applied.
     Applied,
-    /// It says nothing new.
+    /// The update contains nothing new.
     Stale,
-    /// Changes in between are missing.
+    /// Changes between the view and the update are missing.
     Gap,
 }
 
-/// An entry stated another life of its target than is known.
+/// A list entry that stated another instance of its target than the known one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LifeNews {
     /// The target.
     pub target: TargetId,
-    /// The start that its entry stated.
+    /// The start that the list entry stated.
     pub stated: TargetStart,
     /// The latest start that was known.
     pub known: TargetStart,
 }
 
 impl LifeNews {
-    /// Whether the entry was one of an earlier life, and left out; else the target has started again.
+    /// Returns whether the list entry was one of an earlier instance and was ignored; otherwise the target has
+    /// restarted.
     pub fn is_late(&self) -> bool {
         self.stated < self.known
     }
 }
 
-/// A target's entry has gone.
+/// A target whose list entry was removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GoneTarget {
     /// The target.
     pub target: TargetId,
-    /// Whether it had said that it leaves; one that had not has most likely ended without notice.
+    /// Whether the target had announced that it leaves; one that had not has most likely terminated without notice.
     pub left: bool,
 }
 
-/// The targets at a revision of the platform, and those that may come back.
+/// The targets at a revision of the platform, and unlisted ones that may return.
 #[derive(Clone, Debug, Default)]
 pub struct TargetView {
     listed: BTreeMap<TargetId, DiscoveredTarget>,
-    /// Targets that vanished while the platform failed. They may have lost their entry without having
-    /// ended, and are used until they are back or the platform has settled.
+    /// Targets that vanished while the platform failed. They may have lost their list entry without having
+    /// terminated, and are used until they are listed again or the platform has settled.
     missing: BTreeMap<TargetId, DiscoveredTarget>,
     ended: EndedLives,
     instance_changes: Vec<LifeNews>,
@@ -76,38 +76,38 @@
 }
 
 impl TargetView {
-    /// Revision up to which the targets are known.
+    /// Returns the revision up to which the targets are known.
     pub fn at(&self) -> ObjectVersion {
         self.at
     }
 
-    /// All targets in use.
+    /// Returns all targets in use.
     pub fn targets(&self) -> Vec<DiscoveredTarget> {
         self.listed.values().chain(self.missing.values()).cloned().collect()
     }
 
-    /// Number of targets that the platform shows.
+    /// Returns the number of targets that the platform lists.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Whether the platform shows none.
+    /// Returns whether the platform lists no targets.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
     }
 
-    /// Whether the platform shows a life, or would if it had not failed.
+    /// Returns whether the platform lists a target instance, or would if it had not failed.
     pub fn shows(&self, life: &TargetLife) -> bool {
         let known = self.listed.get(&life.id).or_else(|| self.missing.get(&life.id));
         known.is_some_and(|known| LifeOrder::of(life.start, known.entry.start) == LifeOrder::Same)
     }
 
-    /// Whether a target has said that it leaves.
+    /// Returns whether a target has announced that it leaves.
     pub fn is_leaving(&self, target: &str) -> bool {
         self.listed.get(target).is_some_and(|known| known.leaving)
     }
 
-    /// Takes all targets at a revision. `doubtful` says whether those that are missing may come back.
+    /// Applies a list of all targets at a revision. `doubtful` states whether missing targets may return.
     pub fn apply_list(
         &mut self,
         targets: Vec<DiscoveredTarget>,
@@ -120,7 +120,7 @@
         let mut before = std::mem::take(&mut self.listed);
         for target in targets {
             let id = &target.entry.id;
-            // An entry that moves between two pages of a list stands in both.
+            // A list entry that moves from one page of a list to another may appear in both.
             let listed = before.remove(id).or_else(|| self.listed.remove(id));
             self.insert_entry(target, listed);
         }
@@ -128,13 +128,13 @@
             self.remove_entry(id, target, doubtful);
         }
         self.at = at;
-        // What happened between the revisions is not known, so the log begins anew.
+        // The changes between the two revisions are unknown, so the log starts anew.
         self.log_from = at;
         self.log.clear();
         ViewUpdate::Applied
     }
 
-    /// Takes the changes between two revisions.
+    /// Applies the changes between two revisions.
     pub fn apply_changes(
         &mut self,
         from: ObjectVersion,
@@ -161,7 +161,7 @@
         ViewUpdate::Applied
     }
 
-    /// What a peer lacks that knows the targets up to a revision.
+    /// Returns what a peer lacks that knows the targets up to a revision.
     pub fn since(&self, known: ObjectVersion) -> TargetsContent {
         if known < self.log_from || known > self.at {
             return TargetsContent::All(self.listed.values().cloned().collect());
@@ -170,18 +170,18 @@
         TargetsContent::Since(known, changes.map(|(_, change)| change.clone()).collect())
     }
 
-    /// The lives that entries stated since the last call.
+    /// Returns the changed instances that list entries stated since the last call.
     pub fn take_instance_changes(&mut self) -> Vec<LifeNews> {
         std::mem::take(&mut self.instance_changes)
     }
 
-    /// The targets whose entries have gone since the last call.
+    /// Returns the targets whose list entries were removed since the last call.
     pub fn take_removed(&mut self) -> Vec<GoneTarget> {
         std::mem::take(&mut self.removed)
     }
 
-    /// The platform has settled: what is still missing has ended. Returns whether any target was
-    /// removed.
+    /// Drops the targets that are still missing, once the platform has settled. Returns whether any target was
+    /// dropped.
     pub fn settle(&mut self) -> bool {
         let changed = !self.missing.is_empty();
         self.missing.clear();
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Takes an entry in, of a target that was listed so before. In the same life a target that leaves
-    /// never stays after all, and its start stays known where a peer does not tell it.
+    /// Inserts a list entry of a target whose earlier entry was `listed`. Within one instance, a target that leaves
+    /// never stops leaving, and its start stays known if a peer does not report it.
     fn insert_entry(&mut self, mut stated: DiscoveredTarget, listed: Option<DiscoveredTarget>) {
         let id = stated.entry.id.clone();
         let known = listed.as_ref().or_else(|| self.missing.get(&id));
