--- a/crates/node/src/config_pull.rs
+++ b/crates/node/src/config_pull.rs
@@ -53,8 +53,9 @@
     ) -> Option<ConfigPartPull> {
         self.drop_stalled(now, in_force);
         // A peer with an older generation than the partial archive has no part of it.
-        let least = self.partial.as_ref().map_or(in_force + 1, |partial| partial.id.generation);
-        (offered >= least && self.answer.begin(now)).then(|| self.next_pull(in_force))
+        let min_generation =
+            self.partial.as_ref().map_or(in_force + 1, |partial| partial.id.generation);
+        (offered >= min_generation && self.answer.begin(now)).then(|| self.next_pull(in_force))
     }
 
     /// Returns whether a part is awaited, or some have arrived and more are missing.
@@ -74,7 +75,7 @@
             self.answer.answered();
             return PartOutcome::Unused;
         }
-        if !self.keep(now, part, in_force) {
+        if !self.store_part(now, part, in_force) {
             return PartOutcome::Unused;
         }
         self.answer.answered();
@@ -101,7 +102,7 @@
     }
 
     /// Appends a part to the partial archive, or starts a newer archive with it. Returns whether the part was kept.
-    fn keep(&mut self, now: Uptime, part: ConfigPart, in_force: Generation) -> bool {
+    fn store_part(&mut self, now: Uptime, part: ConfigPart, in_force: Generation) -> bool {
         let id = part.archive;
         let usable = id.generation > in_force
             && self.unusable != Some(id)
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -242,7 +242,7 @@
     }
 
     /// Returns whether targets that vanish now may return, since the platform failed a short time ago.
-    pub fn is_doubtful(&self, now: Uptime) -> bool {
+    pub fn is_removal_uncertain(&self, now: Uptime) -> bool {
         match self.reach {
             PlatformReach::Reachable => false,
             PlatformReach::Unreachable => true,
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -52,10 +52,11 @@
         interruption: RequestBreak,
     ) {
         let life = &interruption.life;
-        let announced = self.targets.shows(life);
-        let told = self.targets.is_leaving(&life.id) || self.has_announced_leaving(&life.id);
-        let leaving = told || self.is_shut_target(&life.id);
-        if leaving || !announced && !names_target(&self.store.active(), life) {
+        let listed = self.targets.shows(life);
+        let announced_leaving =
+            self.targets.is_leaving(&life.id) || self.has_announced_leaving(&life.id);
+        let leaving = announced_leaving || self.is_shut_target(&life.id);
+        if leaving || !listed && !names_target(&self.store.active(), life) {
             return;
         }
         if self.lethal.requests.broken_off(self.now, digest, interruption) {
@@ -113,13 +114,13 @@
         if self.lethal.requests.is_empty() {
             return;
         }
-        let doubtful = self.is_doubtful();
+        let uncertain = self.is_removal_uncertain();
         let config = self.store.active();
         let targets = &self.targets;
         let sight = |life: &TargetLife| {
             if names_target(&config, life) {
                 LifeSight::Shown
-            } else if doubtful {
+            } else if uncertain {
                 LifeSight::Unknown
             } else if targets.shows(life) {
                 LifeSight::Shown
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -56,7 +56,7 @@
 
     pub(super) fn message(&mut self, from: &DaemonId, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(beat) => self.heartbeat_received(from, &beat),
+            PeerMessage::Heartbeat(heartbeat) => self.heartbeat_received(from, &heartbeat),
             PeerMessage::StatePull(pull) => self.state_pulled(&from.vm, pull),
             PeerMessage::ConfigPush(bundle) => self.config_pushed(bundle),
             PeerMessage::TablePush(push) => self.table_pushed(push),
@@ -70,7 +70,7 @@
             }
             PeerMessage::PermitRequest(request) => self.permit_requested(from, request),
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
-            PeerMessage::PermitReturn(back) => self.permit_returned(&back),
+            PeerMessage::PermitReturn(returned) => self.permit_returned(&returned),
             PeerMessage::PermitHeld(held) => self.permit_held(from, held),
             PeerMessage::ShedRequest(raise) => self.shed_requested(&from.vm, raise),
             PeerMessage::ShedConfirm(pool, round) => {
@@ -125,12 +125,12 @@
         self.send_answers(actions);
     }
 
-    fn permit_returned(&mut self, back: &PermitReturn) {
+    fn permit_returned(&mut self, returned: &PermitReturn) {
         let now = self.now;
-        if let Some(charge) = self.pool(&back.pool).charge_of_waiting(&back.permit) {
+        if let Some(charge) = self.pool(&returned.pool).charge_of_waiting(&returned.permit) {
             self.rates.give_back(&charge.account, charge.cost);
         }
-        let actions = self.pool(&back.pool).give_back(now, back);
+        let actions = self.pool(&returned.pool).give_back(now, returned);
         self.send_answers(actions);
     }
 
@@ -154,10 +154,10 @@
         self.post(from, PeerMessage::KeyAnswer(answer));
     }
 
-    pub(super) fn heartbeat_received(&mut self, from: &DaemonId, beat: &Heartbeat) {
-        let change = self.members.heartbeat_received(self.now, from, beat);
+    pub(super) fn heartbeat_received(&mut self, from: &DaemonId, heartbeat: &Heartbeat) {
+        let change = self.members.heartbeat_received(self.now, from, heartbeat);
         if change.newcomer {
-            self.send_greeting(&beat.address);
+            self.send_greeting(&heartbeat.address);
         }
         if let Some(ended) = change.ended {
             self.actions.push(NodeAction::Note(NodeNote::PeerReplaced(ended.clone())));
@@ -165,8 +165,8 @@
         }
         self.entry.heartbeat_received(self.now, &from.vm);
         self.review_roles();
-        self.config_advertised(&from.vm, beat.generation);
-        self.table_advertised(&from.vm, beat.table);
+        self.config_advertised(&from.vm, heartbeat.generation);
+        self.table_advertised(&from.vm, heartbeat.table);
     }
 
     /// Sends a heartbeat at once to a daemon that was not known, instead of with the next interval. Until the new
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -101,9 +101,9 @@
     }
 
     pub(super) fn targets_listed(&mut self, targets: Vec<DiscoveredTarget>, at: ObjectVersion) {
-        let doubtful = self.is_doubtful();
+        let uncertain = self.is_removal_uncertain();
         let known = self.targets.at();
-        if self.targets.apply_list(targets, at, doubtful) == ViewUpdate::Applied {
+        if self.targets.apply_list(targets, at, uncertain) == ViewUpdate::Applied {
             self.note_target_changes();
             self.refresh_discovered();
             return;
@@ -117,9 +117,9 @@
         changes: Vec<TargetChange>,
         at: ObjectVersion,
     ) -> ViewUpdate {
-        let doubtful = self.is_doubtful();
+        let uncertain = self.is_removal_uncertain();
         let changed = !changes.is_empty();
-        let update = self.targets.apply_changes(from, changes, at, doubtful);
+        let update = self.targets.apply_changes(from, changes, at, uncertain);
         if update == ViewUpdate::Applied && changed {
             self.note_target_changes();
             self.refresh_discovered();
@@ -135,8 +135,8 @@
         self.review_lethal();
     }
 
-    pub(super) fn is_doubtful(&self) -> bool {
-        self.freshness.as_ref().is_some_and(|freshness| freshness.is_doubtful(self.now))
+    pub(super) fn is_removal_uncertain(&self) -> bool {
+        self.freshness.as_ref().is_some_and(|freshness| freshness.is_removal_uncertain(self.now))
     }
 
     /// Asks the daemons that read the platform for the age of their reads.
@@ -169,7 +169,7 @@
             self.actions.push(NodeAction::Platform(PlatformCall::Read(role)));
         }
         let query_due = freshness.is_query_due(self.now);
-        if !freshness.is_doubtful(self.now) && self.targets.settle() {
+        if !freshness.is_removal_uncertain(self.now) && self.targets.settle() {
             self.refresh_discovered();
         }
         if query_due && self.is_proof_aging() {
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -134,8 +134,8 @@
                 EntryAction::RequestPermit(vm, request) => {
                     self.post(&vm, PeerMessage::PermitRequest(request))
                 }
-                EntryAction::ReturnPermit(vm, back) => {
-                    self.post(&vm, PeerMessage::PermitReturn(back))
+                EntryAction::ReturnPermit(vm, returned) => {
+                    self.post(&vm, PeerMessage::PermitReturn(returned))
                 }
                 EntryAction::HoldPermit(vm, held) => self.post(&vm, PeerMessage::PermitHeld(held)),
                 EntryAction::Dispatch { permit, target } => self.dispatch(permit, &target),
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -99,13 +99,13 @@
     }
 
     /// Applies a peer's report of the stage of an order.
-    pub(super) fn rollout_report_received(&mut self, news: &RolloutNews) {
-        let pool = &news.order.pool;
+    pub(super) fn rollout_report_received(&mut self, report: &RolloutNews) {
+        let pool = &report.order.pool;
         if self.options.rollout.is_none() || !self.active.pools.contains_key(pool) {
             return;
         }
         let versions = self.rollouts.pools.entry(pool.clone()).or_default();
-        if versions.order_told(self.now, news) {
+        if versions.order_told(self.now, report) {
             self.note_order(pool, None);
             self.apply_version_changes(true);
         }
@@ -211,14 +211,14 @@
             !rollout.stage().is_final() || now < rollout.staged() + ENDED_ROLLOUT_REPORT_TIME
         };
         let known = self.rollouts.pools.values().filter_map(PoolVersions::rollout).filter(due);
-        let news: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
-        if news.is_empty() {
+        let reports: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
+        if reports.is_empty() {
             return;
         }
         let live = self.members.peers().iter().filter(|(_, peer)| peer.live);
         for vm in live.map(|(vm, _)| vm.clone()).collect::<Vec<VmId>>() {
-            for news in &news {
-                self.post(&vm, PeerMessage::RolloutNews(news.clone()));
+            for report in &reports {
+                self.post(&vm, PeerMessage::RolloutNews(report.clone()));
             }
         }
     }
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -62,26 +62,27 @@
     }
 
     pub(super) fn send_heartbeats(&mut self) {
-        let pause = match self.members.is_announcing() {
+        let interval = match self.members.is_announcing() {
             true => self.options.heartbeat_every / ANNOUNCING_HEARTBEAT_FACTOR,
             false => self.options.heartbeat_every,
         };
-        if self.last_heartbeat.is_some_and(|last| self.now < last + pause) {
+        if self.last_heartbeat.is_some_and(|last| self.now < last + interval) {
             return;
         }
         self.last_heartbeat = Some(self.now);
         self.query_freshness();
         self.pull_suspects();
-        let beat = self.heartbeat();
+        let heartbeat = self.heartbeat();
         for receiver in self.members.heartbeat_receivers(self.now) {
-            let beat = Heartbeat { answer_wanted: receiver.answer_wanted, ..beat.clone() };
-            self.send_heartbeat(receiver.address, beat);
+            let heartbeat =
+                Heartbeat { answer_wanted: receiver.answer_wanted, ..heartbeat.clone() };
+            self.send_heartbeat(receiver.address, heartbeat);
         }
     }
 
     /// Sends a heartbeat, even to an address from which no daemon has been heard from.
-    pub(super) fn send_heartbeat(&mut self, address: String, beat: Heartbeat) {
-        let messages = vec![PeerMessage::Heartbeat(beat)];
+    pub(super) fn send_heartbeat(&mut self, address: String, heartbeat: Heartbeat) {
+        let messages = vec![PeerMessage::Heartbeat(heartbeat)];
         let frame = PeerFrame { from: self.options.me.clone(), messages };
         self.actions.push(NodeAction::Send(address, frame));
     }
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -107,12 +107,12 @@
         self.listed.get(target).is_some_and(|known| known.leaving)
     }
 
-    /// Applies a list of all targets at a revision. `doubtful` states whether missing targets may return.
+    /// Applies a list of all targets at a revision. `uncertain` states whether missing targets may return.
     pub fn apply_list(
         &mut self,
         targets: Vec<DiscoveredTarget>,
         at: ObjectVersion,
-        doubtful: bool,
+        uncertain: bool,
     ) -> ViewUpdate {
         if at < self.at {
             return ViewUpdate::Stale;
@@ -125,7 +125,7 @@
             self.insert_entry(target, listed);
         }
         for (id, target) in before {
-            self.remove_entry(id, target, doubtful);
+            self.remove_entry(id, target, uncertain);
         }
         self.at = at;
         // The changes between the two revisions are unknown, so the log starts anew.
@@ -140,7 +140,7 @@
         from: ObjectVersion,
         changes: Vec<TargetChange>,
         at: ObjectVersion,
-        doubtful: bool,
+        uncertain: bool,
     ) -> ViewUpdate {
         if at <= self.at {
             return ViewUpdate::Stale;
@@ -149,7 +149,7 @@
             return ViewUpdate::Gap;
         }
         for change in changes {
-            self.apply(change.clone(), doubtful);
+            self.apply(change.clone(), uncertain);
             self.log.push_back((at, change));
         }
         while self.log.len() > LOG_LENGTH {
@@ -188,7 +188,7 @@
         changed
     }
 
-    fn apply(&mut self, change: TargetChange, doubtful: bool) {
+    fn apply(&mut self, change: TargetChange, uncertain: bool) {
         match change {
             TargetChange::Present(target) => {
                 let listed = self.listed.remove(&target.entry.id);
@@ -196,7 +196,7 @@
             }
             TargetChange::Gone(id) => {
                 if let Some(target) = self.listed.remove(&id) {
-                    self.remove_entry(id, target, doubtful);
+                    self.remove_entry(id, target, uncertain);
                 }
             }
         }
@@ -230,10 +230,10 @@
         self.listed.insert(id, stated);
     }
 
-    fn remove_entry(&mut self, id: TargetId, target: DiscoveredTarget, doubtful: bool) {
+    fn remove_entry(&mut self, id: TargetId, target: DiscoveredTarget, uncertain: bool) {
         self.ended.record(&id, target.entry.start);
         self.removed.push(GoneTarget { target: id.clone(), left: target.leaving });
-        if doubtful && !target.leaving {
+        if uncertain && !target.leaving {
             self.missing.insert(id, target);
         }
     }
--- a/crates/node/tests/charges.rs
+++ b/crates/node/tests/charges.rs
@@ -1,8 +1,9 @@
-//! What a request takes out of its account's rate. Symptom: under overload an account at its rate was served
-//! two thirds of what it may use, while its other requests were refused as `account_rate`. Sequence: a
-//! request was charged when it arrived, waited for a target, and was refused as `wait_too_long` or
-//! withdrawn by its caller; only requests that were refused at once were given back. Log: 220,000 units
-//! a second in `request_served` of an account with 324,000, for ten seconds.
+//! Tests that only requests that run are charged to their account's rate.
+//!
+//! Under overload, an account at its rate was served two thirds of what it may use, while its other requests were
+//! refused as `account_rate`: 220,000 of 324,000 units per second in `request_served`, for ten seconds. A request was
+//! charged when it arrived, waited for a target, and was then refused as `wait_too_long` or withdrawn by its caller;
+//! only requests that were refused at once were refunded.
 
 mod support;
 
@@ -15,9 +16,9 @@
 
 use support::{spec, Fleet};
 
-/// Slots of all targets together.
+/// Total slots of all targets.
 const SLOTS: u128 = 8;
-/// More than the account has saved: while it is charged, the account is below zero for seconds.
+/// More than the account has saved: while it is charged, the account's balance is negative for seconds.
 const LARGE: u64 = 5_000;
 const WAIT_LIMIT: Duration = Duration::from_millis(200);
 
@@ -37,7 +38,7 @@
 #[rstest]
 #[case::refused_after_its_wait(false)]
 #[case::withdrawn_by_its_caller(true)]
-fn request_that_ran_nowhere_takes_nothing_out_of_its_accounts_rate(#[case] withdrawn: bool) {
+fn request_that_did_not_run_is_not_charged_to_its_account(#[case] withdrawn: bool) {
     let mut fleet = Fleet::new(1);
     (1..=SLOTS).for_each(|number| ask(&mut fleet, number, 1));
     assert_eq!(fleet.in_flight(0) as u128, SLOTS);
--- a/crates/node/tests/distribution.rs
+++ b/crates/node/tests/distribution.rs
@@ -1,17 +1,14 @@
-//! A configuration on its way from daemon to daemon.
+//! Tests the distribution of a configuration from daemon to daemon.
 //!
-//! What happened. Symptom: beside a change of a configuration of 1 MB, callers of small VMs lost their
-//! connections in the middle of answers, half of the requests of 87 daemons failed for twenty seconds, and
-//! keyed requests were refused since the configuration could not be proved. Sequence: the configuration
-//! changes; two daemons read it; 85 others hear of it in heartbeats, of which each hears several in each
-//! half second, and ask whoever says so for the whole of it, again and again until the first copy has
-//! arrived, which takes a second over 10 Mbit/s; the copies queue at the senders and fill the links;
-//! heartbeats and proofs come late behind them; processes grow until they are killed, and their callers'
-//! connections end with them. Cause: a pull was limited by a pause of 100 ms between two of them, not by
-//! whether its answer was on its way, and its answer had no bound. What settled it: one change sent 1,392
-//! MB of copies that were not used beside 134 MB that were; a sender grew from 10 to 123 MB; no daemon had
-//! logged `answer_cut`, so that none had ended those answers itself; their processes had been killed two
-//! seconds before.
+//! The failure: while a configuration of 1 MB changed, callers of small VMs lost their connections in the middle of
+//! answers, half of the requests of 87 daemons failed for twenty seconds, and keyed requests were refused since the
+//! configuration could not be proved. Two daemons read the change; the 85 others saw it advertised in several
+//! heartbeats in each half second and requested the whole of it from each advertiser, again and again until the first
+//! copy arrived, which takes a second over 10 Mbit/s. The copies filled the links and delayed heartbeats and proofs,
+//! and processes grew (a sender from 10 to 123 MB) until they were killed, and their callers' connections with them;
+//! no daemon logged `answer_cut`. One change sent 1,392 MB of unused copies and 134 MB of used ones. The cause: a
+//! pull was limited by a pause of 100 ms between two pulls, not by whether its answer was in transit, and its answer
+//! had no bound.
 
 mod support;
 
@@ -25,14 +22,14 @@
 
 use support::{heartbeat, Fleet, SlowLink, APPLY_LIMIT};
 
-/// Length of a large configuration in bytes: near what a platform stores in one object.
+/// Length of a large configuration in bytes: near the maximum that a platform stores in one object.
 const LARGE: usize = 900_000;
-/// Link of a small VM of the users in megabits a second.
+/// Link of a small VM of the users, in megabits per second.
 const SMALL_LINK: usize = 10;
-/// Daemons: more than exchange every heartbeat with all others.
+/// Number of daemons: more than exchange every heartbeat with all others.
 const DAEMONS: usize = 24;
 
-/// A fleet in which all daemons but the candidates are behind slow links, over which a read of the
+/// Returns a fleet in which all daemons except the candidates are behind slow links, over which a read of the
 /// platform takes as long as a copy.
 fn fleet_of_small_vms() -> Fleet {
     let mut fleet = Fleet::new(DAEMONS);
@@ -52,13 +49,13 @@
     let mut fleet = fleet_of_small_vms();
     fleet.change_config(LARGE);
     fleet.run(Duration::from_millis(600));
-    // A further change meets the copies of the first on their way.
+    // A further change occurs while copies of the first are in transit.
     fleet.change_config(LARGE);
     let taken_after = fleet.run_until(Duration::from_secs(10), |fleet| all_have(fleet, 3));
     for (index, link) in &fleet.links {
         let copies = link.sent_bytes as f64 / LARGE as f64;
         assert!(copies < 2.5, "{copies:.1} copies were sent to daemon {index}");
-        // Heartbeats and proofs wait behind a tenth of a second of other bytes at most.
+        // Heartbeats and proofs wait behind at most a tenth of a second of other traffic.
         let most = link.most_waiting;
         assert!(most < SMALL_LINK * 1_000_000 / 8 / 10, "{most} bytes waited for daemon {index}");
     }
@@ -68,10 +65,10 @@
 #[rstest]
 #[case::one_frame_in_three(3)]
 #[case::one_frame_in_ten(10)]
-fn lost_parts_are_asked_for_again(#[case] lost_each: usize) {
+fn lost_configuration_parts_are_requested_again(#[case] loss_interval: usize) {
     let mut fleet = fleet_of_small_vms();
     for link in fleet.links.values_mut() {
-        link.lost_each = Some(lost_each);
+        link.loss_interval = Some(loss_interval);
     }
     fleet.change_config(LARGE / 10);
     let taken_after = fleet.run_until(Duration::from_secs(20), |fleet| all_have(fleet, 2));
@@ -81,7 +78,7 @@
 }
 
 #[test]
-fn fetching_goes_on_at_another_peer_where_the_first_dies() {
+fn fetching_continues_at_another_peer_when_the_first_fails() {
     let mut fleet = fleet_of_small_vms();
     let before: Vec<u64> = (0..DAEMONS).map(|index| fleet.intake_of(index).taken).collect();
     fleet.change_config(LARGE);
@@ -102,7 +99,7 @@
     }
 }
 
-/// The pulls of parts that a daemon sends when it takes a message of a peer that offers generation 9.
+/// Returns the pulls of parts that a daemon sends when it receives a message of a peer with generation 9.
 fn pulls_after(fleet: &mut Fleet, message: PeerMessage) -> Vec<ConfigPartPull> {
     fleet.now += Duration::from_secs(1);
     let peer = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
@@ -122,7 +119,7 @@
 #[rstest]
 #[case::no_such_section("[no such section]\n", true)]
 #[case::bytes_that_do_not_unpack("", false)]
-fn configuration_that_cannot_be_used_is_fetched_once(#[case] text: &str, #[case] intact: bool) {
+fn unusable_configuration_is_fetched_once(#[case] text: &str, #[case] intact: bool) {
     let mut fleet = Fleet::new(2);
     let files = BTreeMap::from([("a.ini".to_string(), text.to_string())]);
     let archive = ConfigArchive::pack(&ConfigBundle { generation: 9, files }).expect("an archive");
@@ -136,7 +133,7 @@
     assert_eq!(pulls_after(&mut fleet, PeerMessage::ConfigPart(part)), []);
     let id = archive.id();
     for _ in 0..5 {
-        // It says that it has the whole of it, to which a peer with the same one sends nothing.
+        // The pull claims that the daemon has the whole archive, so a peer with the same one sends nothing.
         for pull in pulls_after(&mut fleet, offer.clone()) {
             assert_eq!((pull.archive, pull.offset), (Some(id), id.length));
             assert_eq!(archive.part(pull.offset), None);
@@ -145,10 +142,9 @@
     assert_eq!(fleet.generation_of(0), 1);
 }
 
-/// A daemon of a release that asks for whole configurations is sent one, and not again while that is on
-/// its way.
+/// A daemon of a release that requests whole configurations is sent one, and not again while that one is in transit.
 #[test]
-fn whole_configuration_is_not_sent_again_while_it_is_on_its_way() {
+fn whole_configuration_is_not_sent_again_while_in_transit() {
     let mut fleet = Fleet::new(2);
     let asker = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let pull = PeerMessage::StatePull(StatePull { generation: 0, table: 0 });
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons of a fleet that see the platform differently.
+//! Tests a fleet whose daemons see the platform and each other differently.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use support::{daemon, target, Fleet, APPLY_LIMIT};
 
 #[test]
-fn entry_sends_nothing_to_a_target_that_it_knows_to_leave() {
+fn entry_daemon_sends_nothing_to_a_target_that_it_knows_is_leaving() {
     let mut fleet = Fleet::new(3);
-    // Only the entry has heard that the target leaves; the scheduler may be any of the three.
+    // The fleet has three daemons. Only the entry daemon, which is not the scheduler, knows that the target leaves.
     let entry = (0..3).find(|index| *index != fleet.leader()).expect("an entry");
     fleet.event(entry, NodeEvent::TargetsListed(vec![target("x", true), target("y", false)], 2));
     for number in 1..=4 {
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn daemon_with_an_old_view_schedules_only_where_all_have_one() {
+fn daemon_with_a_stale_view_schedules_only_if_all_views_are_stale() {
     let mut fleet = Fleet::new(3);
     let holder = fleet.leader();
-    fleet.daemons[holder].reaches = false;
+    fleet.daemons[holder].reaches_platform = false;
     fleet.run(APPLY_LIMIT * 2);
     let after: Vec<String> = (0..3).map(|index| fleet.scheduler(index)).collect();
     assert!(after.iter().all(|scheduler| *scheduler == after[0]), "{after:?}");
@@ -37,14 +37,14 @@
     // The others prove its configuration; that makes it no better scheduler.
     assert!(fleet.proof_age(holder) < APPLY_LIMIT);
     for index in 0..3 {
-        fleet.daemons[index].reaches = false;
+        fleet.daemons[index].reaches_platform = false;
     }
     fleet.run(APPLY_LIMIT * 2);
     assert!((0..3).all(|index| fleet.position(&fleet.scheduler(index)) == holder));
 }
 
 #[test]
-fn newborn_daemon_takes_no_more_than_its_part_of_a_rate() {
+fn new_daemon_grants_no_more_than_its_share_of_a_rate() {
     let mut alone = Fleet::new(1);
     alone.daemons[0] = daemon(0, Vec::new());
     alone.run(Duration::from_secs(1));
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn scheduler_that_was_silent_for_a_moment_is_asked_again_once_it_is_heard() {
+fn scheduler_that_was_briefly_unresponsive_is_asked_again() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
     let entry = (0..3).find(|index| *index != leader).expect("an entry");
-    // Nothing reaches it yet, as at a birth before connections stand.
+    // Nothing reaches it, as before connections are established after a start.
     fleet.daemons[leader].cut = true;
     fleet.admit(entry, 1);
     fleet.run(Duration::from_millis(900));
@@ -80,11 +80,11 @@
 }
 
 #[test]
-fn schedulers_that_are_heard_but_hear_nothing_hold_no_request_up() {
+fn schedulers_that_send_but_do_not_receive_block_no_request() {
     let mut fleet = Fleet::new(20);
     let entry = (0..20).find(|index| !fleet.candidates().contains(index)).expect("an entry");
     for index in (0..20).filter(|index| *index != entry) {
-        fleet.daemons[index].deaf = true;
+        fleet.daemons[index].drops_incoming = true;
     }
     for number in 1..=10 {
         fleet.admit(entry, number);
@@ -95,11 +95,11 @@
     }
 }
 
-/// A scheduler that did not answer one request is passed over for a while. The next one has no units of the
-/// account to give out and refuses as `rate_unknown`; the first is well and keeps the rate. On a fleet
-/// that had just begun anew, 105 of 330 requests were refused so within 1.5 s (log).
+/// A scheduler that did not answer one request is skipped for a while. The next one has no units of the account to
+/// grant and refuses as `rate_unknown`; the first works and keeps the rate. In a fleet that had just restarted, 105
+/// of 330 requests were refused this way within 1.5 s.
 #[test]
-fn scheduler_that_keeps_the_rate_is_asked_after_all_where_the_next_does_not_know_it() {
+fn scheduler_that_keeps_the_rate_is_asked_when_the_next_does_not_know_it() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
     let entry = (0..3).find(|index| *index != leader).expect("an entry");
@@ -108,7 +108,7 @@
     fleet.run(Duration::from_millis(60));
     assert!(matches!(fleet.decision(1), Some(CallerDecision::Dispatch(..))));
     fleet.daemons[leader].cut = false;
-    // More than the next one has to give out.
+    // More than the next scheduler has to grant.
     for number in 2..=4 {
         fleet.admit_for(entry, number, 200);
         fleet.run(Duration::from_millis(60));
--- a/crates/node/tests/freshness.rs
+++ b/crates/node/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! A few daemons read the platform, and the others know what they know.
+//! Tests that a few daemons read the platform and the others rely on their reads.
 
 mod support;
 
@@ -9,14 +9,14 @@
 
 use support::{daemon, recorded, target, Fleet, APPLY_LIMIT};
 
-/// Time after the loss of the readers in which the others have to know for themselves.
-const KNOWN_WITHIN: Duration = Duration::from_millis(1_500);
+/// Time after the loss of the readers within which the other daemons have a change in force.
+const RECOVERY_LIMIT: Duration = Duration::from_millis(1_500);
 
 #[rstest]
 #[case(3)]
 #[case(7)]
 #[case(40)]
-fn two_daemons_read_and_all_have_a_young_proof(#[case] daemons: usize) {
+fn two_daemons_read_and_every_daemon_has_a_young_proof(#[case] daemons: usize) {
     let mut fleet = Fleet::new(daemons);
     assert_eq!(fleet.readers().len(), 2);
     let limits = FreshnessLimits::within(APPLY_LIMIT);
@@ -46,39 +46,43 @@
 #[rstest]
 #[case::cut_from_the_platform(false)]
 #[case::cut_from_everyone(true)]
-fn loss_of_both_readers_is_made_up_for(#[case] cut: bool) {
+fn loss_of_both_readers_is_compensated(#[case] cut: bool) {
     let mut fleet = Fleet::new(20);
     for reader in fleet.readers() {
-        fleet.daemons[reader].reaches = false;
+        fleet.daemons[reader].reaches_platform = false;
         fleet.daemons[reader].cut = cut;
     }
-    let lost: Vec<usize> = (0..20).filter(|index| !fleet.daemons[*index].reaches).collect();
+    let lost: Vec<usize> =
+        (0..20).filter(|index| !fleet.daemons[*index].reaches_platform).collect();
     fleet.generation = 5;
     fleet.targets = (vec![target("x", true), target("y", false)], 9);
-    fleet.run(KNOWN_WITHIN);
+    fleet.run(RECOVERY_LIMIT);
     for index in (0..20).filter(|index| !lost.contains(index)) {
         assert_eq!(fleet.daemons[index].node.config().generation, 5, "{index}");
     }
     fleet.run(Duration::from_secs(6));
     let readers = fleet.readers();
     assert!(readers.iter().filter(|reader| !lost.contains(reader)).count() == 2, "{readers:?}");
-    let fallback = fleet.daemons.iter().filter(|daemon| daemon.duty == ReadRole::Fallback).count();
+    let fallback =
+        fleet.daemons.iter().filter(|daemon| daemon.read_role == ReadRole::Fallback).count();
     assert!(fallback <= 2, "{fallback} daemons read for themselves");
 }
 
-/// The platform turned a third of the daemons away, both readers among them. They kept the role until their view
-/// counted as old, after all proofs were as old: every daemon that could read did so, in one moment, and
-/// those that could not refused requests with a token (107 of them for good within three seconds).
+/// The platform refused a third of the daemons, both readers among them. These kept the role until their view was
+/// stale, when all proofs were as old: every daemon that could read did so at the same moment, and those that could
+/// not refused requests with a token (107 of them permanently within three seconds).
 #[rstest]
 #[case(20)]
 #[case(60)]
-fn readers_that_are_turned_away_are_replaced_before_any_proof_is_too_old(#[case] daemons: usize) {
+fn readers_refused_by_the_platform_are_replaced_before_any_proof_is_too_old(
+    #[case] daemons: usize,
+) {
     let mut fleet = Fleet::new(daemons);
     let readers = fleet.readers();
     let candidates = fleet.candidates();
     for index in 0..daemons {
         let ordinary = index % 3 == 0 && !candidates.contains(&index);
-        fleet.daemons[index].reaches = !(readers.contains(&index) || ordinary);
+        fleet.daemons[index].reaches_platform = !(readers.contains(&index) || ordinary);
     }
     let before = fleet.calls;
     let limits = FreshnessLimits::within(APPLY_LIMIT);
@@ -89,7 +93,7 @@
             assert!(age < limits.fallback_after, "{index}: {age:?}");
         }
     }
-    // Two readers and those that were, and whoever was asked for a while.
+    // Two readers, the earlier ones, and daemons that were queried for a while.
     let calls = fleet.calls - before;
     assert!(calls <= 150, "{calls} calls in six seconds");
 }
@@ -97,13 +101,13 @@
 #[test]
 fn answer_to_an_earlier_process_proves_nothing() {
     let mut fleet = Fleet::new(3);
-    let other = (0..3).find(|index| fleet.daemons[*index].duty == ReadRole::Idle);
+    let other = (0..3).find(|index| fleet.daemons[*index].read_role == ReadRole::Idle);
     let other = other.expect("one that rests");
-    // The process starts again and its clock with it; what it had asked is answered to the new one.
+    // The process restarts, and its clock with it; answers to the earlier process's queries reach the new one.
     fleet.daemons[other] = daemon(other, Vec::new());
-    fleet.daemons[other].reaches = false;
+    fleet.daemons[other].reaches_platform = false;
     for index in 0..3 {
-        fleet.daemons[index].reaches = false;
+        fleet.daemons[index].reaches_platform = false;
     }
     fleet.run(APPLY_LIMIT * 3);
     let age = fleet.proof_age(other);
@@ -111,10 +115,10 @@
 }
 
 #[test]
-fn proof_by_way_of_a_peer_is_never_younger_than_the_read() {
+fn proof_through_a_peer_is_never_younger_than_the_read() {
     let mut fleet = Fleet::new(7);
     for index in 0..7 {
-        fleet.daemons[index].reaches = false;
+        fleet.daemons[index].reaches_platform = false;
     }
     let cut_off = fleet.now;
     fleet.run(Duration::from_secs(3));
@@ -125,16 +129,16 @@
 }
 
 #[test]
-fn targets_that_lose_their_entries_in_an_outage_are_used_until_they_are_back() {
+fn targets_that_lose_their_entries_in_an_outage_stay_in_use() {
     let mut fleet = Fleet::new(5);
     for index in 0..5 {
-        fleet.daemons[index].reaches = false;
+        fleet.daemons[index].reaches_platform = false;
     }
     fleet.run(Duration::from_secs(4));
-    // Both entries lapsed; one target is alive and announces itself again.
+    // Both list entries expired; one target is alive and announces itself again.
     fleet.targets = (Vec::new(), 20);
     for index in 0..5 {
-        fleet.daemons[index].reaches = true;
+        fleet.daemons[index].reaches_platform = true;
     }
     fleet.run(Duration::from_secs(1));
     for index in 0..5 {
@@ -148,18 +152,18 @@
 }
 
 #[test]
-fn target_that_was_said_to_leave_never_stays_after_all() {
+fn leaving_target_stays_leaving_after_an_older_view_of_the_store() {
     let mut fleet = Fleet::new(5);
     fleet.targets = (vec![target("x", true), target("y", false)], 20);
     fleet.run(Duration::from_secs(1));
-    // The store fails, and what it shows then is older than what was acknowledged.
+    // The store fails and then shows a state older than what it had acknowledged.
     for index in 0..5 {
-        fleet.daemons[index].reaches = false;
+        fleet.daemons[index].reaches_platform = false;
     }
     fleet.run(Duration::from_secs(3));
     fleet.targets = (vec![target("x", false), target("y", false)], 21);
     for index in 0..5 {
-        fleet.daemons[index].reaches = true;
+        fleet.daemons[index].reaches_platform = true;
     }
     fleet.run(Duration::from_secs(1));
     for number in 1..=4 {
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn target_that_vanishes_while_the_platform_answers_is_gone_at_once() {
+fn target_that_vanishes_while_the_platform_answers_is_removed_at_once() {
     let mut fleet = Fleet::new(5);
     fleet.targets = (vec![target("y", false)], 20);
     fleet.run(Duration::from_secs(1));
@@ -181,19 +185,19 @@
 }
 
 #[test]
-fn heartbeats_of_a_large_fleet_do_not_grow_with_its_square() {
+fn heartbeats_of_a_large_fleet_do_not_grow_quadratically() {
     let mut fleet = Fleet::new(60);
     let before = fleet.frames;
     fleet.run(Duration::from_secs(10));
     let each = (fleet.frames - before) / 60 / 10;
-    // Four candidates and a tenth of the others at two beats a second, answers to and from candidates,
-    // and four asks a second with their answers; the full mesh takes 118.
+    // Two heartbeats per second to four candidates and a tenth of the others, answers to and from candidates, and
+    // four queries per second with their answers; the full mesh takes 118.
     assert!(each <= 45, "{each} frames a second each");
     assert!((0..60).all(|index| fleet.scheduler(index) == fleet.scheduler(0)));
 }
 
 #[test]
-fn large_fleet_finds_a_new_scheduler_when_all_candidates_die() {
+fn large_fleet_elects_a_scheduler_when_all_candidates_are_cut_off() {
     let mut fleet = Fleet::new(40);
     let order = fleet.candidates();
     for index in &order {
@@ -207,12 +211,12 @@
 }
 
 #[test]
-fn newborn_daemon_of_a_large_fleet_is_known_to_all() {
+fn restarted_daemon_of_a_large_fleet_agrees_on_scheduler_and_targets() {
     let mut fleet = Fleet::new(40);
-    let newborn = 13;
-    fleet.daemons[newborn] = daemon(newborn, Vec::new());
-    fleet.event(newborn, recorded(40));
+    let restarted = 13;
+    fleet.daemons[restarted] = daemon(restarted, Vec::new());
+    fleet.event(restarted, recorded(40));
     fleet.run(Duration::from_millis(600));
-    assert_eq!(fleet.scheduler(newborn), fleet.scheduler((newborn + 1) % 40));
-    assert_eq!(fleet.known_targets(newborn), ["x", "y"]);
+    assert_eq!(fleet.scheduler(restarted), fleet.scheduler((restarted + 1) % 40));
+    assert_eq!(fleet.known_targets(restarted), ["x", "y"]);
 }
--- a/crates/node/tests/hand_over.rs
+++ b/crates/node/tests/hand_over.rs
@@ -1,4 +1,4 @@
-//! What a daemon that stops sends of its keys while their acknowledgement is on its way.
+//! Tests what a stopping daemon sends of its keys while the acknowledgement is in transit.
 
 mod support;
 
@@ -11,12 +11,12 @@
 
 use support::Fleet;
 
-/// Keys of the daemon that stops: some 1.1 MB of records.
+/// Keys of the stopping daemon: some 1.1 MB of records.
 const KEYS: u128 = 20_000;
-/// Time in which a link of 10 Mbit/s carries them, beside other bytes.
+/// Time in which a link of 10 Mbit/s carries the keys beside other traffic.
 const ANSWER_TIME: Duration = Duration::from_millis(1_600);
 
-/// A daemon that holds all keys; another one has claimed them.
+/// Returns a fleet whose first daemon holds all keys, which the other one has claimed.
 fn holder_of_keys() -> Fleet {
     let mut fleet = Fleet::new(2);
     let me = DaemonId { vm: "vm-0".to_string(), incarnation: 1 };
@@ -33,7 +33,8 @@
     fleet
 }
 
-/// Lengths of the frames with records that the first daemon sends within a time, none of which arrives.
+/// Returns the lengths of the frames with key records that the first daemon sends within `time`; none of them
+/// arrives.
 fn frames_with_records(fleet: &mut Fleet, time: Duration) -> Vec<usize> {
     let end = fleet.now + time;
     let mut lengths = Vec::new();
@@ -51,9 +52,9 @@
     lengths
 }
 
-/// Records were sent again with each tick of 20 ms until they were acknowledged: 57 MB in place of 1.1.
+/// Records were sent again with each tick of 20 ms until they were acknowledged: 57 MB instead of 1.1.
 #[test]
-fn keys_are_not_handed_over_again_while_they_are_on_their_way() {
+fn keys_are_not_handed_over_again_while_in_transit() {
     let mut fleet = holder_of_keys();
     fleet.event(0, NodeEvent::Drain);
     fleet.run(Duration::from_millis(960));
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -1,5 +1,5 @@
-//! A request under which targets end, seen by a fleet: what each daemon saw counts together, every daemon knows within
-//! the users' bound whoever ends or is cut off, and the platform is called once.
+//! Tests requests that terminate their targets, in a fleet: interruptions seen by any daemon are counted together,
+//! every daemon knows within the users' bound even if daemons end or are cut off, and the platform is called once.
 
 mod support;
 
@@ -14,12 +14,12 @@
 use curlewcleat_sched::RequestSpec;
 use rstest::rstest;
 
-use support::{heartbeat, spec, target, unlike_daemon, Fleet};
+use support::{heartbeat, mixed_fleet_daemon, spec, target, Fleet};
 
-/// Time in which every daemon has to know: the users' shortest bound.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time after which the entry of a target that has ended lapses.
-const LAPSE: Duration = Duration::from_millis(3_500);
+/// Time within which every daemon has to know: the users' shortest bound.
+const SPREAD_LIMIT: Duration = Duration::from_secs(3);
+/// Time after which the list entry of a terminated target expires.
+const EXPIRY: Duration = Duration::from_millis(3_500);
 const MOMENT: Duration = Duration::from_millis(100);
 
 fn digest() -> RequestDigest {
@@ -30,7 +30,7 @@
     TargetLife { id: id.to_string(), start: None }
 }
 
-fn broke_off(id: &str) -> NodeEvent {
+fn interruption_event(id: &str) -> NodeEvent {
     let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
     NodeEvent::BrokeOff(digest(), interruption)
 }
@@ -39,12 +39,12 @@
     (0..count).map(|number| format!("t{number}")).collect()
 }
 
-/// Shows these targets at the platform.
+/// Lists these targets at the platform.
 fn show(fleet: &mut Fleet, ids: &[String]) {
     fleet.targets = (ids.iter().map(|id| target(id, false)).collect(), fleet.targets.1 + 1);
 }
 
-/// A fleet that knows twelve targets.
+/// Returns a fleet that knows twelve targets.
 fn fleet_of(daemons: usize) -> Fleet {
     let mut fleet = Fleet::new(daemons);
     show(&mut fleet, &ids(12));
@@ -52,13 +52,13 @@
     fleet
 }
 
-/// Entries of the first targets lapse.
-fn lapse(fleet: &mut Fleet, ended: usize) {
-    fleet.run(LAPSE);
+/// Lets the list entries of the first `ended` targets expire.
+fn expire_entries(fleet: &mut Fleet, ended: usize) {
+    fleet.run(EXPIRY);
     show(fleet, &ids(12)[ended..]);
 }
 
-/// The request comes to a daemon; the refusal that it gets, `None` where it goes on.
+/// Sends the request to a daemon; returns the refusal, `None` if it is admitted.
 fn ask(fleet: &mut Fleet, index: usize, number: u128) -> Option<Refusal> {
     let spec = RequestSpec { digest: Some(digest()), ..spec(number) };
     fleet.event(index, NodeEvent::Admit(Box::new(spec)));
@@ -71,7 +71,7 @@
     }
 }
 
-/// What the request gets at each of these daemons.
+/// Returns the refusal reasons that the request gets at these daemons.
 fn reasons(fleet: &mut Fleet, daemons: &[usize], number: u128) -> Vec<Option<RefusalReason>> {
     let numbers = (number * 1_000..).zip(daemons);
     numbers.map(|(number, index)| Some(ask(fleet, *index, number)?.reason)).collect()
@@ -83,84 +83,84 @@
     assert_eq!(reasons, refused, "at {daemons:?}");
 }
 
-/// Three targets end, each seen by another daemon.
-fn three_ends(fleet: &mut Fleet, seen_by: [usize; 3]) {
+/// Interrupts the request at three targets, each seen by one of these daemons.
+fn three_interruptions(fleet: &mut Fleet, seen_by: [usize; 3]) {
     for (index, id) in seen_by.into_iter().zip(ids(3)) {
-        fleet.event(index, broke_off(&id));
+        fleet.event(index, interruption_event(&id));
     }
 }
 
 #[test]
-fn what_three_daemons_saw_counts_together() {
+fn interruptions_seen_by_three_daemons_are_counted_together() {
     let mut fleet = fleet_of(3);
-    three_ends(&mut fleet, [0, 1, 2]);
+    three_interruptions(&mut fleet, [0, 1, 2]);
     fleet.run(MOMENT);
     let held = ask(&mut fleet, 0, 1).expect("held until it is known what ended");
     assert_eq!(held.reason, RefusalReason::RequestSuspect);
     assert!(held.retry_after.is_some_and(|wait| wait > Duration::ZERO), "{held:?}");
     assert!(!held.verdict.may_have_run());
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     for index in 0..3 {
         let refused = ask(&mut fleet, index, 10 + index as u128).expect("refused");
         assert_eq!(refused, Refusal::not_run(RefusalReason::RequestLethal, None));
     }
 }
 
-/// In a large fleet most daemons hear of nobody but the first few.
+/// In a large fleet most daemons receive messages only from the first few in the order.
 #[rstest]
 #[case::small(3)]
 #[case::large(40)]
-fn every_daemon_knows_within_the_bound(#[case] daemons: usize) {
+fn every_daemon_refuses_the_request_within_the_bound(#[case] daemons: usize) {
     let mut fleet = fleet_of(daemons);
     let outsider = fleet.outsiders().last().copied().unwrap_or(0);
-    three_ends(&mut fleet, [outsider, 0, daemons - 1]);
-    fleet.run(CONTACT);
+    three_interruptions(&mut fleet, [outsider, 0, daemons - 1]);
+    fleet.run(SPREAD_LIMIT);
     let everyone: Vec<usize> = (0..daemons).collect();
     let reasons = reasons(&mut fleet, &everyone, 1);
     assert!(
         reasons.iter().all(|reason| *reason == Some(RefusalReason::RequestSuspect)),
         "{reasons:?}"
     );
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     all_refuse(&mut fleet, &everyone, 2);
 }
 
-/// A packet in four is lost.
+/// One packet in four is lost.
 #[test]
-fn lost_frames_delay_the_news_and_no_more() {
+fn lost_frames_only_delay_suspect_reports() {
     let mut fleet = fleet_of(6);
     fleet.losses = Some((4, 7));
-    three_ends(&mut fleet, [5, 0, 3]);
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT * 2);
+    three_interruptions(&mut fleet, [5, 0, 3]);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT * 2);
     all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
 }
 
 #[rstest]
 #[case::small(5)]
 #[case::large(40)]
-fn end_of_the_scheduler_loses_nothing(#[case] daemons: usize) {
+fn loss_of_the_scheduler_loses_no_interruption(#[case] daemons: usize) {
     let mut fleet = fleet_of(daemons);
     let leader = fleet.leader();
     let others: Vec<usize> = (0..daemons).filter(|index| *index != leader).collect();
     let seen_by = *others.last().expect("another daemon");
     for id in &ids(2) {
-        fleet.event(seen_by, broke_off(id));
+        fleet.event(seen_by, interruption_event(id));
     }
     fleet.run(MOMENT);
     fleet.daemons[leader].cut = true;
-    fleet.run(CONTACT);
-    fleet.event(others[0], broke_off("t2"));
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    fleet.run(SPREAD_LIMIT);
+    fleet.event(others[0], interruption_event("t2"));
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     all_refuse(&mut fleet, &others, 1);
 }
 
-/// The sides of a cut know of two ends and of one.
+/// One side of the partition knows of two interruptions, the other of one.
 #[test]
-fn both_sides_of_a_cut_know_once_it_has_healed() {
+fn both_sides_of_a_partition_refuse_after_it_has_healed() {
     let mut fleet = fleet_of(6);
     for one in 0..3 {
         for other in 3..6 {
@@ -169,55 +169,55 @@
         }
     }
     fleet.run(Duration::from_secs(3));
-    fleet.event(0, broke_off("t0"));
-    fleet.event(1, broke_off("t1"));
-    fleet.event(4, broke_off("t2"));
-    lapse(&mut fleet, 3);
+    fleet.event(0, interruption_event("t0"));
+    fleet.event(1, interruption_event("t1"));
+    fleet.event(4, interruption_event("t2"));
+    expire_entries(&mut fleet, 3);
     fleet.run(Duration::from_secs(1));
     fleet.blocked.clear();
-    fleet.run(CONTACT);
+    fleet.run(SPREAD_LIMIT);
     all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
 }
 
 #[test]
-fn daemon_that_begins_knows_before_it_serves() {
+fn new_daemon_refuses_a_lethal_request_before_it_serves() {
     let mut fleet = fleet_of(5);
-    three_ends(&mut fleet, [0, 1, 2]);
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    three_interruptions(&mut fleet, [0, 1, 2]);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     let addresses: Vec<String> = fleet.daemons[0].node.peer_addresses().into_iter().collect();
-    fleet.daemons[4] = unlike_daemon(4, addresses, 2, 0);
-    // It reaches no platform, so that what it knows comes from its peers.
-    fleet.daemons[4].reaches = false;
+    fleet.daemons[4] = mixed_fleet_daemon(4, addresses, 2, 0);
+    // It does not reach the platform, so that it knows only what its peers send.
+    fleet.daemons[4].reaches_platform = false;
     fleet.run_until(Duration::from_secs(5), |fleet| fleet.generation_of(4) > 0);
     assert!(fleet.generation_of(4) > 0);
     all_refuse(&mut fleet, &[4], 1);
 }
 
-/// All begin anew and know what the platform keeps.
+/// A restarted fleet loads the stored refusals from the platform.
 #[test]
-fn platform_keeps_it_once_for_all_daemons() {
+fn refusal_is_stored_at_the_platform_once() {
     let mut fleet = fleet_of(6);
-    three_ends(&mut fleet, [0, 1, 2]);
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT * 4);
+    three_interruptions(&mut fleet, [0, 1, 2]);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT * 4);
     assert_eq!(fleet.refusals.len(), 1, "{:?}", fleet.refusals);
     let (leader, kept) = fleet.refusals[0].clone();
     assert_eq!(leader, fleet.leader());
     fleet.daemons[leader].cut = true;
-    fleet.run(CONTACT * 2);
+    fleet.run(SPREAD_LIMIT * 2);
     assert_eq!(fleet.refusals.len(), 1, "another scheduler calls again");
     let mut anew = fleet_of(3);
     anew.event(1, NodeEvent::RefusalsRead(vec![SuspectReport { stored: true, ..kept }]));
     all_refuse(&mut anew, &[1], 1);
-    anew.run(CONTACT);
+    anew.run(SPREAD_LIMIT);
     all_refuse(&mut anew, &[0, 2], 2);
     assert_eq!(anew.refusals, [], "it is kept already");
 }
 
-/// No crash costs a call, however many targets end under however many requests.
+/// Terminations cost no platform call, however many targets terminate under however many requests.
 #[test]
-fn ends_that_condemn_nothing_cost_no_call() {
+fn terminations_without_a_lethal_request_cost_no_platform_call() {
     let mut fleet = fleet_of(3);
     for (number, id) in ids(12).iter().enumerate() {
         let identity = RequestIdentity {
@@ -230,33 +230,33 @@
         let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
         fleet.event(number % 3, NodeEvent::BrokeOff(identity.digest(), interruption));
     }
-    lapse(&mut fleet, 12);
-    fleet.run(CONTACT);
+    expire_entries(&mut fleet, 12);
+    fleet.run(SPREAD_LIMIT);
     assert_eq!(fleet.refusals, []);
 }
 
-/// A target that says that it leaves, or whose entry has gone before, ends as planned.
+/// A target that announces that it leaves, or whose list entry was removed before, ends as planned.
 #[rstest]
 #[case::said(true)]
 #[case::gone_before(false)]
-fn planned_end_of_a_target_counts_for_nothing(#[case] says: bool) {
+fn interruption_at_a_leaving_or_unlisted_target_is_ignored(#[case] says: bool) {
     let mut fleet = fleet_of(3);
     let shown = if says { ids(12) } else { ids(12)[3..].to_vec() };
     let leaves = |id: &str| ids(3).contains(&id.to_string());
     fleet.targets = (shown.iter().map(|id| target(id, leaves(id))).collect(), fleet.targets.1 + 1);
     fleet.run(Duration::from_secs(2));
-    three_ends(&mut fleet, [0, 1, 2]);
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    three_interruptions(&mut fleet, [0, 1, 2]);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     assert_eq!(reasons(&mut fleet, &[0, 1, 2], 1), [None, None, None]);
 }
 
-/// A cut between one daemon and the targets, whatever it looks like there.
+/// One daemon loses its connections to the targets, which are still listed.
 #[test]
-fn targets_that_live_count_for_nothing() {
+fn interruptions_at_live_targets_are_ignored() {
     let mut fleet = fleet_of(3);
     for id in ids(8) {
-        fleet.event(0, broke_off(&id));
+        fleet.event(0, interruption_event(&id));
     }
     fleet.run(Duration::from_secs(9));
     assert_eq!(reasons(&mut fleet, &[0, 1, 2], 1), [None, None, None]);
@@ -264,34 +264,34 @@
 }
 
 #[test]
-fn request_that_another_daemon_served_whole_is_refused_nowhere() {
+fn request_that_another_daemon_answered_in_full_is_not_refused() {
     let mut fleet = fleet_of(3);
-    fleet.event(0, broke_off("t0"));
-    fleet.event(1, broke_off("t1"));
+    fleet.event(0, interruption_event("t0"));
+    fleet.event(1, interruption_event("t1"));
     fleet.run(MOMENT);
     let served = RequestSpec { digest: Some(digest()), ..spec(1) };
     fleet.event(2, NodeEvent::Admit(Box::new(served)));
     fleet.finish(2, 1);
-    fleet.event(0, broke_off("t2"));
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    fleet.event(0, interruption_event("t2"));
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     assert_eq!(reasons(&mut fleet, &[0, 1, 2], 2), [None, None, None]);
 }
 
-/// It was admitted, and waits for a place, when the third target ends.
+/// The request was admitted and waits for a slot when the third target terminates.
 #[test]
-fn request_that_waits_is_refused_as_it_is_granted() {
+fn waiting_request_is_refused_when_granted_after_it_became_suspect() {
     let mut fleet = fleet_of(3);
     show(&mut fleet, &ids(1));
     fleet.run(Duration::from_secs(2));
-    // Four places, all taken.
+    // Four slots, all taken.
     for number in 1..=4 {
         fleet.admit(0, number);
     }
     fleet.event(1, NodeEvent::Admit(Box::new(RequestSpec { digest: Some(digest()), ..spec(5) })));
     fleet.run(MOMENT);
     assert_eq!(fleet.decision(5), None);
-    // The others serve another pool.
+    // The other targets belong to another pool.
     let others = ids(4)[1..].iter().map(|id| target(id, false)).collect::<Vec<_>>();
     let others =
         others.into_iter().map(|other| DiscoveredTarget { pool: "q".to_string(), ..other });
@@ -300,7 +300,7 @@
     fleet.run(Duration::from_secs(2));
     assert_eq!(fleet.decision(5), None);
     for id in &ids(4)[1..] {
-        fleet.event(2, broke_off(id));
+        fleet.event(2, interruption_event(id));
     }
     fleet.finish(0, 1);
     fleet.run(Duration::from_secs(2));
@@ -311,25 +311,25 @@
 }
 
 #[test]
-fn cleared_request_is_served_everywhere() {
+fn cleared_request_is_refused_by_no_daemon() {
     let mut fleet = fleet_of(3);
-    three_ends(&mut fleet, [0, 1, 2]);
-    lapse(&mut fleet, 3);
-    fleet.run(CONTACT);
+    three_interruptions(&mut fleet, [0, 1, 2]);
+    expire_entries(&mut fleet, 3);
+    fleet.run(SPREAD_LIMIT);
     all_refuse(&mut fleet, &[0, 1, 2], 1);
     fleet.event(1, NodeEvent::ClearSuspect(digest()));
-    fleet.run(CONTACT);
+    fleet.run(SPREAD_LIMIT);
     assert_eq!(reasons(&mut fleet, &[0, 1, 2], 2), [None, None, None]);
 }
 
-/// A daemon of an earlier version drops a frame with a message that it does not know, and whatever else is in it.
+/// A daemon of an earlier version drops a whole frame if it contains a message that it cannot decode.
 #[test]
-fn news_travel_in_frames_of_their_own() {
+fn suspect_reports_are_sent_in_separate_frames() {
     let mut fleet = fleet_of(3);
     let now = fleet.now;
     let frames: Vec<PeerFrame> = fleet.daemons[0]
         .node
-        .handle(now, now, broke_off("t0"))
+        .handle(now, now, interruption_event("t0"))
         .into_iter()
         .chain((0..100).flat_map(|step| {
             let now = now + Duration::from_millis(20) * step;
@@ -346,11 +346,11 @@
     assert!(frames.iter().any(|frame| is_news(&frame.messages[0])), "{frames:?}");
 }
 
-/// Nor is a peer asked in a frame with other messages before it has answered once.
+/// Before a peer has answered once, a pull is not sent in a frame with other messages.
 #[test]
-fn first_question_travels_in_a_frame_of_its_own() {
+fn suspects_pull_is_sent_in_a_separate_frame() {
     let mut fleet = fleet_of(3);
-    fleet.daemons[2] = unlike_daemon(2, Vec::new(), 2, 0);
+    fleet.daemons[2] = mixed_fleet_daemon(2, Vec::new(), 2, 0);
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let messages = vec![PeerMessage::Heartbeat(heartbeat(1))];
     let now = fleet.now;
@@ -372,9 +372,9 @@
     assert!(!asked.is_empty() && asked.iter().all(|messages| *messages == 1), "{asked:?}");
 }
 
-/// Who knows all that its peer knows gets no answer, and its questions are no frames of their own.
+/// A peer that knows all reports gets no answer, and its pulls need no separate frames.
 #[test]
-fn question_without_news_costs_no_answer() {
+fn suspects_pull_of_a_peer_that_lacks_nothing_gets_no_answer() {
     let mut fleet = fleet_of(3);
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let now = fleet.now;
@@ -387,7 +387,7 @@
     assert_eq!(ask(1), 0);
 }
 
-/// One of many requests.
+/// Returns the digest of one of many different requests.
 fn many(number: usize) -> RequestDigest {
     let body = number.to_string();
     let identity = RequestIdentity {
@@ -400,7 +400,7 @@
     identity.digest()
 }
 
-/// What the first daemon answers to one that knows so much.
+/// Returns the first daemon's answer to a peer that knows the reports up to revision `known`.
 fn answer_to_pull(fleet: &mut Fleet, known: u64) -> SuspectsPush {
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let pull = PeerMessage::SuspectsPull(SuspectsPull { known });
@@ -417,16 +417,17 @@
     push.expect("an answer")
 }
 
-/// All targets of a data centre ended under hundreds of requests: each of hundreds of daemons was told of all of them at once.
+/// When all targets of a data centre terminated under hundreds of requests, each of hundreds of daemons was sent all
+/// reports at once.
 #[test]
-fn ends_under_many_requests_are_told_a_few_at_a_time() {
+fn suspect_reports_after_a_mass_termination_are_sent_a_few_at_a_time() {
     let mut fleet = fleet_of(3);
     let now = fleet.now;
     for number in 0..300 {
         let interruption = RequestBreak { life: life("t0"), kind: BreakKind::Closed, begun: false };
         fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(number), interruption));
     }
-    // One of the last ones breaks off twice.
+    // One of the last requests is interrupted twice.
     let interruption = RequestBreak { life: life("t1"), kind: BreakKind::Closed, begun: false };
     fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(299), interruption));
     let mut ask = |known| answer_to_pull(&mut fleet, known);
--- a/crates/node/tests/nodes.rs
+++ b/crates/node/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! A node at its limits.
+//! Tests a node at its request limit and during its planned stop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,12 +44,12 @@
     node
 }
 
-/// Whether a request of a tier is taken in; the reason if not.
+/// Returns the reason if a request of a tier is refused, `None` if it is admitted.
 fn admit(node: &mut Node, number: u128, tier: u8) -> Option<RefusalReason> {
     refusal(node, Duration::ZERO, number, tier).map(|refusal| refusal.reason)
 }
 
-/// The refusal of a request of a tier, `None` where it is taken in.
+/// Returns the refusal of a request of a tier, `None` if it is admitted.
 fn refusal(node: &mut Node, now: Duration, number: u128, tier: u8) -> Option<Refusal> {
     let spec = RequestSpec {
         request: RequestId::from_u128(number),
@@ -73,8 +73,8 @@
     let mut node = node(100);
     let mut refused_at = [None; 3];
     for number in 0..120 {
-        // The lowest tier asks first at each level of filling, then the next, then the top one, which
-        // is the only one that fills the entry further where it can.
+        // At each fill level the lowest tier sends first, then the next, then the top tier, which alone can fill the
+        // entry daemon further.
         for tier in [2u8, 1, 0] {
             let reason = admit(&mut node, number * 10 + u128::from(tier), tier);
             let place = &mut refused_at[usize::from(tier)];
@@ -87,14 +87,14 @@
         }
     }
     assert!(refused_at.iter().all(Option::is_some));
-    // From its first refusal on no lower tier is taken in while a higher one is refused.
+    // Once a tier is refused, all lower tiers are refused too.
     assert!(refused_at[2] < refused_at[1] && refused_at[1] < refused_at[0], "{refused_at:?}");
 }
 
-/// While all daemons are replaced one after the other, callers hold connections to those that stop. Told to come
-/// back in a second, all of them were late, though another daemon had room.
+/// While all daemons are replaced one after the other, callers keep connections to stopping daemons. When advised to
+/// retry after a second, all of them were late, though another daemon had capacity.
 #[test]
-fn caller_of_a_daemon_that_stops_may_come_back_at_once() {
+fn draining_daemon_advises_an_immediate_retry() {
     let mut node = node(100);
     let wall = Duration::from_secs(1);
     node.handle(Duration::ZERO, wall, NodeEvent::Drain);
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -1,5 +1,5 @@
-//! A target that names how many requests a second it takes, seen by a fleet: what all daemons send together stays within it
-//! whoever schedules, is cut off, ends or begins. Each daemon has the gate that its requests pass.
+//! Tests a target that states how many requests per second it accepts, in a fleet: all daemons together stay within
+//! that limit while schedulers change, are cut off, end or join. Each daemon has a gate that its requests pass.
 
 mod support;
 
@@ -14,27 +14,27 @@
 use curlewcleat_sched::{HeardNotice, RequestSpec, TargetGate};
 use rstest::rstest;
 
-use support::{spec, target, unlike_daemon, Fleet};
+use support::{mixed_fleet_daemon, spec, target, Fleet};
 
-/// Requests a second that the target takes.
+/// Requests per second that the target accepts.
 const LIMIT: f64 = 2.0;
-/// Span in which the users count, and what they allow there.
+/// Span in which the users count requests, and the number that they allow in it.
 const SPAN: Duration = Duration::from_secs(4);
 const ALLOWED: usize = (1.5 * LIMIT * 4.0) as usize + 5;
-/// Time in which all daemons have come to keep the limit; the users allow three seconds.
-const CONTACT: Duration = Duration::from_secs(2);
+/// Time within which all daemons keep the limit; the users allow three seconds.
+const SPREAD_LIMIT: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(20);
 
-/// A fleet before one target that names a limit in each answer and answers at once.
+/// A fleet in front of one target that states a limit in each answer and answers at once.
 struct LimitedFleet {
     fleet: Fleet,
     gates: BTreeMap<usize, TargetGate>,
     number: u128,
-    /// Decisions that were followed already.
+    /// Number of decisions that were followed already.
     followed: usize,
     /// When requests reached the target.
     arrived: Vec<Duration>,
-    /// What the target says.
+    /// The notice in the target's answers.
     notice: TargetNotice,
 }
 
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Callers send to these daemons for so long, more than the target takes.
+    /// Sends callers' requests to these daemons for `time`, more than the target accepts.
     fn load(&mut self, daemons: &[usize], time: Duration) {
         let end = self.fleet.now + time;
         while self.fleet.now < end {
             self.fleet.run(STEP);
             for index in daemons {
-                // The daemon that a request came to stands in its number.
+                // The request number encodes the daemon that received the request.
                 self.number += 1;
                 let number = self.number * 1_000 + *index as u128;
                 let spec = RequestSpec { time_left: Duration::from_secs(1), ..spec(number) };
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sends what was granted, and has it answered.
+    /// Sends the granted requests to the target, which answers them.
     fn follow(&mut self) {
         while self.followed < self.fleet.decisions.len() {
             let (id, decision) = self.fleet.decisions[self.followed].clone();
@@ -101,7 +101,7 @@
         self.fleet.finish(index, id.as_u128());
     }
 
-    /// Most requests that reached the target in a span, from then on.
+    /// Returns the maximum of requests that reached the target in a span, starting from `since`.
     fn most_since(&self, since: Duration) -> usize {
         let arrived: Vec<&Duration> = self.arrived.iter().filter(|at| **at >= since).collect();
         let within =
@@ -122,10 +122,10 @@
 #[case::alone(1)]
 #[case::small(6)]
 #[case::large(40)]
-fn all_daemons_together_send_what_the_target_takes(#[case] daemons: usize) {
+fn daemons_together_stay_within_the_limit_of_the_target(#[case] daemons: usize) {
     let mut limited = LimitedFleet::new(daemons);
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT);
+    limited.load(&everyone, SPREAD_LIMIT);
     let since = limited.fleet.now;
     limited.load(&everyone, Duration::from_secs(20));
     let most = limited.most_since(since);
@@ -134,27 +134,27 @@
     assert!(served >= (LIMIT * 20.0 * 0.8) as usize, "{served}: what it takes is used");
 }
 
-/// A packet in four is lost.
+/// One packet in four is lost.
 #[test]
-fn lost_frames_break_nothing() {
+fn lost_frames_do_not_break_the_limit() {
     let mut limited = LimitedFleet::new(6);
     limited.fleet.losses = Some((4, 7));
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT);
+    limited.load(&everyone, SPREAD_LIMIT);
     let since = limited.fleet.now;
     limited.load(&everyone, Duration::from_secs(20));
     let most = limited.most_since(since);
     assert!(most <= ALLOWED, "{most}");
 }
 
-/// The scheduler ends again and again; the next one has heard of nothing by itself.
+/// The scheduler is cut off repeatedly; the next one has received no notice by itself.
 #[rstest]
 #[case::small(6)]
 #[case::large(40)]
-fn elections_break_nothing(#[case] daemons: usize) {
+fn elections_do_not_break_the_limit(#[case] daemons: usize) {
     let mut limited = LimitedFleet::new(daemons);
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT);
+    limited.load(&everyone, SPREAD_LIMIT);
     let since = limited.fleet.now;
     let mut living = everyone;
     for _ in 0..3 {
@@ -170,12 +170,12 @@
     assert!(served > 0, "nothing is served after an election");
 }
 
-/// The fleet falls into two parts that each have a scheduler, and joins again.
+/// The fleet is partitioned into two parts that each have a scheduler, and joins again.
 #[test]
-fn two_schedulers_send_no_more_together() {
+fn two_schedulers_together_stay_within_the_limit() {
     let mut limited = LimitedFleet::new(6);
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT);
+    limited.load(&everyone, SPREAD_LIMIT);
     let since = limited.fleet.now;
     for one in 0..3 {
         for other in 3..6 {
@@ -190,16 +190,16 @@
     assert!(most <= ALLOWED, "{most}");
 }
 
-/// A daemon begins and comes to schedule, since it is the strongest; it hears of the limit from the others.
+/// A restarted daemon becomes scheduler, since it is the strongest; it receives the limit from the others.
 #[test]
-fn daemon_that_begins_learns_the_limit() {
+fn new_scheduler_learns_the_limit() {
     let mut limited = LimitedFleet::new(5);
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT);
+    limited.load(&everyone, SPREAD_LIMIT);
     let addresses: Vec<String> =
         limited.fleet.daemons[0].node.peer_addresses().into_iter().collect();
     let leader = limited.fleet.leader();
-    limited.fleet.daemons[leader] = unlike_daemon(leader, addresses, 2, 0);
+    limited.fleet.daemons[leader] = mixed_fleet_daemon(leader, addresses, 2, 0);
     limited.gates.remove(&leader);
     let since = limited.fleet.now;
     limited.load(&everyone, Duration::from_secs(20));
@@ -207,10 +207,10 @@
     assert!(most <= ALLOWED, "{most}");
 }
 
-/// Leaving, told by one daemon, and the platform does not show it: no daemon sends there any more, and its end under a request is
-/// a planned one.
+/// One daemon receives the notice that a target leaves, and the platform does not show it: no daemon sends requests
+/// there any more, and its termination while running a request counts as planned.
 #[test]
-fn one_daemon_that_hears_that_a_target_leaves_spares_the_others() {
+fn leaving_notice_received_by_one_daemon_applies_to_all() {
     let mut fleet = Fleet::new(6);
     let outsider = 5;
     let leaving = NoticeReport { life: life(), leaving: true, rest: None, limit: None };
@@ -232,14 +232,14 @@
     assert_eq!(suspects, [], "a target that leaves ends as planned");
 }
 
-/// The target names its limit no longer: all is served again, soon and everywhere.
+/// The target states its limit no longer: soon all daemons serve all requests again.
 #[test]
-fn end_of_the_limit_reaches_the_scheduler() {
+fn removal_of_the_limit_reaches_the_scheduler() {
     let mut limited = LimitedFleet::new(6);
     let everyone = limited.everyone();
-    limited.load(&everyone, CONTACT * 2);
+    limited.load(&everyone, SPREAD_LIMIT * 2);
     limited.notice = TargetNotice::default();
-    limited.load(&everyone, CONTACT * 2);
+    limited.load(&everyone, SPREAD_LIMIT * 2);
     let since = limited.fleet.now;
     limited.load(&everyone, Duration::from_secs(4));
     let served = limited.count_since(since);
--- a/crates/node/tests/rollouts.rs
+++ b/crates/node/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! A version that an operator orders, seen by a fleet: what may go to its targets, whoever schedules, is cut off, or begins, and
-//! who ends the roll-out.
+//! Tests the rollout of an ordered version in a fleet: which requests its targets may get while schedulers change,
+//! are cut off or join, and how the rollout ends.
 
 mod support;
 
@@ -18,14 +18,14 @@
 const ORDER_TIME: Duration = Duration::from_secs(12);
 const STEP: Duration = Duration::from_millis(20);
 
-/// A fleet before targets of two versions, which answer at once.
+/// A fleet in front of targets of two versions, which answer at once.
 struct VersionedFleet {
     fleet: Fleet,
     number: u128,
     followed: usize,
     /// Whether the answers of the new version fail.
     is_faulty: bool,
-    /// When requests went to the old and the new version.
+    /// When requests were sent to the old and the new version.
     old: Vec<Duration>,
     new: Vec<Duration>,
 }
@@ -52,20 +52,20 @@
         }
     }
 
-    /// Targets of the new version start beside the others.
+    /// Starts targets of the new version beside the others.
     fn start_version(&mut self) {
         let (targets, at) = &mut self.fleet.targets;
         targets.extend((0..TARGETS).map(|index| versioned(format!("b{index}"), "v2")));
         *at += 1;
     }
 
-    /// Callers send to these daemons for so long.
+    /// Sends callers' requests to these daemons for `time`.
     fn load(&mut self, daemons: &[usize], time: Duration) {
         let end = self.fleet.now + time;
         while self.fleet.now < end {
             self.fleet.run(STEP);
             for index in daemons {
-                // The daemon that a request came to stands in its number.
+                // The request number encodes the daemon that received the request.
                 self.number += 1;
                 let number = self.number * 1_000 + *index as u128;
                 let spec = RequestSpec { time_left: Duration::from_secs(1), ..spec(number) };
@@ -121,7 +121,7 @@
         self.fleet.rollouts.0.first().and_then(|record| record.ended)
     }
 
-    /// Requests that went to the new version beyond its part of all since then.
+    /// Returns the number of requests that the new version got beyond its share since then.
     fn excess(&self, since: Duration) -> i64 {
         let count = |times: &[Duration]| times.iter().filter(|at| **at >= since).count() as i64;
         let (old, new) = (count(&self.old), count(&self.new));
@@ -129,108 +129,113 @@
     }
 }
 
-/// Targets were heard of before the order for them, or there is none: nothing goes there until that is known.
+/// The targets became known before it is known whether an order exists for their version: no request goes to them
+/// until that is known.
 #[test]
-fn unknown_version_waits_until_the_orders_are_known() {
-    let mut play = VersionedFleet::new(6);
-    let everyone = play.everyone();
-    play.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches = false);
-    play.fleet.run(Duration::from_secs(2));
-    play.start_version();
-    let (targets, at) = play.fleet.targets.clone();
+fn version_gets_no_requests_until_the_orders_are_known() {
+    let mut rollout = VersionedFleet::new(6);
+    let everyone = rollout.everyone();
+    rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches_platform = false);
+    rollout.fleet.run(Duration::from_secs(2));
+    rollout.start_version();
+    let (targets, at) = rollout.fleet.targets.clone();
     for index in &everyone {
-        play.fleet.event(*index, NodeEvent::TargetsListed(targets.clone(), at));
+        rollout.fleet.event(*index, NodeEvent::TargetsListed(targets.clone(), at));
     }
-    play.load(&everyone, Duration::from_secs(5));
-    assert_eq!(play.new.len(), 0, "whether an order stands behind them is not known");
-    play.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches = true);
-    play.load(&everyone, Duration::from_secs(5));
-    assert!(!play.new.is_empty(), "no order stands behind them");
+    rollout.load(&everyone, Duration::from_secs(5));
+    assert_eq!(rollout.new.len(), 0, "whether an order stands behind them is not known");
+    rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches_platform = true);
+    rollout.load(&everyone, Duration::from_secs(5));
+    assert!(!rollout.new.is_empty(), "no order stands behind them");
 }
 
-/// The daemon that schedules is cut off every two seconds, so that others come to schedule, who know nothing of what was granted
-/// before them.
+/// The scheduler is cut off every two seconds, so that other daemons become schedulers, which do not know what was
+/// granted before.
 #[rstest]
 #[case::nothing_happens(false)]
 #[case::elections(true)]
-fn version_on_trial_gets_its_part_over_all_schedulers(#[case] elections: bool) {
-    let mut play = VersionedFleet::new(9);
-    let everyone = play.everyone();
-    play.load(&everyone, Duration::from_secs(1));
-    let since = play.fleet.now;
-    play.fleet.order_version("v2", ORDER_TIME);
-    play.start_version();
+fn version_on_trial_gets_at_most_its_share_across_schedulers(#[case] elections: bool) {
+    let mut rollout = VersionedFleet::new(9);
+    let everyone = rollout.everyone();
+    rollout.load(&everyone, Duration::from_secs(1));
+    let since = rollout.fleet.now;
+    rollout.fleet.order_version("v2", ORDER_TIME);
+    rollout.start_version();
     for _ in 0..4 {
-        play.load(&everyone, Duration::from_secs(2));
-        let leader = play.fleet.leader();
-        play.fleet.daemons.iter_mut().for_each(|daemon| daemon.cut = false);
-        play.fleet.daemons[leader].cut = elections;
+        rollout.load(&everyone, Duration::from_secs(2));
+        let leader = rollout.fleet.leader();
+        rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.cut = false);
+        rollout.fleet.daemons[leader].cut = elections;
     }
     let slack = ROLLOUT_LIMITS.slack as i64;
-    assert!(play.excess(since) <= slack, "{} beyond its part", play.excess(since));
-    assert!(!play.new.is_empty());
+    assert!(rollout.excess(since) <= slack, "{} beyond its part", rollout.excess(since));
+    assert!(!rollout.new.is_empty());
 }
 
-/// The answers of the new version fail, and the platform is out of reach once the order is known: its targets get nothing more
-/// from any daemon, and the platform is told when it is back.
+/// The answers of the new version fail, and the platform may be unreachable once the order is known: its targets get
+/// no more requests from any daemon, and the result is stored once the platform is reachable again.
 #[rstest]
 #[case::platform_in_reach(true)]
 #[case::platform_out_of_reach(false)]
-fn faulty_version_gets_nothing_more_from_anyone(#[case] reaches: bool) {
-    let mut play = VersionedFleet::new(9);
-    play.is_faulty = true;
-    let everyone = play.everyone();
-    play.fleet.order_version("v2", ORDER_TIME);
-    play.start_version();
-    play.load(&everyone, Duration::from_millis(700));
-    play.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches = reaches);
-    play.load(&everyone, Duration::from_secs(5));
-    let stages: Vec<_> = everyone.iter().map(|index| play.stage(*index)).collect();
+fn faulty_version_gets_no_more_requests_from_any_daemon(#[case] reaches_platform: bool) {
+    let mut rollout = VersionedFleet::new(9);
+    rollout.is_faulty = true;
+    let everyone = rollout.everyone();
+    rollout.fleet.order_version("v2", ORDER_TIME);
+    rollout.start_version();
+    rollout.load(&everyone, Duration::from_millis(700));
+    rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches_platform = reaches_platform);
+    rollout.load(&everyone, Duration::from_secs(5));
+    let stages: Vec<_> = everyone.iter().map(|index| rollout.stage(*index)).collect();
     assert!(stages.iter().all(|stage| *stage == Some(RolloutStage::RolledBack)), "{stages:?}");
-    let last = play.new.last().copied().expect("requests on trial");
-    assert!(last + Duration::from_secs(2) < play.fleet.now, "{last:?} of {:?}", play.fleet.now);
-    assert!(play.new.len() <= 50, "{}", play.new.len());
-    play.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches = true);
-    play.load(&everyone, Duration::from_secs(4));
-    assert_eq!(play.stored(), Some(RolloutStage::RolledBack));
+    let last = rollout.new.last().copied().expect("requests on trial");
+    assert!(
+        last + Duration::from_secs(2) < rollout.fleet.now,
+        "{last:?} of {:?}",
+        rollout.fleet.now
+    );
+    assert!(rollout.new.len() <= 50, "{}", rollout.new.len());
+    rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches_platform = true);
+    rollout.load(&everyone, Duration::from_secs(4));
+    assert_eq!(rollout.stored(), Some(RolloutStage::RolledBack));
 }
 
-/// A sound version is taken; one that had decided otherwise, and writes late, changes nothing.
+/// A sound version is completed; a late write by a daemon that decided otherwise changes nothing.
 #[test]
-fn late_write_changes_nothing() {
-    let mut play = VersionedFleet::new(6);
-    let everyone = play.everyone();
-    play.fleet.order_version("v2", ORDER_TIME);
-    play.start_version();
-    play.load(&everyone, Duration::from_secs(1));
-    let revision = play.fleet.rollouts.0[0].revision;
-    play.load(&everyone, ORDER_TIME - Duration::from_secs(1));
-    assert_eq!(play.stored(), Some(RolloutStage::Completed));
+fn late_rollout_write_changes_nothing() {
+    let mut rollout = VersionedFleet::new(6);
+    let everyone = rollout.everyone();
+    rollout.fleet.order_version("v2", ORDER_TIME);
+    rollout.start_version();
+    rollout.load(&everyone, Duration::from_secs(1));
+    let revision = rollout.fleet.rollouts.0[0].revision;
+    rollout.load(&everyone, ORDER_TIME - Duration::from_secs(1));
+    assert_eq!(rollout.stored(), Some(RolloutStage::Completed));
     let late = RolloutWrite {
         name: "p".to_string(),
         version: "v2".to_string(),
         stage: RolloutStage::RolledBack,
         revision,
     };
-    play.fleet.write_rollout(&late);
-    play.load(&everyone, Duration::from_secs(2));
-    assert_eq!(play.stored(), Some(RolloutStage::Completed));
-    let after = play.fleet.now;
-    play.load(&everyone, Duration::from_secs(1));
-    assert!(play.old.iter().all(|at| *at < after), "the targets before it have stopped");
+    rollout.fleet.write_rollout(&late);
+    rollout.load(&everyone, Duration::from_secs(2));
+    assert_eq!(rollout.stored(), Some(RolloutStage::Completed));
+    let after = rollout.fleet.now;
+    rollout.load(&everyone, Duration::from_secs(1));
+    assert!(rollout.old.iter().all(|at| *at < after), "the targets before it have stopped");
 }
 
-/// The order is taken back while the version is on trial: its targets get nothing more.
+/// The order is withdrawn while the version is on trial: its targets get no more requests.
 #[test]
-fn withdrawn_order_closes_its_version() {
-    let mut play = VersionedFleet::new(6);
-    let everyone = play.everyone();
-    play.fleet.order_version("v2", ORDER_TIME);
-    play.start_version();
-    play.load(&everyone, Duration::from_secs(2));
-    play.fleet.rollouts = (Vec::new(), play.fleet.rollouts.1 + 1);
-    play.load(&everyone, Duration::from_secs(2));
-    let tried = play.new.len();
-    play.load(&everyone, Duration::from_secs(3));
-    assert_eq!(play.new.len(), tried);
+fn withdrawn_order_stops_requests_to_its_version() {
+    let mut rollout = VersionedFleet::new(6);
+    let everyone = rollout.everyone();
+    rollout.fleet.order_version("v2", ORDER_TIME);
+    rollout.start_version();
+    rollout.load(&everyone, Duration::from_secs(2));
+    rollout.fleet.rollouts = (Vec::new(), rollout.fleet.rollouts.1 + 1);
+    rollout.load(&everyone, Duration::from_secs(2));
+    let tried = rollout.new.len();
+    rollout.load(&everyone, Duration::from_secs(3));
+    assert_eq!(rollout.new.len(), tried);
 }
--- a/crates/node/tests/small_senders.rs
+++ b/crates/node/tests/small_senders.rs
@@ -1,5 +1,5 @@
-//! A configuration on its way through a fleet in which those that have it first are behind slow links
-//! too, as after the end of all strong VMs.
+//! Tests the distribution of a configuration when the daemons that have it first are behind slow links too, as after
+//! the loss of all strong VMs.
 
 mod support;
 
@@ -7,18 +7,17 @@
 
 use support::Fleet;
 
-/// Daemons: more than exchange every heartbeat with all others.
+/// Number of daemons: more than exchange every heartbeat with all others.
 const DAEMONS: usize = 24;
-/// Link of a small VM of the users in megabits a second.
+/// Link of a small VM of the users, in megabits per second.
 const SMALL_LINK: usize = 10;
-/// Length of the configuration in bytes; half of that packed, as a megabyte of rules is.
+/// Length of the configuration in bytes. It packs to half of that, as a megabyte of rules does.
 const TEXT: usize = 200_000;
 
-/// Without a limit on the peers that are sent a configuration at once, 1.4 MB waited at one sender, more
-/// than its link carries in the time after which a part is asked for again: 1,310 kB of 3,682 were sent
-/// twice.
+/// Without a limit on the peers that are sent a configuration at once, 1.4 MB waited at one sender, more than its
+/// link carries in the time after which a part is requested again: 1,310 kB of 3,682 were sent twice.
 #[test]
-fn slow_senders_do_not_keep_each_other_busy() {
+fn slow_senders_do_not_send_parts_twice() {
     let mut fleet = Fleet::behind_links(DAEMONS, SMALL_LINK);
     let readers = fleet.readers();
     for index in (0..DAEMONS).filter(|index| !readers.contains(index)) {
--- a/crates/node/tests/support/link.rs
+++ b/crates/node/tests/support/link.rs
@@ -1,4 +1,4 @@
-//! A link that delivers so many bytes a second, shared evenly by its senders as by TCP connections.
+//! A link into a daemon of limited bandwidth, shared evenly by its senders as by TCP connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use curlewcleat_core::PeerFrame;
 use curlewcleat_peers::encode_frame;
 
-/// Bytes that one sender may put on the link before the next one's turn: a packet.
+/// Bytes that one sender may put on the link before the next sender's turn: a packet.
 const PACKET: usize = 1_460;
 
-/// A frame on its way.
+/// A frame in transit.
 struct SentFrame {
     bytes_left: usize,
     frame: PeerFrame,
 }
 
-/// Frames on their way to one daemon.
+/// The link with the frames in transit to one daemon.
 pub struct SlowLink {
     bytes_per_s: usize,
-    /// One frame in so many is lost, `None` where none is.
-    pub lost_each: Option<usize>,
+    /// Every how many frames one is lost, `None` if none is.
+    pub loss_interval: Option<usize>,
     queues: BTreeMap<String, VecDeque<SentFrame>>,
     served_until: Duration,
     frames: usize,
     /// Bytes sent so far.
     pub sent_bytes: usize,
-    /// Most bytes that were on their way at one time.
+    /// Maximum of bytes in transit at one time.
     pub most_waiting: usize,
 }
 
 impl SlowLink {
-    /// A link of so many megabits a second.
+    /// Returns a link of `rate` megabits per second.
     pub fn megabits(rate: usize) -> SlowLink {
         SlowLink {
             bytes_per_s: rate * 1_000_000 / 8,
-            lost_each: None,
+            loss_interval: None,
             queues: BTreeMap::new(),
             served_until: Duration::ZERO,
             frames: 0,
@@ -47,7 +47,7 @@
         let bytes = encode_frame(&frame).expect("a frame").len();
         self.frames += 1;
         self.sent_bytes += bytes;
-        if self.lost_each.is_some_and(|each| self.frames.is_multiple_of(each)) {
+        if self.loss_interval.is_some_and(|each| self.frames.is_multiple_of(each)) {
             return;
         }
         let queue = self.queues.entry(frame.from.vm.clone()).or_default();
@@ -56,7 +56,7 @@
         self.most_waiting = self.most_waiting.max(waiting);
     }
 
-    /// What has arrived by now.
+    /// Returns the frames that have arrived by `now`.
     pub fn arrived(&mut self, now: Duration) -> Vec<PeerFrame> {
         let time = now - std::mem::replace(&mut self.served_until, now);
         let mut bytes = (time.as_secs_f64() * self.bytes_per_s as f64) as usize;
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Some daemons of a fleet, the frames between them, and the platform that they read.
+//! The daemons of a fleet, the frames between them, and the platform that they read.
 
 #![allow(dead_code)]
 
@@ -23,16 +23,16 @@
 
 use parts::{address, daemon_behind};
 
-// Each test file uses some of these.
+// Each test file uses only some of these.
 #[allow(unused_imports)]
 pub use link::SlowLink;
 #[allow(unused_imports)]
 pub use parts::{
-    daemon, heartbeat, recorded, spec, target, unlike_capacity, unlike_daemon, unlike_records,
-    ROLLOUT_LIMITS,
+    daemon, heartbeat, mixed_fleet_capacity, mixed_fleet_daemon, mixed_fleet_records, recorded,
+    spec, target, ROLLOUT_LIMITS,
 };
 #[allow(unused_imports)]
-pub use scripted::{archive, bundle, Peer, World};
+pub use scripted::{archive, bundle, Peer, ScriptedWorld};
 #[allow(unused_imports)]
 pub use uplink::Uplink;
 
@@ -40,35 +40,35 @@
     [account a]\ntoken_sha256 = 2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824\n\
     shared_rate_per_s = 1000\n";
 const STEP: Duration = Duration::from_millis(20);
-/// Time in which changes have to be in force.
+/// Time in which a change has to be in force.
 pub const APPLY_LIMIT: Duration = Duration::from_secs(2);
 
-/// A daemon and what the world does to it.
+/// A daemon and the faults that a test applies to it.
 pub struct Daemon {
     pub node: Node,
     /// Whether it reaches the platform.
-    pub reaches: bool,
-    /// Whether its reads of the platform are still on their way when the test ends.
+    pub reaches_platform: bool,
+    /// Whether its reads of the platform are still unanswered when the test ends.
     pub reads_late: bool,
     /// Whether frames to and from it are lost.
     pub cut: bool,
     /// Whether frames to it are lost.
-    pub deaf: bool,
-    /// Whether it reads the platform, by its own word.
-    pub duty: ReadRole,
-    /// When the read was sent that proved its configuration last.
+    pub drops_incoming: bool,
+    /// Whether it reads the platform, as it last requested.
+    pub read_role: ReadRole,
+    /// When the latest read was sent that proved its configuration.
     pub proved: Option<Duration>,
     next_read: Duration,
 }
 
-/// Some daemons and the frames between them, which arrive at once but for those over slow links.
+/// Daemons and the frames between them, which arrive at once except over slow links.
 pub struct Fleet {
     pub daemons: Vec<Daemon>,
     pub now: Duration,
     pub decisions: Vec<(RequestId, CallerDecision)>,
-    /// Targets as the platform has them, with their revision.
+    /// Targets at the platform, with their revision.
     pub targets: (Vec<DiscoveredTarget>, u64),
-    /// Orders of roll-outs at the platform, with their revision.
+    /// Rollout orders at the platform, with their revision.
     pub rollouts: (Vec<RolloutRecord>, u64),
     /// Newest configuration at the platform.
     pub generation: u64,
@@ -78,30 +78,31 @@
     pub links: BTreeMap<usize, SlowLink>,
     /// Slow links out of daemons.
     pub uplinks: BTreeMap<usize, Uplink>,
-    /// Calls of the platform.
+    /// Number of platform calls.
     pub calls: usize,
-    /// Frames sent.
+    /// Number of frames sent.
     pub frames: usize,
-    /// The same by daemon.
+    /// Number of frames sent by each daemon.
     pub frames_of: BTreeMap<usize, usize>,
-    /// One packet in this many is lost, where set; the state draws which.
+    /// One packet in how many is lost, if set, and the state of the generator that selects it.
     pub losses: Option<(u64, u64)>,
-    held_up: Vec<(Duration, usize, PeerFrame)>,
-    /// Frames between these are lost, from the first to the second.
+    delayed: Vec<(Duration, usize, PeerFrame)>,
+    /// Pairs of sender and receiver whose frames are lost.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Requests that the platform was asked to keep as refused, with the place of the daemon that asked.
+    /// Refusals that the platform was called to store, with the index of the calling daemon.
     pub refusals: Vec<(usize, SuspectReport)>,
-    /// Peers that a daemon took for ended, with the place of that daemon.
+    /// Peers that a daemon reported as lost, with the index of that daemon.
     pub lost: Vec<(usize, VmId)>,
 }
 
 impl Fleet {
-    /// A fleet that has settled.
+    /// Returns a fleet that has run for four seconds.
     pub fn new(daemons: usize) -> Fleet {
         Fleet::of(daemons, 1_000)
     }
 
-    /// The same where all frames go over links of so many megabits a second, out of a daemon and into it.
+    /// Returns a fleet in which all frames pass links of `megabits` per second, out of the sender and into the
+    /// receiver.
     pub fn behind_links(daemons: usize, megabits: usize) -> Fleet {
         let mut fleet = Fleet::of(daemons, megabits as u64);
         for index in 0..daemons {
@@ -130,7 +131,7 @@
             frames: 0,
             frames_of: BTreeMap::new(),
             losses: None,
-            held_up: Vec::new(),
+            delayed: Vec::new(),
             blocked: BTreeSet::new(),
             refusals: Vec::new(),
             lost: Vec::new(),
@@ -142,13 +143,14 @@
         fleet
     }
 
-    /// A fleet of a few strong VMs and many weak ones; all have begun just now.
-    pub fn unlike(daemons: usize) -> Fleet {
+    /// Returns a fleet of a few strong VMs and many weak ones, all of which have just started.
+    pub fn mixed(daemons: usize) -> Fleet {
         let mut fleet = Fleet::of(0, 1_000);
         fleet.now = Duration::ZERO;
-        fleet.daemons = (0..daemons).map(|index| unlike_daemon(index, Vec::new(), 1, 0)).collect();
+        fleet.daemons =
+            (0..daemons).map(|index| mixed_fleet_daemon(index, Vec::new(), 1, 0)).collect();
         for index in 0..daemons {
-            fleet.event(index, unlike_records(daemons));
+            fleet.event(index, mixed_fleet_records(daemons));
         }
         fleet
     }
@@ -166,11 +168,11 @@
                     }
                     NodeAction::Note(NodeNote::PeerLost(peer)) => self.lost.push((index, peer.vm)),
                     NodeAction::Decide(id, decision) => self.decisions.push((id, decision)),
-                    NodeAction::Platform(PlatformCall::Read(duty)) => {
-                        self.daemons[index].duty = duty
+                    NodeAction::Platform(PlatformCall::Read(read_role)) => {
+                        self.daemons[index].read_role = read_role
                     }
                     NodeAction::Platform(PlatformCall::WriteRollout(write))
-                        if self.daemons[index].reaches =>
+                        if self.daemons[index].reaches_platform =>
                     {
                         self.write_rollout(&write);
                         events.push((index, self.rollouts_listed()));
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The platform takes a write that was decided on the revision that an order has.
+    /// Applies a write at the platform if it was decided on the current revision of its order.
     pub fn write_rollout(&mut self, write: &RolloutWrite) {
         let (records, at) = &mut self.rollouts;
         let known = records.iter_mut().find(|record| record.name == write.name);
@@ -200,7 +202,7 @@
         record.ended = Some(write.stage).filter(|stage| stage.is_final());
     }
 
-    /// An operator orders a version of the pool.
+    /// Stores an operator's order of a version for the pool.
     pub fn order_version(&mut self, version: &str, time: Duration) {
         let (records, at) = &mut self.rollouts;
         *at += 1;
@@ -219,17 +221,17 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            self.deliver_held_up();
+            self.deliver_delayed();
             for index in 0..self.daemons.len() {
-                self.leave_late(index);
-                self.deliver_late(index);
+                self.deliver_outbound(index);
+                self.deliver_inbound(index);
                 self.event(index, NodeEvent::Tick);
                 self.read_platform(index);
             }
         }
     }
 
-    /// Runs until something holds, for `limit` at most. Returns how long that took.
+    /// Runs until `holds` is true, for `limit` at most. Returns how long that took.
     pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&Fleet) -> bool) -> Duration {
         let begun = self.now;
         while !holds(self) && self.now < begun + limit {
@@ -238,10 +240,10 @@
         self.now - begun
     }
 
-    /// What the daemon's own tasks do: reads of the configuration and the targets.
+    /// Performs the reads of the daemon's tasks: the configuration, the targets and, for readers, the rollouts.
     fn read_platform(&mut self, index: usize) {
         let daemon = &mut self.daemons[index];
-        if daemon.duty == ReadRole::Idle || self.now < daemon.next_read {
+        if daemon.read_role == ReadRole::Idle || self.now < daemon.next_read {
             return;
         }
         daemon.next_read = self.now + FreshnessLimits::within(APPLY_LIMIT).read_every;
@@ -249,7 +251,7 @@
         if daemon.reads_late {
             return;
         }
-        if !daemon.reaches {
+        if !daemon.reaches_platform {
             return self.event(index, NodeEvent::PlatformFailed);
         }
         let files = BTreeMap::from([("a.ini".to_string(), self.config.clone())]);
@@ -261,7 +263,7 @@
         }
         let (targets, at) = self.targets.clone();
         self.event(index, NodeEvent::TargetsListed(targets, at));
-        if self.daemons[index].duty == ReadRole::Reader {
+        if self.daemons[index].read_role == ReadRole::Reader {
             self.event(index, self.rollouts_listed());
         }
     }
@@ -270,12 +272,12 @@
         self.event(index, NodeEvent::Admit(Box::new(spec(number))));
     }
 
-    /// The same with a request that costs its account so many units.
+    /// Admits a request that costs its account `cost` units.
     pub fn admit_for(&mut self, index: usize, number: u128, cost: u64) {
         self.event(index, NodeEvent::Admit(Box::new(RequestSpec { cost, ..spec(number) })));
     }
 
-    /// The target has answered whole.
+    /// Reports that the target has answered the request in full.
     pub fn finish(&mut self, index: usize, number: u128) {
         let end = AttemptEnd::Whole(Duration::from_millis(5));
         let id = RequestId::from_u128(number);
@@ -291,12 +293,12 @@
         self.daemons[index].node.status().pools[0].scheduler.clone()
     }
 
-    /// Permits that a daemon has given and that are in use.
+    /// Returns the number of permits that a daemon has granted and that are in use.
     pub fn in_flight(&self, index: usize) -> usize {
         self.daemons[index].node.status().pools.iter().map(|pool| pool.in_flight).sum()
     }
 
-    /// Place of the daemon that schedules, as the first daemon sees it.
+    /// Returns the index of the daemon that schedules, as seen by the first daemon.
     pub fn leader(&self) -> usize {
         self.position(&self.scheduler(0))
     }
@@ -305,7 +307,7 @@
         (0..self.daemons.len()).find(|index| vm == format!("vm-{index}")).expect("a daemon")
     }
 
-    /// Daemons that are no candidates.
+    /// Returns the daemons that are no candidates for scheduling.
     pub fn outsiders(&self) -> Vec<usize> {
         let candidates = self.candidates();
         (0..self.daemons.len()).filter(|index| !candidates.contains(index)).collect()
@@ -313,23 +315,23 @@
 
     pub fn readers(&self) -> Vec<usize> {
         (0..self.daemons.len())
-            .filter(|index| self.daemons[*index].duty == ReadRole::Reader)
+            .filter(|index| self.daemons[*index].read_role == ReadRole::Reader)
             .collect()
     }
 
-    /// The first four daemons in the order of schedulers.
+    /// Returns the first four daemons in the order of schedulers.
     pub fn candidates(&self) -> Vec<usize> {
         let order = self.daemons[0].node.scheduler_order();
         order.iter().take(4).map(|daemon| self.position(&daemon.vm)).collect()
     }
 
-    /// Age of a daemon's proof of its configuration.
+    /// Returns the age of a daemon's proof of its configuration.
     pub fn proof_age(&self, index: usize) -> Duration {
         self.daemons[index].proved.map_or(Duration::MAX, |proved| self.now - proved)
     }
 
-    /// The platform has a newer configuration of about so many bytes, which no coding makes shorter
-    /// than half of that.
+    /// Stores a newer configuration of about `bytes` bytes at the platform; it cannot be compressed to less than half
+    /// of that.
     pub fn change_config(&mut self, bytes: usize) {
         self.generation += 1;
         let mut state = self.generation;
@@ -341,17 +343,17 @@
         self.config = config;
     }
 
-    /// What peers have sent to a daemon of configurations.
+    /// Returns the count of configuration bytes that peers have sent to a daemon.
     pub fn intake_of(&self, index: usize) -> ConfigIntake {
         self.daemons[index].node.status().config_intake
     }
 
-    /// Generation in force at a daemon.
+    /// Returns the generation in force at a daemon.
     pub fn generation_of(&self, index: usize) -> u64 {
         self.daemons[index].node.status().generation
     }
 
-    /// Targets that a daemon would send to.
+    /// Returns the targets that a daemon would send requests to.
     pub fn known_targets(&self, index: usize) -> Vec<String> {
         let config = self.daemons[index].node.config();
         config.pools.values().flat_map(|pool| pool.targets.keys().cloned()).collect()
--- a/crates/node/tests/support/parts.rs
+++ b/crates/node/tests/support/parts.rs
@@ -1,4 +1,4 @@
-//! Daemons, targets and messages with which tests begin.
+//! Builds the daemons, targets and messages that tests start with.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::{Daemon, APPLY_LIMIT};
 
-/// The part that a version on trial may get.
+/// The share of requests that a version on trial may get.
 pub const ROLLOUT_LIMITS: RolloutLimits = RolloutLimits { permille: 50, slack: 25 };
 
 pub fn address(index: usize) -> String {
@@ -31,13 +31,13 @@
     daemon_behind(index, seeds, 1_000)
 }
 
-/// A daemon whose link carries so many megabits a second.
+/// Returns a daemon with a link of `megabits` per second.
 pub fn daemon_behind(index: usize, seeds: Vec<String>, megabits: u64) -> Daemon {
     with_node(Node::new(options(index, seeds, megabits)))
 }
 
-/// Processor of a VM of an unlike fleet, in percent of a core: few are strong.
-pub fn unlike_capacity(index: usize) -> u32 {
+/// Returns the CPU capacity of a VM of a mixed fleet, in percent of a core: few are strong.
+pub fn mixed_fleet_capacity(index: usize) -> u32 {
     if index % 16 == 5 {
         50
     } else {
@@ -45,21 +45,26 @@
     }
 }
 
-/// A start of a daemon of an unlike fleet, at a time in seconds.
-pub fn unlike_daemon(index: usize, seeds: Vec<String>, incarnation: u64, started: u64) -> Daemon {
+/// Returns a daemon of a mixed fleet with the given incarnation and start time in seconds.
+pub fn mixed_fleet_daemon(
+    index: usize,
+    seeds: Vec<String>,
+    incarnation: u64,
+    started: u64,
+) -> Daemon {
     let mut options = options(index, seeds, 1_000);
     options.me.incarnation = incarnation;
-    options.members.capacity = unlike_capacity(index);
+    options.members.capacity = mixed_fleet_capacity(index);
     options.members.started = started;
     with_node(Node::new(options))
 }
 
-/// What the platform has recorded of an unlike fleet.
-pub fn unlike_records(daemons: usize) -> NodeEvent {
+/// Returns the daemons of a mixed fleet that the platform has recorded.
+pub fn mixed_fleet_records(daemons: usize) -> NodeEvent {
     let record = |index| DaemonRecord {
         daemon: DaemonId { vm: format!("vm-{index}"), incarnation: 1 },
         address: address(index),
-        capacity: unlike_capacity(index),
+        capacity: mixed_fleet_capacity(index),
     };
     NodeEvent::DaemonsListed((0..daemons).map(record).collect())
 }
@@ -67,11 +72,11 @@
 fn with_node(node: Node) -> Daemon {
     Daemon {
         node,
-        reaches: true,
+        reaches_platform: true,
         reads_late: false,
         cut: false,
-        deaf: false,
-        duty: ReadRole::Reader,
+        drops_incoming: false,
+        read_role: ReadRole::Reader,
         proved: None,
         next_read: Duration::ZERO,
     }
@@ -109,7 +114,7 @@
     }
 }
 
-/// A heartbeat of the second daemon, with a configuration of this generation.
+/// Returns a heartbeat of the second daemon with this configuration generation.
 pub fn heartbeat(generation: u64) -> Heartbeat {
     Heartbeat {
         address: address(1),
--- a/crates/node/tests/support/scripted.rs
+++ b/crates/node/tests/support/scripted.rs
@@ -1,5 +1,5 @@
-//! One daemon and peers that follow a script: what they have, when they say so, which answers are lost and
-//! how long messages take.
+//! One daemon and scripted peers: which configuration they have, when they advertise it, which of their answers are
+//! lost, and how long messages take.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 
 use super::{heartbeat, Fleet};
 
-/// Time between the heartbeats of a peer.
-const BEAT: Duration = Duration::from_millis(500);
-/// Time between two looks at what has arrived.
+/// Interval between the heartbeats of a peer.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks for arrived messages.
 const STEP: Duration = Duration::from_millis(10);
 
-/// A configuration of several parts, packed.
+/// Returns a packed configuration of several parts.
 pub fn archive(generation: u64, salt: u64) -> ConfigArchive {
     ConfigArchive::pack(&bundle(generation, salt)).expect("an archive")
 }
@@ -36,9 +36,9 @@
 pub struct Peer {
     index: usize,
     pub archive: ConfigArchive,
-    /// When its first heartbeat arrives, after the beginning.
+    /// When its first heartbeat arrives, after the start of the script.
     phase: Duration,
-    /// Answers that are lost, counted from the first one.
+    /// Numbers of the answers that are lost, counted from one.
     pub lost: Vec<usize>,
     pub answers: usize,
 }
@@ -52,8 +52,9 @@
         format!("127.0.0.1:{}", 1_000 + self.index)
     }
 
-    fn beats_at(&self, since: Duration) -> bool {
-        since >= self.phase && (since - self.phase).as_millis().is_multiple_of(BEAT.as_millis())
+    fn sends_heartbeat_at(&self, since: Duration) -> bool {
+        since >= self.phase
+            && (since - self.phase).as_millis().is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
     }
 
     fn heartbeat(&self) -> Heartbeat {
@@ -71,24 +72,31 @@
     }
 }
 
-/// The first daemon of a fleet, and peers whose messages take a while.
-pub struct World {
+/// The first daemon of a fleet, and peers whose messages take time.
+pub struct ScriptedWorld {
     pub fleet: Fleet,
-    begun: Duration,
+    started_at: Duration,
     pub peers: Vec<Peer>,
     round_trip: Duration,
-    pub on_the_way: Vec<(Duration, usize, PeerMessage)>,
+    pub in_transit: Vec<(Duration, usize, PeerMessage)>,
     pub pulls: Vec<(Duration, usize, ConfigPartPull)>,
 }
 
-impl World {
-    pub fn new(peers: Vec<Peer>, round_trip: Duration) -> World {
+impl ScriptedWorld {
+    pub fn new(peers: Vec<Peer>, round_trip: Duration) -> ScriptedWorld {
         let fleet = Fleet::new(3);
-        let begun = fleet.now;
-        World { fleet, begun, peers, round_trip, on_the_way: Vec::new(), pulls: Vec::new() }
+        let started_at = fleet.now;
+        ScriptedWorld {
+            fleet,
+            started_at,
+            peers,
+            round_trip,
+            in_transit: Vec::new(),
+            pulls: Vec::new(),
+        }
     }
 
-    /// The first daemon takes a message of a peer.
+    /// Delivers a message of a peer to the first daemon.
     pub fn take(&mut self, index: usize, message: PeerMessage) {
         let from = DaemonId { vm: format!("vm-{index}"), incarnation: 1 };
         let event = NodeEvent::Peer(PeerFrame { from, messages: vec![message] });
@@ -103,13 +111,13 @@
         }
     }
 
-    /// A peer answers, where it has something.
+    /// Answers a pull if the peer has a part for it.
     fn pull(&mut self, to: &str, pull: ConfigPartPull) {
         let Some(peer) = self.peers.iter_mut().find(|peer| peer.address() == to) else { return };
-        self.pulls.push((self.fleet.now - self.begun, peer.index, pull));
+        self.pulls.push((self.fleet.now - self.started_at, peer.index, pull));
         if let Some(part) = peer.answer(pull) {
             let arrives = self.fleet.now + self.round_trip;
-            self.on_the_way.push((arrives, peer.index, PeerMessage::ConfigPart(part)));
+            self.in_transit.push((arrives, peer.index, PeerMessage::ConfigPart(part)));
         }
     }
 
@@ -117,18 +125,18 @@
         self.fleet.now += STEP;
         let now = self.fleet.now;
         let (arrived, later) =
-            std::mem::take(&mut self.on_the_way).into_iter().partition(|(at, _, _)| *at <= now);
-        self.on_the_way = later;
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, _, _)| *at <= now);
+        self.in_transit = later;
         let arrived: Vec<(Duration, usize, PeerMessage)> = arrived;
         for (_, index, message) in arrived {
             self.take(index, message);
         }
-        let since = now - self.begun;
-        let beating = self.peers.iter().filter(|peer| peer.beats_at(since));
-        let beats: Vec<(usize, Heartbeat)> =
-            beating.map(|peer| (peer.index, peer.heartbeat())).collect();
-        for (index, beat) in beats {
-            self.take(index, PeerMessage::Heartbeat(beat));
+        let since = now - self.started_at;
+        let sending = self.peers.iter().filter(|peer| peer.sends_heartbeat_at(since));
+        let heartbeats: Vec<(usize, Heartbeat)> =
+            sending.map(|peer| (peer.index, peer.heartbeat())).collect();
+        for (index, heartbeat) in heartbeats {
+            self.take(index, PeerMessage::Heartbeat(heartbeat));
         }
     }
 
--- a/crates/node/tests/support/uplink.rs
+++ b/crates/node/tests/support/uplink.rs
@@ -1,4 +1,4 @@
-//! A link that takes so many bytes a second out of a daemon, shared evenly by its receivers.
+//! A link out of a daemon of limited bandwidth, shared evenly by its receivers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use curlewcleat_core::PeerFrame;
 use curlewcleat_peers::encode_frame;
 
-/// Bytes for one receiver before the next one's turn: a packet.
+/// Bytes for one receiver before the next receiver's turn: a packet.
 const PACKET: usize = 1_460;
 
-/// Frames on their way out of one daemon.
+/// The link with the frames that one daemon is sending.
 pub struct Uplink {
     bytes_per_s: usize,
     queues: BTreeMap<usize, VecDeque<(usize, PeerFrame)>>,
     served_until: Duration,
     /// Bytes sent so far.
     pub sent_bytes: usize,
-    /// Most bytes that were on their way at one time.
+    /// Maximum of bytes in transit at one time.
     pub most_waiting: usize,
 }
 
 impl Uplink {
-    /// A link of so many megabits a second.
+    /// Returns a link of `rate` megabits per second.
     pub fn megabits(rate: usize, now: Duration) -> Uplink {
         Uplink {
             bytes_per_s: rate * 1_000_000 / 8,
@@ -40,18 +40,18 @@
         self.most_waiting = self.most_waiting.max(waiting);
     }
 
-    /// What has left by now.
-    pub fn left(&mut self, now: Duration) -> Vec<(usize, PeerFrame)> {
+    /// Returns the frames that have left by `now`, with their receivers.
+    pub fn departed(&mut self, now: Duration) -> Vec<(usize, PeerFrame)> {
         let time = now - std::mem::replace(&mut self.served_until, now);
         let mut bytes = (time.as_secs_f64() * self.bytes_per_s as f64) as usize;
         let mut frames = Vec::new();
         while bytes > 0 && !self.queues.is_empty() {
             for (to, queue) in &mut self.queues {
-                let Some((left, _)) = queue.front_mut() else { continue };
-                let served = (*left).min(PACKET).min(bytes);
-                *left -= served;
+                let Some((remaining, _)) = queue.front_mut() else { continue };
+                let served = (*remaining).min(PACKET).min(bytes);
+                *remaining -= served;
                 bytes -= served;
-                if *left == 0 {
+                if *remaining == 0 {
                     frames.extend(queue.pop_front().map(|(_, frame)| (*to, frame)));
                 }
             }
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -1,4 +1,4 @@
-//! A target that starts again under its id: what daemons know of it is known of one life.
+//! Tests a target that restarts under its id: what daemons know of it belongs to one instance.
 
 mod support;
 
@@ -12,14 +12,14 @@
 
 use support::{target, Fleet};
 
-/// A target that started then.
+/// Returns a target with this start.
 fn started(id: &str, start: u64, leaving: bool) -> DiscoveredTarget {
     let mut target = target(id, leaving);
     target.entry.start = Some(TargetStart(start));
     target
 }
 
-/// Starts and whether they leave, of the targets in use.
+/// Returns the id, the start and whether it leaves, for each target in use.
 fn lives(view: &TargetView) -> Vec<(String, Option<u64>, bool)> {
     let life = |target: DiscoveredTarget| {
         (target.entry.id, target.entry.start.map(|start| start.0), target.leaving)
@@ -31,8 +31,8 @@
     vec![TargetChange::Present(target)]
 }
 
-/// A view whose target has started again at 20, after a life from 10 that left.
-fn view_of_second_life() -> TargetView {
+/// Returns a view whose target has restarted at 20, after an instance from 10 that left.
+fn view_of_second_instance() -> TargetView {
     let mut view = TargetView::default();
     view.apply_list(vec![started("a", 10, true)], 1, false);
     view.apply_changes(1, present(started("a", 20, false)), 2, false);
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn news_of_lives_are_told_once() {
-    let mut view = view_of_second_life();
+fn instance_change_is_reported_once() {
+    let mut view = view_of_second_instance();
     let news = |told, known| {
         let (told, known) = (TargetStart(told), TargetStart(known));
         [LifeNews { target: "a".to_string(), stated: told, known }]
@@ -53,10 +53,10 @@
     assert_eq!(view.take_instance_changes(), news(10, 20));
 }
 
-/// A target that left was never used again, since its id was taken for one start of its process.
+/// A target that left was never used again, since its id was taken for a single start of its process.
 #[test]
-fn target_that_left_stays_once_it_has_started_again() {
-    assert_eq!(lives(&view_of_second_life()), [("a".to_string(), Some(20), false)]);
+fn target_that_left_is_used_after_a_restart() {
+    assert_eq!(lives(&view_of_second_instance()), [("a".to_string(), Some(20), false)]);
     let mut listed = TargetView::default();
     listed.apply_list(vec![started("a", 10, true)], 1, false);
     listed.apply_list(vec![started("a", 20, false)], 2, false);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn target_that_leaves_never_stays_after_all_in_the_same_life() {
+fn leaving_target_never_stops_leaving_within_one_instance() {
     for start in [Some(TargetStart(10)), None] {
         let mut view = TargetView::default();
         view.apply_list(vec![started("a", 10, true)], 1, false);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn late_entry_of_an_earlier_life_changes_nothing() {
+fn late_entry_of_an_earlier_instance_changes_nothing() {
     let known = [("a".to_string(), Some(20), false)];
-    let mut view = view_of_second_life();
+    let mut view = view_of_second_instance();
     view.apply_changes(2, present(started("a", 10, true)), 3, false);
     assert_eq!(lives(&view), known, "a watch");
     view.apply_list(vec![started("a", 10, true)], 4, false);
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn earlier_life_does_not_come_back_after_the_later_one_is_gone() {
-    let mut view = view_of_second_life();
+fn earlier_instance_does_not_return_after_the_later_one_was_removed() {
+    let mut view = view_of_second_instance();
     view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, false);
     view.apply_changes(3, present(started("a", 10, false)), 4, false);
     assert_eq!(lives(&view), []);
@@ -99,10 +99,10 @@
     assert_eq!(lives(&view), [("a".to_string(), Some(20), false)], "it was only out of sight");
 }
 
-/// An entry that cannot be read tells no start.
+/// A list entry that cannot be read states no start.
 #[test]
-fn unusable_entry_in_between_brings_no_earlier_life_back() {
-    let mut view = view_of_second_life();
+fn unusable_entry_does_not_restore_an_earlier_instance() {
+    let mut view = view_of_second_instance();
     view.apply_changes(2, present(DiscoveredTarget::unusable("a".to_string())), 3, false);
     view.apply_changes(3, present(started("a", 10, false)), 4, false);
     assert_eq!(view.targets()[0].pool, "", "nothing is sent there");
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn earlier_life_does_not_come_back_while_the_platform_fails() {
-    let mut view = view_of_second_life();
+fn earlier_instance_does_not_return_while_the_platform_fails() {
+    let mut view = view_of_second_instance();
     view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, true);
     view.apply_changes(3, present(started("a", 10, false)), 4, true);
     assert_eq!(lives(&view), [("a".to_string(), Some(20), false)]);
@@ -123,8 +123,8 @@
 }
 
 #[test]
-fn peers_learn_of_both_lives_in_order() {
-    let view = view_of_second_life();
+fn peers_receive_the_changes_of_both_instances_in_order() {
+    let view = view_of_second_instance();
     let mut peer = TargetView::default();
     peer.apply_list(vec![started("a", 10, true)], 1, false);
     let TargetsContent::Since(from, changes) = view.since(1) else { panic!("a list") };
@@ -132,7 +132,7 @@
     assert_eq!(lives(&peer), lives(&view));
 }
 
-/// Only the daemons that read the platform see a start; the others schedule and send by what these tell.
+/// Only the daemons that read the platform see a start; the others schedule and send by what these report.
 #[test]
 fn start_of_a_target_reaches_all_daemons() {
     let mut fleet = Fleet::new(6);
@@ -146,9 +146,9 @@
     }
 }
 
-/// A daemon that tells no starts cannot read the pull for them, and drops its frame.
+/// A daemon of a version without starts cannot decode the pull for them and drops its frame.
 #[test]
-fn peer_of_an_earlier_version_is_asked_as_before() {
+fn peer_of_an_earlier_version_gets_the_older_pulls_too() {
     let mut fleet = Fleet::new(1);
     let from = || curlewcleat_core::DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let mut pulls = Vec::new();
@@ -184,7 +184,7 @@
     assert_eq!(fleet.daemons[0].node.config().pools["p"].targets["z"].start, None);
 }
 
-/// A target that had ended in its earlier life is used by its start, whoever schedules.
+/// A target whose earlier instance left is used once it has restarted, whichever daemon schedules.
 #[test]
 fn request_goes_to_a_target_that_left_and_started_again() {
     let mut fleet = Fleet::new(3);
@@ -203,10 +203,10 @@
     }
 }
 
-/// The report of a request to the earlier life arrives after the start: three failures of that life
-/// ejected the later one, which had not failed.
+/// The reports of requests to the earlier instance arrive after the restart: three failures of that instance ejected
+/// the later one, which had not failed.
 #[test]
-fn failures_of_the_earlier_life_do_not_eject_the_later_one() {
+fn failures_of_the_earlier_instance_do_not_eject_the_later_one() {
     let mut fleet = Fleet::new(1);
     fleet.targets = (vec![started("x", 10, false), started("y", 10, false)], 2);
     fleet.run(Duration::from_secs(1));
