--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -100,16 +100,17 @@
     vms: VmView,
     /// Reachable daemons that may take roles, including this one.
     eligible: Vec<DaemonId>,
-    /// Order of schedulers across all pools.
-    order: Vec<DaemonId>,
+    /// Order of schedulers that covers all pools together.
+    all_pools_order: Vec<DaemonId>,
     configs: ConfigExchange,
     table_pull: AwaitedAnswer,
     targets_pull: AwaitedAnswer,
     /// Acknowledgement of the key records that this daemon hands over during its planned stop.
     hand_over_answer: AwaitedAnswer,
-    orders: BTreeMap<PoolId, Vec<DaemonId>>,
+    /// Order of schedulers of each pool.
+    scheduler_orders: BTreeMap<PoolId, Vec<DaemonId>>,
     table_absent: bool,
-    proposing: bool,
+    proposal_pending: bool,
     last_heartbeat: Option<Uptime>,
     last_review: Uptime,
     last_expire: Uptime,
@@ -145,15 +146,15 @@
             rollouts: RolloutExchange::default(),
             drain: DrainState::new(options.drain_grace, options.hand_over_limit),
             vms: VmView::default(),
-            order: vec![me.clone()],
+            all_pools_order: vec![me.clone()],
             eligible: vec![me],
             configs: ConfigExchange::new(options.link_bytes_per_s),
             table_pull: AwaitedAnswer::default(),
             targets_pull: AwaitedAnswer::default(),
             hand_over_answer: AwaitedAnswer::new(HAND_OVER_ACK_WAIT),
-            orders: BTreeMap::new(),
+            scheduler_orders: BTreeMap::new(),
             table_absent: false,
-            proposing: false,
+            proposal_pending: false,
             last_heartbeat: None,
             last_review: Duration::ZERO,
             last_expire: Duration::ZERO,
@@ -248,7 +249,7 @@
 
     /// Returns the daemons in the order in which they are preferred as schedulers, best first.
     pub fn scheduler_order(&self) -> &[DaemonId] {
-        &self.order
+        &self.all_pools_order
     }
 
     /// Returns the subject from which the order of schedulers of a pool is computed.
@@ -262,9 +263,9 @@
 
 /// Returns the cached order of schedulers of a pool, computed anew if the pool is not in the cache.
 fn cached_order(
-    orders: &BTreeMap<PoolId, Vec<DaemonId>>,
+    scheduler_orders: &BTreeMap<PoolId, Vec<DaemonId>>,
     members: &MemberView,
     pool: &str,
 ) -> Vec<DaemonId> {
-    orders.get(pool).cloned().unwrap_or_else(|| members.scheduler_order(pool))
+    scheduler_orders.get(pool).cloned().unwrap_or_else(|| members.scheduler_order(pool))
 }
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     pub(super) fn table_read(&mut self, read: Option<(ObjectVersion, KeyTable)>) {
-        self.proposing = false;
+        self.proposal_pending = false;
         match read {
             Some((version, table)) => self.apply_table(version, table),
             None => self.table_absent = true,
@@ -37,7 +37,7 @@
     pub(super) fn table_written(&mut self, write: TableWrite) {
         match write {
             TableWrite::Stored(version, table) => {
-                self.proposing = false;
+                self.proposal_pending = false;
                 self.apply_table(version, table);
             }
             TableWrite::ReadAgain => {
@@ -48,7 +48,7 @@
 
     /// Proposes a new key table if one is needed.
     pub(super) fn review_table(&mut self) {
-        if self.proposing || self.options.key_slots == 0 {
+        if self.proposal_pending || self.options.key_slots == 0 {
             return;
         }
         let proposal = if self.drain.phase() >= DrainPhase::Closing {
@@ -59,7 +59,7 @@
             self.changed_table()
         };
         if let Some(table) = proposal {
-            self.proposing = true;
+            self.proposal_pending = true;
             self.actions
                 .push(NodeAction::Platform(PlatformCall::ProposeTable(self.home.version(), table)));
         }
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -45,7 +45,8 @@
 }
 
 impl Node {
-    /// Records that a request was interrupted at a target, unless the target had announced that it leaves.
+    /// Records that a request was interrupted at a target, unless the target had announced that it leaves, gets no
+    /// requests because of its version, or is not known.
     pub(super) fn attempt_interrupted(
         &mut self,
         digest: RequestDigest,
@@ -151,8 +152,13 @@
         }
         self.lethal.last_pull = Some(self.now);
         let me = &self.options.me;
-        let asked: Vec<DaemonId> =
-            self.order.iter().filter(|daemon| *daemon != me).take(PULL_PEERS).cloned().collect();
+        let asked: Vec<DaemonId> = self
+            .all_pools_order
+            .iter()
+            .filter(|daemon| *daemon != me)
+            .take(PULL_PEERS)
+            .cloned()
+            .collect();
         for daemon in asked {
             self.pull_suspects_from(&daemon);
         }
@@ -235,7 +241,7 @@
 
     /// Has the platform store the refusals, if this daemon is first in the order of schedulers.
     fn store_refusals(&mut self) {
-        if self.order.first() != Some(&self.options.me) {
+        if self.all_pools_order.first() != Some(&self.options.me) {
             return;
         }
         let unstored: Vec<RequestDigest> = self.lethal.requests.unstored().copied().collect();
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -42,22 +42,23 @@
         // Key records that were sent to a daemon that has ended are sent to another one at once.
         self.hand_over_answer.answered();
         let order = self.members.scheduler_order(ALL_POOLS);
-        let schedulers = std::mem::replace(&mut self.order, order);
+        let schedulers = std::mem::replace(&mut self.all_pools_order, order);
         self.send_suspects_to_new_schedulers(&schedulers);
         self.send_notices_to_new_schedulers(&schedulers);
         self.send_answers_to_new_schedulers(&schedulers);
-        let before = std::mem::take(&mut self.orders);
+        let before = std::mem::take(&mut self.scheduler_orders);
         self.refresh_orders();
         self.update_data_centres();
         self.update_rate_shares();
-        if before == self.orders {
+        if before == self.scheduler_orders {
             return;
         }
         self.review_rates(&before);
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.schedulers_changed(self.now, &|pool| cached_order(orders, members, pool));
+        let actions = self
+            .entry
+            .schedulers_changed(self.now, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
@@ -76,7 +77,8 @@
     /// Restarts the rate accounting if this daemon has become first or second in the order of schedulers, since it
     /// does not know what others granted from the rates.
     fn review_rates(&mut self, before: &BTreeMap<PoolId, Vec<DaemonId>>) {
-        if permit_duties(&self.orders, &self.options.me) != permit_duties(before, &self.options.me)
+        if permit_duties(&self.scheduler_orders, &self.options.me)
+            != permit_duties(before, &self.options.me)
         {
             self.rates.restart(self.now);
         }
@@ -84,7 +86,7 @@
 
     pub(super) fn refresh_orders(&mut self) {
         let config = Arc::clone(&self.active);
-        self.orders = config
+        self.scheduler_orders = config
             .pools
             .keys()
             .map(|pool| (pool.clone(), self.members.scheduler_order(self.scheduling_subject(pool))))
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -177,9 +177,9 @@
     }
 
     pub(super) fn permit_answered(&mut self, from: &VmId, answer: PermitAnswer) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let order = |pool: &str| cached_order(orders, members, pool);
+        let order = |pool: &str| cached_order(scheduler_orders, members, pool);
         let actions = self.entry.permit_answered(self.now, from, answer, &order);
         self.perform(actions);
     }
@@ -189,10 +189,11 @@
         {
             self.actions.push(NodeAction::Platform(PlatformCall::ReadTable));
         }
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.key_answered(self.now, answer, &|pool| cached_order(orders, members, pool));
+        let actions = self
+            .entry
+            .key_answered(self.now, answer, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
@@ -230,7 +231,7 @@
     /// Returns the reachable daemons, other than this one, that may be asked for permits. They are few even in a
     /// large fleet: a refusal that waited for confirmation by hundreds of daemons would wait for the slowest of them.
     pub(super) fn other_schedulers(&self) -> Vec<DaemonId> {
-        let others = self.order.iter().filter(|daemon| **daemon != self.options.me);
+        let others = self.all_pools_order.iter().filter(|daemon| **daemon != self.options.me);
         others.filter(|daemon| self.eligible.contains(daemon)).cloned().collect()
     }
 
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -144,7 +144,7 @@
         let proof_aging = self.is_proof_aging();
         let Some(freshness) = self.freshness.as_mut() else { return };
         let (query, readers) =
-            freshness.query(self.now, &self.options.me, &self.order, proof_aging);
+            freshness.query(self.now, &self.options.me, &self.all_pools_order, proof_aging);
         let readers: Vec<VmId> = readers.into_iter().cloned().collect();
         for reader in readers {
             self.post(&reader, PeerMessage::FreshnessQuery(query));
@@ -163,7 +163,7 @@
     pub(super) fn step_freshness(&mut self) {
         let Some(freshness) = self.freshness.as_mut() else { return };
         let me = &self.options.me;
-        let role = freshness.read_role(self.now, me, &self.order);
+        let role = freshness.read_role(self.now, me, &self.all_pools_order);
         if self.read_role != role {
             self.read_role = role;
             self.actions.push(NodeAction::Platform(PlatformCall::Read(role)));
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -61,9 +61,10 @@
             self.actions.push(NodeAction::Decide(id, CallerDecision::Refuse(refusal)));
             return;
         }
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions = self.entry.admit(self.now, spec, &|pool| cached_order(orders, members, pool));
+        let actions =
+            self.entry.admit(self.now, spec, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
@@ -101,7 +102,7 @@
 
     /// Returns whether this daemon is first, second or later in the order of schedulers of a pool.
     fn own_rate_role(&self, pool: &str) -> RateTurn {
-        let order = self.orders.get(pool).map_or(&[][..], Vec::as_slice);
+        let order = self.scheduler_orders.get(pool).map_or(&[][..], Vec::as_slice);
         match order.iter().position(|daemon| *daemon == self.options.me) {
             Some(0) => RateTurn::Leader,
             Some(1) => RateTurn::Deputy,
@@ -110,19 +111,20 @@
     }
 
     pub(super) fn attempt_not_run(&mut self, id: RequestId, end: AttemptEnd, retry: RetryReason) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions = self
-            .entry
-            .not_run(self.now, id, end, retry, &|pool| cached_order(orders, members, pool));
+        let actions = self.entry.not_run(self.now, id, end, retry, &|pool| {
+            cached_order(scheduler_orders, members, pool)
+        });
         self.perform(actions);
     }
 
     pub(super) fn replacement(&mut self, id: RequestId, step: ReplacementStep) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.replacement(self.now, id, step, &|pool| cached_order(orders, members, pool));
+        let actions = self
+            .entry
+            .replacement(self.now, id, step, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -119,7 +119,7 @@
             self.rollouts.last_answer_report = self.now;
             self.report_answers();
         }
-        let leads = self.order.first() == Some(&self.options.me);
+        let leads = self.all_pools_order.first() == Some(&self.options.me);
         self.rollouts.leads_since = match leads {
             true => Some(self.rollouts.leads_since.unwrap_or(self.now)),
             false => None,
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -25,9 +25,10 @@
         self.review_roles();
         self.entry.set_daemons(self.members.fleet_size() as u64);
         self.update_rate_shares();
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions = self.entry.tick(self.now, &|pool| cached_order(orders, members, pool));
+        let actions =
+            self.entry.tick(self.now, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Sends a heartbeat, even to an address from which no daemon has been heard from.
+    /// Sends a heartbeat, even to an address from which no frame has been received.
     pub(super) fn send_heartbeat(&mut self, address: String, heartbeat: Heartbeat) {
         let messages = vec![PeerMessage::Heartbeat(heartbeat)];
         let frame = PeerFrame { from: self.options.me.clone(), messages };
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -60,9 +60,9 @@
 }
 
 fn granted_shares(pool: &PoolScheduler) -> Vec<GrantedPart> {
-    let part = |((tier, urgency), flow): (_, &UrgencyFlow)| {
+    let share = |((tier, urgency), flow): (_, &UrgencyFlow)| {
         let percent = flow.granted_percent();
         GrantedPart { tier, urgency, percent }
     };
-    pool.flows().all().map(part).collect()
+    pool.flows().all().map(share).collect()
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -76,7 +76,7 @@
     fleet.admit(entry, 2);
     fleet.run(Duration::from_millis(100));
     assert!(matches!(fleet.decision(2), Some(CallerDecision::Dispatch(..))));
-    assert!(fleet.in_flight(leader) > 0, "the leader was passed over");
+    assert!(fleet.in_flight(leader) > 0, "the leader was skipped");
 }
 
 #[test]
--- a/crates/node/tests/freshness.rs
+++ b/crates/node/tests/freshness.rs
@@ -192,7 +192,7 @@
     let each = (fleet.frames - before) / 60 / 10;
     // Two heartbeats per second to four candidates and a tenth of the others, answers to and from candidates, and
     // four queries per second with their answers; the full mesh takes 118.
-    assert!(each <= 45, "{each} frames a second each");
+    assert!(each <= 45, "{each} frames per second each");
     assert!((0..60).all(|index| fleet.scheduler(index) == fleet.scheduler(0)));
 }
 
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -206,13 +206,13 @@
     assert_eq!(leader, fleet.leader());
     fleet.daemons[leader].cut = true;
     fleet.run(SPREAD_LIMIT * 2);
-    assert_eq!(fleet.refusals.len(), 1, "another scheduler calls again");
+    assert_eq!(fleet.refusals.len(), 1, "another scheduler called the platform again");
     let mut anew = fleet_of(3);
     anew.event(1, NodeEvent::RefusalsRead(vec![SuspectReport { stored: true, ..kept }]));
     all_refuse(&mut anew, &[1], 1);
     anew.run(SPREAD_LIMIT);
     all_refuse(&mut anew, &[0, 2], 2);
-    assert_eq!(anew.refusals, [], "it is kept already");
+    assert_eq!(anew.refusals, [], "the refusal is stored already");
 }
 
 /// Terminations cost no platform call, however many targets terminate under however many requests.
@@ -383,7 +383,7 @@
         let event = NodeEvent::Peer(PeerFrame { from: from.clone(), messages: vec![pull] });
         fleet.daemons[0].node.handle(now, now, event).len()
     };
-    assert_eq!(ask(0), 1, "it has not asked before");
+    assert_eq!(ask(0), 1, "the first pull is answered");
     assert_eq!(ask(1), 0);
 }
 
@@ -432,10 +432,10 @@
     fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(299), interruption));
     let mut ask = |known| answer_to_pull(&mut fleet, known);
     let first = ask(0);
-    let told: Vec<RequestDigest> = first.requests.iter().map(|report| report.digest).collect();
-    assert!(told.len() <= 32, "{}", told.len());
-    assert!(told.contains(&many(299)), "the one near its limit is told at once");
-    let mut all: std::collections::BTreeSet<RequestDigest> = told.into_iter().collect();
+    let sent: Vec<RequestDigest> = first.requests.iter().map(|report| report.digest).collect();
+    assert!(sent.len() <= 32, "{}", sent.len());
+    assert!(sent.contains(&many(299)), "the request near its limit is sent at once");
+    let mut all: std::collections::BTreeSet<RequestDigest> = sent.into_iter().collect();
     let mut known = first.at;
     for _ in 0..40 {
         let next = ask(known);
--- a/crates/node/tests/membership.rs
+++ b/crates/node/tests/membership.rs
@@ -47,9 +47,9 @@
     fleet.run(Duration::from_secs(4));
     let (ordinary, most) = frames_a_second(&mut fleet);
     // Two heartbeats per second to four candidates, and the queries to two readers.
-    assert!(ordinary <= 12, "{ordinary} frames a second");
+    assert!(ordinary <= 12, "{ordinary} frames per second");
     // Answers to both, and what any daemon sends.
-    assert!(most <= 4 * daemons + 8, "{most} frames a second at a candidate");
+    assert!(most <= 4 * daemons + 8, "{most} frames per second at a candidate");
 }
 
 #[rstest]
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -131,7 +131,7 @@
     let most = limited.most_since(since);
     assert!(most <= ALLOWED, "{most}");
     let served = limited.count_since(since);
-    assert!(served >= (LIMIT * 20.0 * 0.8) as usize, "{served}: what it takes is used");
+    assert!(served >= (LIMIT * 20.0 * 0.8) as usize, "{served} served: the limit is not used up");
 }
 
 /// One packet in four is lost.
@@ -229,7 +229,7 @@
     let interruption = RequestBreak { life: life(), kind: BreakKind::Closed, begun: false };
     fleet.event(fleet.leader(), NodeEvent::BrokeOff(identity.digest(), interruption));
     let suspects = fleet.daemons[fleet.leader()].node.status().suspects;
-    assert_eq!(suspects, [], "a target that leaves ends as planned");
+    assert_eq!(suspects, [], "the planned end of a leaving target is ignored");
 }
 
 /// The target states its limit no longer: soon all daemons serve all requests again.
--- a/crates/node/tests/pull_faults.rs
+++ b/crates/node/tests/pull_faults.rs
@@ -45,7 +45,7 @@
     assert_eq!(
         world.generation(),
         3,
-        "after 30 s; the one that has it was asked {} times, the other {}",
+        "after 30 s; the up-to-date peer was asked {} times, the other {}",
         asked(1),
         asked(2)
     );
@@ -101,7 +101,7 @@
         });
         gathered += if goes_on { 1 } else { 0 };
     }
-    assert!(gathered <= 16, "{gathered} MiB gathered and more asked for");
+    assert!(gathered <= 16, "{gathered} MiB gathered and more requested");
 }
 
 /// Returns a bundle that does not pass the checks.
@@ -133,7 +133,7 @@
     let mut world = ScriptedWorld::new(vec![one, other], Duration::from_millis(20));
     world.run(Duration::from_secs(60));
     let asked = world.pulls.iter().filter(|(_, index, _)| *index == 2).count();
-    assert_eq!(world.generation(), 9, "after 60 s, the good one was asked for {asked} times");
+    assert_eq!(world.generation(), 9, "after 60 s, the usable archive was requested {asked} times");
 }
 
 /// Pulls of earlier configurations had no answer, and each configuration came by the daemon's own read of the
--- a/crates/node/tests/rollouts.rs
+++ b/crates/node/tests/rollouts.rs
@@ -143,10 +143,10 @@
         rollout.fleet.event(*index, NodeEvent::TargetsListed(targets.clone(), at));
     }
     rollout.load(&everyone, Duration::from_secs(5));
-    assert_eq!(rollout.new.len(), 0, "whether an order stands behind them is not known");
+    assert_eq!(rollout.new.len(), 0, "it is not known whether an order exists for them");
     rollout.fleet.daemons.iter_mut().for_each(|daemon| daemon.reaches_platform = true);
     rollout.load(&everyone, Duration::from_secs(5));
-    assert!(!rollout.new.is_empty(), "no order stands behind them");
+    assert!(!rollout.new.is_empty(), "no order exists for them");
 }
 
 /// The scheduler is cut off every two seconds, so that other daemons become schedulers, which do not know what was
@@ -168,7 +168,7 @@
         rollout.fleet.daemons[leader].cut = elections;
     }
     let slack = ROLLOUT_LIMITS.slack as i64;
-    assert!(rollout.excess(since) <= slack, "{} beyond its part", rollout.excess(since));
+    assert!(rollout.excess(since) <= slack, "{} beyond its share", rollout.excess(since));
     assert!(!rollout.new.is_empty());
 }
 
@@ -222,7 +222,7 @@
     assert_eq!(rollout.stored(), Some(RolloutStage::Completed));
     let after = rollout.fleet.now;
     rollout.load(&everyone, Duration::from_secs(1));
-    assert!(rollout.old.iter().all(|at| *at < after), "the targets before it have stopped");
+    assert!(rollout.old.iter().all(|at| *at < after), "the earlier targets get no more requests");
 }
 
 /// The order is withdrawn while the version is on trial: its targets get no more requests.
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -84,7 +84,7 @@
     view.apply_list(vec![started("a", 10, true)], 4, false);
     assert_eq!(lives(&view), known, "a list");
     view.apply_changes(4, present(target("a", false)), 5, false);
-    assert_eq!(lives(&view), known, "a peer that tells no start");
+    assert_eq!(lives(&view), known, "a peer that reports no start");
 }
 
 #[test]
@@ -96,7 +96,11 @@
     view.apply_list(vec![started("a", 10, false)], 5, false);
     assert_eq!(lives(&view), []);
     view.apply_changes(5, present(started("a", 20, false)), 6, false);
-    assert_eq!(lives(&view), [("a".to_string(), Some(20), false)], "it was only out of sight");
+    assert_eq!(
+        lives(&view),
+        [("a".to_string(), Some(20), false)],
+        "the later instance was only unlisted"
+    );
 }
 
 /// A list entry that cannot be read states no start.
@@ -105,7 +109,7 @@
     let mut view = view_of_second_instance();
     view.apply_changes(2, present(DiscoveredTarget::unusable("a".to_string())), 3, false);
     view.apply_changes(3, present(started("a", 10, false)), 4, false);
-    assert_eq!(view.targets()[0].pool, "", "nothing is sent there");
+    assert_eq!(view.targets()[0].pool, "", "no request is sent to it");
     view.apply_changes(4, present(started("a", 20, false)), 5, false);
     assert_eq!(view.targets(), [started("a", 20, false)]);
 }
