--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LethalExchange {
     pub requests: LethalRequests,
-    /// Up to which revision the set of each polled daemon is known.
+    /// Revision up to which the set of each polled daemon is known.
     known_revisions: BTreeMap<VmId, (Incarnation, u64)>,
     last_pull: Option<Uptime>,
     /// Refused requests that were reported to the operators.
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Restarts the rate accounting if this daemon has become first or second in the order of schedulers, since it
-    /// does not know what others granted from the rates.
+    /// Restarts the rate accounting if this daemon has become, or ceased to be, first or second in the order of
+    /// schedulers of a pool, since it does not know what others granted from the rates.
     fn review_rates(&mut self, before: &BTreeMap<PoolId, Vec<DaemonId>>) {
         if permit_duties(&self.scheduler_orders, &self.options.me)
             != permit_duties(before, &self.options.me)
@@ -105,10 +105,10 @@
 /// Returns whether a daemon is first in the order of schedulers of any pool, and the first daemons of the pools in
 /// whose order it is second.
 fn permit_duties<'a>(
-    orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
+    scheduler_orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
     me: &DaemonId,
 ) -> (bool, Vec<&'a DaemonId>) {
-    let leads = orders.values().any(|order| order.first() == Some(me));
-    let next = orders.values().filter(|order| order.get(1) == Some(me));
+    let leads = scheduler_orders.values().any(|order| order.first() == Some(me));
+    let next = scheduler_orders.values().filter(|order| order.get(1) == Some(me));
     (leads, next.filter_map(|order| order.first()).collect())
 }
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -95,8 +95,8 @@
     /// asked first.
     pub(super) fn update_rate_shares(&mut self) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
-            let (now, part) = (self.now, self.rate_share(&pool));
-            self.pool(&pool).set_part(now, part);
+            let (now, share) = (self.now, self.rate_share(&pool));
+            self.pool(&pool).set_part(now, share);
         }
     }
 }
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -44,7 +44,7 @@
     last_read_request: Option<Uptime>,
     observed: BTreeMap<PoolId, ObservedAnswers>,
     last_answer_report: Uptime,
-    last_sent: Uptime,
+    last_stage_report: Uptime,
     leads_since: Option<Uptime>,
 }
 
@@ -92,7 +92,7 @@
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
             if versions.order_shown(now, &record) {
                 changed = true;
-                self.note_order(&record.order.pool, None);
+                self.note_rollout_stage(&record.order.pool, None);
             }
         }
         self.apply_version_changes(changed);
@@ -106,7 +106,7 @@
         }
         let versions = self.rollouts.pools.entry(pool.clone()).or_default();
         if versions.order_told(self.now, report) {
-            self.note_order(pool, None);
+            self.note_rollout_stage(pool, None);
             self.apply_version_changes(true);
         }
     }
@@ -114,7 +114,7 @@
     /// Performs the periodic work of all rollouts.
     pub(super) fn step_rollouts(&mut self) {
         let Some(limits) = self.options.rollout else { return };
-        self.request_held_orders();
+        self.request_rollout_read();
         if self.now >= self.rollouts.last_answer_report + ANSWER_REPORT_INTERVAL {
             self.rollouts.last_answer_report = self.now;
             self.report_answers();
@@ -128,14 +128,14 @@
         for pool in pools {
             self.step_rollout(&pool, limits);
         }
-        if leads && self.now >= self.rollouts.last_sent + ROLLOUT_REPORT_INTERVAL {
-            self.rollouts.last_sent = self.now;
+        if leads && self.now >= self.rollouts.last_stage_report + ROLLOUT_REPORT_INTERVAL {
+            self.rollouts.last_stage_report = self.now;
             self.send_rollout_reports();
         }
     }
 
     /// Requests another read of the orders while a version is held back, since it may release the version.
-    fn request_held_orders(&mut self) {
+    fn request_rollout_read(&mut self) {
         let is_held = |versions: &PoolVersions| versions.held().next().is_some();
         if !self.rollouts.pools.values().any(is_held) {
             return;
@@ -187,7 +187,7 @@
         if let Some(versions) = self.rollouts.pools.get_mut(pool) {
             versions.settle_stage(true);
         }
-        self.note_order(pool, Some(reason));
+        self.note_rollout_stage(pool, Some(reason));
         self.apply_version_changes(true);
         self.send_rollout_reports();
     }
@@ -265,7 +265,7 @@
         }
     }
 
-    fn note_order(&mut self, pool: &PoolId, reason: Option<RolloutReason>) {
+    fn note_rollout_stage(&mut self, pool: &PoolId, reason: Option<RolloutReason>) {
         if let Some(status) = self.rollout_status(pool) {
             self.actions.push(NodeAction::Note(NodeNote::RolloutStage(status, reason)));
         }
--- a/crates/node/tests/charges.rs
+++ b/crates/node/tests/charges.rs
@@ -22,7 +22,7 @@
 const LARGE: u64 = 5_000;
 const WAIT_LIMIT: Duration = Duration::from_millis(200);
 
-fn ask(fleet: &mut Fleet, number: u128, cost: u64) {
+fn submit(fleet: &mut Fleet, number: u128, cost: u64) {
     let objectives = LatencyObjectives { wait_limit: WAIT_LIMIT, ..LatencyObjectives::default() };
     let spec = RequestSpec { cost, objectives, ..spec(number) };
     fleet.event(0, NodeEvent::Admit(Box::new(spec)));
@@ -40,10 +40,10 @@
 #[case::withdrawn_by_its_caller(true)]
 fn request_that_did_not_run_is_not_charged_to_its_account(#[case] withdrawn: bool) {
     let mut fleet = Fleet::new(1);
-    (1..=SLOTS).for_each(|number| ask(&mut fleet, number, 1));
+    (1..=SLOTS).for_each(|number| submit(&mut fleet, number, 1));
     assert_eq!(fleet.in_flight(0) as u128, SLOTS);
     let waiting = SLOTS + 1;
-    ask(&mut fleet, waiting, LARGE);
+    submit(&mut fleet, waiting, LARGE);
     if withdrawn {
         fleet.event(0, NodeEvent::Cancelled(RequestId::from_u128(waiting)));
     } else {
@@ -52,7 +52,7 @@
     }
     fleet.finish(0, 1);
     let next = waiting + 1;
-    ask(&mut fleet, next, 1);
+    submit(&mut fleet, next, 1);
     let decision = fleet.decision(next);
     assert!(matches!(decision, Some(CallerDecision::Dispatch(..))), "{decision:?}");
 }
--- a/crates/node/tests/distribution.rs
+++ b/crates/node/tests/distribution.rs
@@ -33,7 +33,7 @@
 /// platform takes as long as a copy.
 fn fleet_of_small_vms() -> Fleet {
     let mut fleet = Fleet::new(DAEMONS);
-    for index in fleet.outsiders() {
+    for index in fleet.non_candidates() {
         fleet.links.insert(index, SlowLink::megabits(SMALL_LINK));
         fleet.daemons[index].reads_late = true;
     }
@@ -83,7 +83,7 @@
     let before: Vec<u64> = (0..DAEMONS).map(|index| fleet.intake_of(index).taken).collect();
     fleet.change_config(LARGE);
     fleet.run_until(APPLY_LIMIT, |fleet| {
-        fleet.outsiders().iter().any(|index| fleet.intake_of(*index).taken > before[*index])
+        fleet.non_candidates().iter().any(|index| fleet.intake_of(*index).taken > before[*index])
     });
     for reader in fleet.readers() {
         fleet.daemons[reader].cut = true;
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -13,10 +13,13 @@
 fn entry_daemon_sends_nothing_to_a_target_that_it_knows_is_leaving() {
     let mut fleet = Fleet::new(3);
     // The fleet has three daemons. Only the entry daemon, which is not the scheduler, knows that the target leaves.
-    let entry = (0..3).find(|index| *index != fleet.leader()).expect("an entry");
-    fleet.event(entry, NodeEvent::TargetsListed(vec![target("x", true), target("y", false)], 2));
+    let entry_daemon = (0..3).find(|index| *index != fleet.leader()).expect("an entry daemon");
+    fleet.event(
+        entry_daemon,
+        NodeEvent::TargetsListed(vec![target("x", true), target("y", false)], 2),
+    );
     for number in 1..=4 {
-        fleet.admit(entry, number);
+        fleet.admit(entry_daemon, number);
         fleet.run(Duration::from_millis(200));
         match fleet.decision(number) {
             Some(CallerDecision::Dispatch(_, target)) => assert_eq!(target.id, "y"),
@@ -64,16 +67,16 @@
 fn scheduler_that_was_briefly_unresponsive_is_asked_again() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
-    let entry = (0..3).find(|index| *index != leader).expect("an entry");
+    let entry_daemon = (0..3).find(|index| *index != leader).expect("an entry daemon");
     // Nothing reaches it, as before connections are established after a start.
     fleet.daemons[leader].cut = true;
-    fleet.admit(entry, 1);
+    fleet.admit(entry_daemon, 1);
     fleet.run(Duration::from_millis(900));
     assert!(matches!(fleet.decision(1), Some(CallerDecision::Dispatch(..))));
     assert_eq!(fleet.in_flight(leader), 0);
     fleet.daemons[leader].cut = false;
     fleet.run(Duration::from_millis(600));
-    fleet.admit(entry, 2);
+    fleet.admit(entry_daemon, 2);
     fleet.run(Duration::from_millis(100));
     assert!(matches!(fleet.decision(2), Some(CallerDecision::Dispatch(..))));
     assert!(fleet.in_flight(leader) > 0, "the leader was skipped");
@@ -82,16 +85,17 @@
 #[test]
 fn schedulers_that_send_but_do_not_receive_block_no_request() {
     let mut fleet = Fleet::new(20);
-    let entry = (0..20).find(|index| !fleet.candidates().contains(index)).expect("an entry");
-    for index in (0..20).filter(|index| *index != entry) {
+    let entry_daemon =
+        (0..20).find(|index| !fleet.candidates().contains(index)).expect("an entry daemon");
+    for index in (0..20).filter(|index| *index != entry_daemon) {
         fleet.daemons[index].drops_incoming = true;
     }
     for number in 1..=10 {
-        fleet.admit(entry, number);
+        fleet.admit(entry_daemon, number);
         fleet.run(Duration::from_millis(1_200));
         let decision = fleet.decision(number);
         assert!(matches!(decision, Some(CallerDecision::Dispatch(..))), "{number}: {decision:?}");
-        fleet.finish(entry, number);
+        fleet.finish(entry_daemon, number);
     }
 }
 
@@ -102,15 +106,15 @@
 fn scheduler_that_keeps_the_rate_is_asked_when_the_next_does_not_know_it() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
-    let entry = (0..3).find(|index| *index != leader).expect("an entry");
+    let entry_daemon = (0..3).find(|index| *index != leader).expect("an entry daemon");
     fleet.daemons[leader].cut = true;
-    fleet.admit(entry, 1);
+    fleet.admit(entry_daemon, 1);
     fleet.run(Duration::from_millis(60));
     assert!(matches!(fleet.decision(1), Some(CallerDecision::Dispatch(..))));
     fleet.daemons[leader].cut = false;
     // More than the next scheduler has to grant.
     for number in 2..=4 {
-        fleet.admit_for(entry, number, 200);
+        fleet.admit_for(entry_daemon, number, 200);
         fleet.run(Duration::from_millis(60));
         let decision = fleet.decision(number);
         assert!(matches!(decision, Some(CallerDecision::Dispatch(..))), "{number}: {decision:?}");
--- a/crates/node/tests/freshness.rs
+++ b/crates/node/tests/freshness.rs
@@ -102,7 +102,7 @@
 fn answer_to_an_earlier_process_proves_nothing() {
     let mut fleet = Fleet::new(3);
     let other = (0..3).find(|index| fleet.daemons[*index].read_role == ReadRole::Idle);
-    let other = other.expect("one that rests");
+    let other = other.expect("an idle daemon");
     // The process restarts, and its clock with it; answers to the earlier process's queries reach the new one.
     fleet.daemons[other] = daemon(other, Vec::new());
     fleet.daemons[other].reaches_platform = false;
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -77,7 +77,7 @@
     numbers.map(|(number, index)| Some(ask(fleet, *index, number)?.reason)).collect()
 }
 
-fn all_refuse(fleet: &mut Fleet, daemons: &[usize], number: u128) {
+fn assert_all_refuse(fleet: &mut Fleet, daemons: &[usize], number: u128) {
     let reasons = reasons(fleet, daemons, number);
     let refused = vec![Some(RefusalReason::RequestLethal); daemons.len()];
     assert_eq!(reasons, refused, "at {daemons:?}");
@@ -113,8 +113,8 @@
 #[case::large(40)]
 fn every_daemon_refuses_the_request_within_the_bound(#[case] daemons: usize) {
     let mut fleet = fleet_of(daemons);
-    let outsider = fleet.outsiders().last().copied().unwrap_or(0);
-    three_interruptions(&mut fleet, [outsider, 0, daemons - 1]);
+    let non_candidate = fleet.non_candidates().last().copied().unwrap_or(0);
+    three_interruptions(&mut fleet, [non_candidate, 0, daemons - 1]);
     fleet.run(SPREAD_LIMIT);
     let everyone: Vec<usize> = (0..daemons).collect();
     let reasons = reasons(&mut fleet, &everyone, 1);
@@ -124,7 +124,7 @@
     );
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT);
-    all_refuse(&mut fleet, &everyone, 2);
+    assert_all_refuse(&mut fleet, &everyone, 2);
 }
 
 /// One packet in four is lost.
@@ -135,7 +135,7 @@
     three_interruptions(&mut fleet, [5, 0, 3]);
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT * 2);
-    all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
+    assert_all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
 }
 
 #[rstest]
@@ -155,7 +155,7 @@
     fleet.event(others[0], interruption_event("t2"));
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT);
-    all_refuse(&mut fleet, &others, 1);
+    assert_all_refuse(&mut fleet, &others, 1);
 }
 
 /// One side of the partition knows of two interruptions, the other of one.
@@ -176,7 +176,7 @@
     fleet.run(Duration::from_secs(1));
     fleet.blocked.clear();
     fleet.run(SPREAD_LIMIT);
-    all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
+    assert_all_refuse(&mut fleet, &(0..6).collect::<Vec<_>>(), 1);
 }
 
 #[test]
@@ -191,7 +191,7 @@
     fleet.daemons[4].reaches_platform = false;
     fleet.run_until(Duration::from_secs(5), |fleet| fleet.generation_of(4) > 0);
     assert!(fleet.generation_of(4) > 0);
-    all_refuse(&mut fleet, &[4], 1);
+    assert_all_refuse(&mut fleet, &[4], 1);
 }
 
 /// A restarted fleet loads the stored refusals from the platform.
@@ -202,17 +202,18 @@
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT * 4);
     assert_eq!(fleet.refusals.len(), 1, "{:?}", fleet.refusals);
-    let (leader, kept) = fleet.refusals[0].clone();
+    let (leader, stored_refusal) = fleet.refusals[0].clone();
     assert_eq!(leader, fleet.leader());
     fleet.daemons[leader].cut = true;
     fleet.run(SPREAD_LIMIT * 2);
     assert_eq!(fleet.refusals.len(), 1, "another scheduler called the platform again");
-    let mut anew = fleet_of(3);
-    anew.event(1, NodeEvent::RefusalsRead(vec![SuspectReport { stored: true, ..kept }]));
-    all_refuse(&mut anew, &[1], 1);
-    anew.run(SPREAD_LIMIT);
-    all_refuse(&mut anew, &[0, 2], 2);
-    assert_eq!(anew.refusals, [], "the refusal is stored already");
+    let mut restarted = fleet_of(3);
+    restarted
+        .event(1, NodeEvent::RefusalsRead(vec![SuspectReport { stored: true, ..stored_refusal }]));
+    assert_all_refuse(&mut restarted, &[1], 1);
+    restarted.run(SPREAD_LIMIT);
+    assert_all_refuse(&mut restarted, &[0, 2], 2);
+    assert_eq!(restarted.refusals, [], "the refusal is stored already");
 }
 
 /// Terminations cost no platform call, however many targets terminate under however many requests.
@@ -239,9 +240,9 @@
 #[rstest]
 #[case::said(true)]
 #[case::gone_before(false)]
-fn interruption_at_a_leaving_or_unlisted_target_is_ignored(#[case] says: bool) {
+fn interruption_at_a_leaving_or_unlisted_target_is_ignored(#[case] announces: bool) {
     let mut fleet = fleet_of(3);
-    let shown = if says { ids(12) } else { ids(12)[3..].to_vec() };
+    let shown = if announces { ids(12) } else { ids(12)[3..].to_vec() };
     let leaves = |id: &str| ids(3).contains(&id.to_string());
     fleet.targets = (shown.iter().map(|id| target(id, leaves(id))).collect(), fleet.targets.1 + 1);
     fleet.run(Duration::from_secs(2));
@@ -316,7 +317,7 @@
     three_interruptions(&mut fleet, [0, 1, 2]);
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT);
-    all_refuse(&mut fleet, &[0, 1, 2], 1);
+    assert_all_refuse(&mut fleet, &[0, 1, 2], 1);
     fleet.event(1, NodeEvent::ClearSuspect(digest()));
     fleet.run(SPREAD_LIMIT);
     assert_eq!(reasons(&mut fleet, &[0, 1, 2], 2), [None, None, None]);
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -212,9 +212,9 @@
 #[test]
 fn leaving_notice_received_by_one_daemon_applies_to_all() {
     let mut fleet = Fleet::new(6);
-    let outsider = 5;
+    let non_candidate = 5;
     let leaving = NoticeReport { life: life(), leaving: true, rest: None, limit: None };
-    fleet.event(outsider, NodeEvent::TargetSaid("p".to_string(), leaving));
+    fleet.event(non_candidate, NodeEvent::TargetSaid("p".to_string(), leaving));
     for number in 0..40 {
         let index = (number % 6) as usize;
         fleet.admit(index, number);
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -308,7 +308,7 @@
     }
 
     /// Returns the daemons that are no candidates for scheduling.
-    pub fn outsiders(&self) -> Vec<usize> {
+    pub fn non_candidates(&self) -> Vec<usize> {
         let candidates = self.candidates();
         (0..self.daemons.len()).filter(|index| !candidates.contains(index)).collect()
     }
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -196,8 +196,8 @@
     fleet.run(Duration::from_secs(3));
     fleet.targets = (vec![started("x", 20, false)], 3);
     fleet.run(Duration::from_secs(3));
-    let entry = (0..3).find(|index| *index != fleet.leader()).expect("an entry");
-    fleet.admit(entry, 1);
+    let entry_daemon = (0..3).find(|index| *index != fleet.leader()).expect("an entry daemon");
+    fleet.admit(entry_daemon, 1);
     fleet.run(Duration::from_millis(200));
     match fleet.decision(1) {
         Some(CallerDecision::Dispatch(_, target)) => {
