--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,7 +6,7 @@
 mod config_exchange;
 mod config_pull;
 mod config_serving;
-mod ended_lives;
+mod ended_instances;
 mod event;
 mod freshness;
 mod node;
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -15,7 +15,7 @@
     TargetsContent,
 };
 
-use crate::ended_lives::EndedLives;
+use crate::ended_instances::EndedLives;
 
 /// Number of changes that are kept for peers.
 const LOG_LENGTH: usize = 256;
