--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -1,7 +1,6 @@
-//! The key table: what is known of it, and when to propose another.
+//! Tracks the key table and decides when to propose a new one.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the
-//! table.
+//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the stored table.
 
 use std::time::Duration;
 
@@ -12,21 +11,21 @@
 use super::Node;
 use crate::event::{NodeAction, NodeNote, PlatformCall, TableWrite};
 
-/// Subject that decides which daemon proposes key tables.
+/// Subject of the scheduler order whose first daemon proposes key tables.
 const TABLE_SUBJECT: &str = "key table";
-/// Time after the start before a first key table is proposed, so that the peers are known.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Delay after the start before the first key table is proposed, so that the peers are known by then.
+const FIRST_TABLE_DELAY: Duration = Duration::from_secs(2);
 
 impl Node {
     pub(super) fn table_read(&mut self, read: Option<(ObjectVersion, KeyTable)>) {
-        self.proposing = false;
+        self.proposal_pending = false;
         match read {
-            Some((version, table)) => self.table_known(version, table),
+            Some((version, table)) => self.apply_table(version, table),
             None => self.table_absent = true,
         }
     }
 
-    pub(super) fn table_known(&mut self, version: ObjectVersion, table: KeyTable) {
+    pub(super) fn apply_table(&mut self, version: ObjectVersion, table: KeyTable) {
         if version <= self.home.version() {
             return;
         }
@@ -38,8 +37,8 @@
     pub(super) fn table_written(&mut self, write: TableWrite) {
         match write {
             TableWrite::Stored(version, table) => {
-                self.proposing = false;
-                self.table_known(version, table);
+                self.proposal_pending = false;
+                self.apply_table(version, table);
             }
             TableWrite::ReadAgain => {
                 self.actions.push(NodeAction::Platform(PlatformCall::ReadTable))
@@ -47,9 +46,9 @@
         }
     }
 
-    /// Proposes a key table where one is wanted.
+    /// Proposes a new key table if one is needed.
     pub(super) fn review_table(&mut self) {
-        if self.proposing || self.options.key_slots == 0 {
+        if self.proposal_pending || self.options.key_slots == 0 {
             return;
         }
         let proposal = if self.drain.phase() >= DrainPhase::Closing {
@@ -60,30 +59,30 @@
             self.changed_table()
         };
         if let Some(table) = proposal {
-            self.proposing = true;
+            self.proposal_pending = true;
             self.actions
                 .push(NodeAction::Platform(PlatformCall::ProposeTable(self.home.version(), table)));
         }
     }
 
     pub(super) fn first_table(&self) -> Option<KeyTable> {
-        let due = self.table_absent && self.now >= SETTLE && self.proposes_tables();
+        let due = self.table_absent && self.now >= FIRST_TABLE_DELAY && self.proposes_tables();
         due.then(|| KeyTable::deal(self.options.key_slots, &self.eligible))
             .filter(|table| !table.slots.is_empty())
     }
 
     pub(super) fn changed_table(&self) -> Option<KeyTable> {
-        let mut gone = self.vms.gone(self.now, &self.options.me.vm);
-        // A VM that still talks is not gone, whatever a list says.
-        gone.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
-        let own_earlier = self.home.table().slots.iter().any(|slot| {
+        let mut ended = self.vms.ended(self.now, &self.options.me.vm);
+        // A VM whose daemon is still reachable has not ended, whatever a VM list says.
+        ended.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
+        let has_earlier_slots = self.home.table().slots.iter().any(|slot| {
             slot.holder.vm == self.options.me.vm
                 && slot.holder.incarnation != self.options.me.incarnation
         });
-        if !own_earlier && !self.proposes_tables() {
+        if !has_earlier_slots && !self.proposes_tables() {
             return None;
         }
-        self.home.reassign(&gone, &self.eligible, self.wall)
+        self.home.reassign(&ended, &self.eligible, self.wall)
     }
 
     pub(super) fn proposes_tables(&self) -> bool {
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Eligible daemons, ended peers, and the VM list.
+//! Handles membership: eligible daemons, ended peers, and the VM list.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `MemberView` for the peers.
 
@@ -8,15 +8,15 @@
 use curlewcleat_core::{DaemonId, DaemonRecord, PoolId, VmId};
 use curlewcleat_sched::ALL_POOLS;
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::ListedVm;
 
 impl Node {
-    /// The platform has named the daemons that it knows.
+    /// Applies the list of daemons that are recorded at the platform.
     pub(super) fn daemons_listed(&mut self, records: Vec<DaemonRecord>) {
         self.members.records_listed(records);
         self.review_roles();
-        // A new daemon is known to the others at once, and they to it.
+        // Sends a heartbeat with the next tick, so that new daemons and this one learn of each other at once.
         self.last_heartbeat = None;
     }
 
@@ -25,7 +25,7 @@
         self.last_heartbeat = None;
     }
 
-    pub(super) fn entry_ended(&mut self, daemon: &DaemonId) {
+    pub(super) fn entry_daemon_ended(&mut self, daemon: &DaemonId) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
             let actions = self.pool(&pool).entry_gone(now, daemon);
@@ -33,78 +33,82 @@
         }
     }
 
-    /// Moves permit requests to the right schedulers when the set of eligible daemons has changed.
+    /// Moves permit requests to the right schedulers after the set of eligible daemons has changed.
     pub(super) fn review_roles(&mut self) {
         if !self.members.take_changed() {
             return;
         }
         self.eligible = self.members.eligible_daemons();
-        // Records on their way to a daemon that has gone go to another one at once.
+        // Key records that were sent to a daemon that has ended are sent to another one at once.
         self.hand_over_answer.answered();
         let order = self.members.scheduler_order(ALL_POOLS);
-        let schedulers = std::mem::replace(&mut self.order, order);
-        self.tell_new_schedulers(&schedulers);
-        self.tell_notices(&schedulers);
-        self.tell_answers(&schedulers);
-        let before = std::mem::take(&mut self.orders);
-        self.renew_orders();
-        self.renew_places();
-        self.renew_parts();
-        if before == self.orders {
+        let schedulers = std::mem::replace(&mut self.all_pools_order, order);
+        self.send_suspects_to_new_schedulers(&schedulers);
+        self.send_notices_to_new_schedulers(&schedulers);
+        self.send_answers_to_new_schedulers(&schedulers);
+        let before = std::mem::take(&mut self.scheduler_orders);
+        self.refresh_orders();
+        self.update_data_centres();
+        self.update_rate_shares();
+        if before == self.scheduler_orders {
             return;
         }
         self.review_rates(&before);
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.schedulers_changed(self.now, &|pool| order_of(orders, members, pool));
+        let actions = self
+            .entry
+            .schedulers_changed(self.now, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
-    /// Tells the schedulers where the entries are.
-    pub(super) fn renew_places(&mut self) {
+    /// Passes the data centres of the entry daemons to the schedulers.
+    pub(super) fn update_data_centres(&mut self) {
         let peers = self.members.peers().iter();
-        let mut places: BTreeMap<VmId, String> =
+        let mut data_centres: BTreeMap<VmId, String> =
             peers.map(|(vm, peer)| (vm.clone(), peer.data_centre.clone())).collect();
-        let own = self.options.members.data_centre.clone();
-        places.insert(self.options.me.vm.clone(), own);
+        let own_data_centre = self.options.members.data_centre.clone();
+        data_centres.insert(self.options.me.vm.clone(), own_data_centre);
         for scheduler in self.pools.values_mut() {
-            scheduler.set_places(places.clone());
+            scheduler.set_places(data_centres.clone());
         }
     }
 
-    /// A daemon that begins to schedule, or to be asked next, knows nothing of what others gave out of
-    /// the rates.
+    /// Restarts the rate accounting if this daemon has become, or ceased to be, first or second in the order of
+    /// schedulers of a pool, since it does not know what others granted from the rates.
     fn review_rates(&mut self, before: &BTreeMap<PoolId, Vec<DaemonId>>) {
-        if rate_role(&self.orders, &self.options.me) != rate_role(before, &self.options.me) {
+        if permit_duties(&self.scheduler_orders, &self.options.me)
+            != permit_duties(before, &self.options.me)
+        {
             self.rates.restart(self.now);
         }
     }
 
-    pub(super) fn renew_orders(&mut self) {
+    pub(super) fn refresh_orders(&mut self) {
         let config = Arc::clone(&self.active);
-        self.orders = config
+        self.scheduler_orders = config
             .pools
             .keys()
-            .map(|pool| (pool.clone(), self.members.scheduler_order(self.subject_of(pool))))
+            .map(|pool| (pool.clone(), self.members.scheduler_order(self.scheduling_subject(pool))))
             .collect();
     }
 
     pub(super) fn vms_read(&mut self, list: &[ListedVm]) {
         self.vms.read(self.now, list);
-        let away = self.away();
+        let unavailable = self.unavailable_vms();
         for scheduler in self.pools.values_mut() {
-            scheduler.set_away(away.clone());
+            scheduler.set_away(unavailable.clone());
         }
     }
 }
 
-/// Whether a daemon is asked first for permits of some pool, and the daemons before which it is next.
-fn rate_role<'a>(
-    orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
+/// Returns whether a daemon is first in the order of schedulers of any pool, and the first daemons of the pools in
+/// whose order it is second.
+fn permit_duties<'a>(
+    scheduler_orders: &'a BTreeMap<PoolId, Vec<DaemonId>>,
     me: &DaemonId,
 ) -> (bool, Vec<&'a DaemonId>) {
-    let leads = orders.values().any(|order| order.first() == Some(me));
-    let next = orders.values().filter(|order| order.get(1) == Some(me));
+    let leads = scheduler_orders.values().any(|order| order.first() == Some(me));
+    let next = scheduler_orders.values().filter(|order| order.get(1) == Some(me));
     (leads, next.filter_map(|order| order.first()).collect())
 }
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between daemons, in and out.
+//! Sends messages to peers and dispatches the received ones.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: transports that may lose or delay frames.
+//! Owns: nothing; these are methods of `Node`. Relies on: nothing; transports may lose or delay frames.
 
 use curlewcleat_core::{
     DaemonId, Heartbeat, KeyAnswer, KeyClaim, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
@@ -9,11 +9,11 @@
 };
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 
 impl Node {
-    /// Puts a message on its way; to this daemon itself without a frame.
+    /// Queues a message to a daemon; a message to this daemon itself bypasses the network.
     pub(super) fn post(&mut self, vm: &VmId, message: PeerMessage) {
         if *vm == self.options.me.vm {
             self.inbox.push_back(message);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Turns the outbox into one frame for each peer, and one for each message that has to stand alone.
+    /// Packs the outbox into one frame per peer, plus one for each message that needs a frame of its own.
     pub(super) fn flush(&mut self) {
         for (vm, messages) in std::mem::take(&mut self.outbox) {
             let Some(address) = self.members.address_of(&vm).map(str::to_string) else { continue };
@@ -56,7 +56,7 @@
 
     pub(super) fn message(&mut self, from: &DaemonId, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(beat) => self.heartbeat_received(from, &beat),
+            PeerMessage::Heartbeat(heartbeat) => self.heartbeat_received(from, &heartbeat),
             PeerMessage::StatePull(pull) => self.state_pulled(&from.vm, pull),
             PeerMessage::ConfigPush(bundle) => self.config_pushed(bundle),
             PeerMessage::TablePush(push) => self.table_pushed(push),
@@ -70,7 +70,7 @@
             }
             PeerMessage::PermitRequest(request) => self.permit_requested(from, request),
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
-            PeerMessage::PermitReturn(back) => self.permit_returned(&back),
+            PeerMessage::PermitReturn(returned) => self.permit_returned(&returned),
             PeerMessage::PermitHeld(held) => self.permit_held(from, held),
             PeerMessage::ShedRequest(raise) => self.shed_requested(&from.vm, raise),
             PeerMessage::ShedConfirm(pool, round) => {
@@ -90,14 +90,14 @@
             PeerMessage::ConfigPartPull(pull) => self.config_part_pulled(&from.vm, pull),
             PeerMessage::ConfigPart(part) => self.config_part_received(&from.vm, part),
             PeerMessage::SuspectsPull(pull) => self.suspects_pulled(&from.vm, pull),
-            PeerMessage::TargetNotice(notice) => self.target_noticed(&from.vm, &notice),
+            PeerMessage::TargetNotice(notice) => self.peer_notice_received(&from.vm, &notice),
             PeerMessage::SuspectsPush(push) => self.suspects_pushed(from, push),
             PeerMessage::TargetVersionsPull(known) => self.target_versions_pulled(&from.vm, known),
             PeerMessage::TargetVersionsPush(versions) => {
                 self.targets_pushed(&from.vm, versions.into_push());
             }
-            PeerMessage::RolloutNews(news) => self.rollout_told(&news),
-            PeerMessage::RolloutAnswers(answers) => self.answers_told(from, &answers),
+            PeerMessage::RolloutNews(news) => self.rollout_report_received(&news),
+            PeerMessage::RolloutAnswers(answers) => self.peer_answers_received(from, &answers),
         }
     }
 
@@ -125,12 +125,12 @@
         self.send_answers(actions);
     }
 
-    fn permit_returned(&mut self, back: &PermitReturn) {
+    fn permit_returned(&mut self, returned: &PermitReturn) {
         let now = self.now;
-        if let Some(charge) = self.pool(&back.pool).charge_of_waiting(&back.permit) {
+        if let Some(charge) = self.pool(&returned.pool).charge_of_waiting(&returned.permit) {
             self.rates.give_back(&charge.account, charge.cost);
         }
-        let actions = self.pool(&back.pool).give_back(now, back);
+        let actions = self.pool(&returned.pool).give_back(now, returned);
         self.send_answers(actions);
     }
 
@@ -143,7 +143,7 @@
         let now = self.now;
         let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
         self.return_unused(&actions);
-        // What is shed here is shed on behalf of a round that has begun already.
+        // The guard does not apply here: these requests are shed for a round that a peer has already begun.
         self.post_answers(actions);
         self.post(from, PeerMessage::ShedConfirm(raise.pool, raise.round));
     }
@@ -154,32 +154,32 @@
         self.post(from, PeerMessage::KeyAnswer(answer));
     }
 
-    pub(super) fn heartbeat_received(&mut self, from: &DaemonId, beat: &Heartbeat) {
-        let news = self.members.heartbeat_received(self.now, from, beat);
-        if news.newcomer {
-            self.greet(&beat.address);
+    pub(super) fn heartbeat_received(&mut self, from: &DaemonId, heartbeat: &Heartbeat) {
+        let change = self.members.heartbeat_received(self.now, from, heartbeat);
+        if change.newcomer {
+            self.send_greeting(&heartbeat.address);
         }
-        if let Some(ended) = news.ended {
+        if let Some(ended) = change.ended {
             self.actions.push(NodeAction::Note(NodeNote::PeerReplaced(ended.clone())));
-            self.entry_ended(&ended);
+            self.entry_daemon_ended(&ended);
         }
         self.entry.heartbeat_received(self.now, &from.vm);
         self.review_roles();
-        self.config_offered_by(&from.vm, beat.generation);
-        self.table_offered_by(&from.vm, beat.table);
+        self.config_advertised(&from.vm, heartbeat.generation);
+        self.table_advertised(&from.vm, heartbeat.table);
     }
 
-    /// A daemon that was not known learns at once what this one knows, not only at the next heartbeat: until it
-    /// does it asks daemons that may have ended.
-    fn greet(&mut self, address: &str) {
+    /// Sends a heartbeat at once to a daemon that was not known, instead of with the next interval. Until the new
+    /// daemon receives it, it sends its requests to daemons that may have ended.
+    fn send_greeting(&mut self, address: &str) {
         let greeting = self.members.greeting(self.store.generation(), self.home.version());
         self.send_heartbeat(address.to_string(), greeting);
     }
 
     pub(super) fn permit_answered(&mut self, from: &VmId, answer: PermitAnswer) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let order = |pool: &str| order_of(orders, members, pool);
+        let order = |pool: &str| cached_order(scheduler_orders, members, pool);
         let actions = self.entry.permit_answered(self.now, from, answer, &order);
         self.perform(actions);
     }
@@ -189,14 +189,15 @@
         {
             self.actions.push(NodeAction::Platform(PlatformCall::ReadTable));
         }
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.key_answered(self.now, answer, &|pool| order_of(orders, members, pool));
+        let actions = self
+            .entry
+            .key_answered(self.now, answer, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
-    /// Sends a scheduler's answers; refusals for want of capacity pass the guard of their pool.
+    /// Sends a scheduler's answers; refusals for lack of capacity pass the guard of their pool.
     pub(super) fn send_answers(&mut self, actions: Vec<SchedulerAction>) {
         self.return_unused(&actions);
         for action in actions {
@@ -205,20 +206,20 @@
             let peers = self.other_schedulers();
             let step =
                 self.guards.entry(pool.clone()).or_default().pass(self.now, action, lowest, &peers);
-            self.take_guard_step(&pool, step);
+            self.apply_guard_step(&pool, step);
         }
     }
 
-    /// Gives what refused requests were charged back to their accounts. Without that, an account at its rate
-    /// was served 220,000 of the 324,000 units a second that it may use while its pool was overloaded
-    /// (sums of the log's costs over ten seconds): the rest was charged to requests that ran nowhere.
+    /// Refunds the charges of refused requests to their accounts. Without the refund, an account at its rate was
+    /// served 220,000 of the 324,000 units per second that it may use while its pool was overloaded (sums of the
+    /// log's costs over ten seconds): the rest was charged to requests that ran nowhere.
     fn return_unused(&mut self, actions: &[SchedulerAction]) {
         for charge in actions.iter().filter_map(|action| action.unused.as_ref()) {
             self.rates.give_back(&charge.account, charge.cost);
         }
     }
 
-    pub(super) fn take_guard_step(&mut self, pool: &PoolId, step: GuardStep) {
+    pub(super) fn apply_guard_step(&mut self, pool: &PoolId, step: GuardStep) {
         self.post_answers(step.answers);
         let Some((tier, round, peers)) = step.raise else { return };
         for peer in peers {
@@ -227,14 +228,14 @@
         }
     }
 
-    /// Reachable daemons other than this one that may be asked for permits. In a large fleet these are few:
-    /// a refusal that waited until each of hundreds had confirmed would wait for the slowest of them.
+    /// Returns the reachable daemons, other than this one, that may be asked for permits. They are few even in a
+    /// large fleet: a refusal that waited for confirmation by hundreds of daemons would wait for the slowest of them.
     pub(super) fn other_schedulers(&self) -> Vec<DaemonId> {
-        let others = self.order.iter().filter(|daemon| **daemon != self.options.me);
+        let others = self.all_pools_order.iter().filter(|daemon| **daemon != self.options.me);
         others.filter(|daemon| self.eligible.contains(daemon)).cloned().collect()
     }
 
-    /// Those of them that were not in the order before.
+    /// Returns the VMs of the other schedulers that are not in the earlier order `before`.
     pub(super) fn new_schedulers(&self, before: &[DaemonId]) -> Vec<VmId> {
         let others = self.other_schedulers().into_iter();
         others.filter(|daemon| !before.contains(daemon)).map(|daemon| daemon.vm).collect()
@@ -246,7 +247,7 @@
         }
     }
 
-    /// The scheduler of a pool; a pool that this daemon does not know yet has no targets.
+    /// Returns the scheduler of a pool. For a pool that is not known yet it creates one without targets.
     pub(super) fn pool(&mut self, pool: &PoolId) -> &mut PoolScheduler {
         self.pools
             .entry(pool.clone())
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: admission, and the actions of the entry.
+//! Admits callers' requests and performs the actions of the entry daemon.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: `EntryRequests` for the phases of a request.
 
@@ -13,28 +13,27 @@
     rate_advice, EntryAction, RatePart, RateTurn, ReplacementStep, RequestSpec,
 };
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{CallerDecision, NodeAction, NodeNote};
 
-/// Share of the request limit, in percent, that each tier may use less than the one above it, so that
-/// an entry that fills up refuses the lowest tier first.
+/// Share of the request limit, in percent, by which each tier's limit is below that of the tier above, so that an
+/// entry daemon that fills up refuses the lowest tier first.
 const PERCENT_PER_TIER: usize = 10;
 /// Share of the request limit that every tier may use, in percent.
 const PERCENT_FOR_ALL: usize = 50;
 
-/// Advice where the daemon itself takes no request in.
-const ENTRY_ADVICE: Duration = Duration::from_secs(1);
-/// Advice of a daemon that stops. Load pattern: all daemons are replaced one after the other, and callers'
-/// connections stay with those that stop. Another daemon has room now, so that a wait only makes the answer
-/// late: with none, credit of the requests of a day with such a series rose from .827 to .844 (mean of six
-/// seeds).
-const DRAINING_ADVICE: Duration = Duration::ZERO;
+/// Retry advice when the daemon refuses a request at admission.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry advice of a daemon that is stopping. When all daemons are replaced one after the other, callers' connections
+/// stay with the stopping ones, while another daemon already has capacity, so that a wait only delays the answer.
+/// With no wait, credit of the requests of a day with such a series rose from .827 to .844 (mean of six seeds).
+const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
 
-/// When the caller of a request that is not taken in may come back.
-fn return_advice(reason: RefusalReason) -> Duration {
+/// Returns the time after which the caller of a request that is not admitted may retry.
+fn retry_after(reason: RefusalReason) -> Duration {
     match reason {
-        RefusalReason::Draining => DRAINING_ADVICE,
-        _ => ENTRY_ADVICE,
+        RefusalReason::Draining => DRAINING_RETRY_AFTER,
+        _ => DEFAULT_RETRY_AFTER,
     }
 }
 
@@ -58,17 +57,18 @@
             None
         };
         if let Some(reason) = reason {
-            let refusal = Refusal::not_run(reason, Some(return_advice(reason)));
+            let refusal = Refusal::not_run(reason, Some(retry_after(reason)));
             self.actions.push(NodeAction::Decide(id, CallerDecision::Refuse(refusal)));
             return;
         }
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions = self.entry.admit(self.now, spec, &|pool| order_of(orders, members, pool));
+        let actions =
+            self.entry.admit(self.now, spec, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
-    /// Charges a permit request to its account's rate, where it arrives here for the first time.
+    /// Charges a permit request to its account's rate when the request arrives for the first time.
     pub(super) fn charge(&mut self, request: &PermitRequest) -> Result<(), Duration> {
         let known = self.pools.get(&request.pool).is_some_and(|pool| pool.knows(&request.permit));
         if known || request.permit.attempt > 0 {
@@ -76,14 +76,14 @@
         }
         let account = self.active.accounts.get(&request.account);
         let Some(rate) = account.and_then(|account| account.shared_rate) else { return Ok(()) };
-        let part = self.rate_part(&request.pool);
+        let part = self.rate_share(&request.pool);
         self.rates.take(self.now, &request.account, &rate, request.cost, part)
     }
 
-    /// The refusal of a permit request for which there is no room in its account's rate. Where the
-    /// daemon that keeps the rate is unresponsive, there may be room once another one has taken over.
+    /// Returns the refusal of a permit request that exceeds its account's rate. If the daemon that keeps the rate is
+    /// unresponsive, there may be capacity once another daemon has taken over.
     pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
-        let (reason, wait) = match self.rate_turn(&request.pool) {
+        let (reason, wait) = match self.own_rate_role(&request.pool) {
             RateTurn::Leader => (RefusalReason::AccountRate, wait),
             _ => (RefusalReason::RateUnknown, wait.min(self.options.members.suspect_after)),
         };
@@ -91,18 +91,18 @@
         Refusal::not_run(reason, Some(advice))
     }
 
-    /// The part of what all daemons share that this one gives out for a pool.
-    pub(super) fn rate_part(&self, pool: &str) -> RatePart {
-        match self.rate_turn(pool) {
+    /// Returns the share of the common rates that this daemon grants for a pool.
+    pub(super) fn rate_share(&self, pool: &str) -> RatePart {
+        match self.own_rate_role(pool) {
             RateTurn::Leader => self.members.reached_part(self.now),
-            // Another daemon gives it out; this one was asked because that one seems unresponsive.
+            // Another daemon grants the rates; this one was asked because that one seems unresponsive.
             turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
         }
     }
 
-    /// Whether this daemon is to be asked for permits of a pool first, next, or later.
-    fn rate_turn(&self, pool: &str) -> RateTurn {
-        let order = self.orders.get(pool).map_or(&[][..], Vec::as_slice);
+    /// Returns whether this daemon is first, second or later in the order of schedulers of a pool.
+    fn own_rate_role(&self, pool: &str) -> RateTurn {
+        let order = self.scheduler_orders.get(pool).map_or(&[][..], Vec::as_slice);
         match order.iter().position(|daemon| *daemon == self.options.me) {
             Some(0) => RateTurn::Leader,
             Some(1) => RateTurn::Deputy,
@@ -111,18 +111,20 @@
     }
 
     pub(super) fn attempt_not_run(&mut self, id: RequestId, end: AttemptEnd, retry: RetryReason) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.not_run(self.now, id, end, retry, &|pool| order_of(orders, members, pool));
+        let actions = self.entry.not_run(self.now, id, end, retry, &|pool| {
+            cached_order(scheduler_orders, members, pool)
+        });
         self.perform(actions);
     }
 
     pub(super) fn replacement(&mut self, id: RequestId, step: ReplacementStep) {
-        let orders = &self.orders;
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions =
-            self.entry.replacement(self.now, id, step, &|pool| order_of(orders, members, pool));
+        let actions = self
+            .entry
+            .replacement(self.now, id, step, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
     }
 
@@ -134,8 +136,8 @@
                 EntryAction::RequestPermit(vm, request) => {
                     self.post(&vm, PeerMessage::PermitRequest(request))
                 }
-                EntryAction::ReturnPermit(vm, back) => {
-                    self.post(&vm, PeerMessage::PermitReturn(back))
+                EntryAction::ReturnPermit(vm, returned) => {
+                    self.post(&vm, PeerMessage::PermitReturn(returned))
                 }
                 EntryAction::HoldPermit(vm, held) => self.post(&vm, PeerMessage::PermitHeld(held)),
                 EntryAction::Dispatch { permit, target } => self.dispatch(permit, &target),
@@ -154,7 +156,7 @@
     }
 
     pub(super) fn dispatch(&mut self, permit: PermitId, target: &str) {
-        // Engines may have ended under it, here or elsewhere, since it was admitted.
+        // Targets may have terminated while running this request, here or elsewhere, since it was admitted.
         let digest = self.entry.digest_of(permit.request);
         if let Some(refusal) = self.lethal_refusal(digest) {
             return self.refuse_granted(permit.request, refusal);
@@ -164,7 +166,7 @@
         let mut pools = config.pools.iter();
         let known = pools.find_map(|(id, pool)| Some((id, pool.targets.get(target)?)));
         if known.is_some_and(|(pool, entry)| self.is_shut(pool, entry)) {
-            // Its version has been sent back, or moved from, since the permit was granted.
+            // The version was rolled back or replaced since the permit was granted.
             return self.attempt_not_run(
                 permit.request,
                 AttemptEnd::Unused,
@@ -179,7 +181,7 @@
                     CallerDecision::Dispatch(permit, entry),
                 ));
             }
-            // The scheduler's view is older, or newer, than this daemon's; nothing was sent anywhere.
+            // The scheduler's view is older or newer than this daemon's. Nothing was sent to any target.
             None => {
                 self.attempt_not_run(permit.request, AttemptEnd::Unused, RetryReason::TargetUnknown)
             }
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -1,8 +1,9 @@
-//! Roll-outs: the orders that the platform shows, what targets of each version may get, and who decides.
+//! Handles rollouts: the orders on the platform, what targets of each version may get, and the decisions.
 //!
-//! The daemon that schedules decides; those that read the platform show it the orders, all daemons show it the answers of the
-//! targets, and it tells all of them how far each order is. Every grant passes [`Node::is_shut`] before it is used, so that one
-//! that was given before, or by a scheduler that knows less, comes to nothing.
+//! The daemon that schedules decides. Daemons that read the platform pass it the orders, all daemons pass it the
+//! answers of the targets, and it reports the stage of each order to all of them. Every grant passes
+//! [`Node::is_shut`] before it is used, so that a grant that was given earlier, or by a scheduler that knows less, is
+//! discarded.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`PoolVersions`] for the rules.
 
@@ -20,51 +21,52 @@
     ToldVersion,
 };
 
-use self::answers::SeenAnswers;
+use self::answers::ObservedAnswers;
 use super::Node;
 use crate::event::{NodeAction, NodeNote, PlatformCall};
 use crate::status::RolloutStatus;
 
-/// Time between two reports of the answers that were seen.
-const ANSWERS_EVERY: Duration = Duration::from_millis(200);
-/// Time between two words of how far an order is, and the time for which it is told after its end.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-const TOLD_AFTER_END: Duration = Duration::from_secs(60);
-/// Time between two wishes to know the orders anew, while a version is held back.
-const WANT_EVERY: Duration = Duration::from_secs(1);
+/// Interval between reports of observed answers to the schedulers.
+const ANSWER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between reports of the stage of the orders, and the time for which it is reported after the order has
+/// ended.
+const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const ENDED_ROLLOUT_REPORT_TIME: Duration = Duration::from_secs(60);
+/// Interval between requests to read the orders again while a version is held back.
+const HELD_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node keeps of roll-outs.
+/// Rollout state of a node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutExchange {
     pools: BTreeMap<PoolId, PoolVersions>,
-    /// When the orders were read that are known.
-    read: Option<Uptime>,
-    wanted: Option<Uptime>,
-    seen: BTreeMap<PoolId, SeenAnswers>,
-    reported: Uptime,
-    told: Uptime,
+    /// When the read was sent that showed the known orders.
+    last_read: Option<Uptime>,
+    last_read_request: Option<Uptime>,
+    observed: BTreeMap<PoolId, ObservedAnswers>,
+    last_answer_report: Uptime,
+    last_stage_report: Uptime,
     leads_since: Option<Uptime>,
 }
 
 impl Node {
-    /// Whether the answers of a pool's targets are to be noted.
+    /// Returns whether the answers of a pool's targets have to be recorded.
     pub(super) fn is_rolled_out(&self, pool: &str) -> bool {
         self.rollouts.pools.get(pool).is_some_and(PoolVersions::is_under_way)
     }
 
-    /// Whether nothing may go to a target since its version was sent back, or the pool is moved from it.
+    /// Returns whether a target gets no requests because its version was rolled back or is being replaced.
     pub(super) fn is_shut(&self, pool: &str, target: &TargetEntry) -> bool {
         self.rollouts.pools.get(pool).is_some_and(|versions| versions.is_shut(&target.version))
     }
 
-    /// The same where only the target's name is known.
+    /// Returns the same as [`Node::is_shut`] for a target of which only the name is known.
     pub(super) fn is_shut_target(&self, target: &str) -> bool {
         let mut pools = self.active.pools.iter();
         pools
             .any(|(id, pool)| pool.targets.get(target).is_some_and(|entry| self.is_shut(id, entry)))
     }
 
-    /// The platform shows these orders, and no others.
+    /// Applies the complete list of orders that the platform shows at revision `at`.
     pub(super) fn rollouts_listed(
         &mut self,
         records: Vec<RolloutRecord>,
@@ -74,7 +76,7 @@
         if self.options.rollout.is_none() {
             return;
         }
-        self.rollouts.read = self.rollouts.read.max(Some(sent));
+        self.rollouts.last_read = self.rollouts.last_read.max(Some(sent));
         let now = self.now;
         let mut changed = false;
         for (pool, versions) in &mut self.rollouts.pools {
@@ -90,34 +92,34 @@
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
             if versions.order_shown(now, &record) {
                 changed = true;
-                self.note_order(&record.order.pool, None);
+                self.note_rollout_stage(&record.order.pool, None);
             }
         }
-        self.renew_versions(changed);
+        self.apply_version_changes(changed);
     }
 
-    /// A peer tells how far an order is.
-    pub(super) fn rollout_told(&mut self, news: &RolloutNews) {
-        let pool = &news.order.pool;
+    /// Applies a peer's report of the stage of an order.
+    pub(super) fn rollout_report_received(&mut self, report: &RolloutNews) {
+        let pool = &report.order.pool;
         if self.options.rollout.is_none() || !self.active.pools.contains_key(pool) {
             return;
         }
         let versions = self.rollouts.pools.entry(pool.clone()).or_default();
-        if versions.order_told(self.now, news) {
-            self.note_order(pool, None);
-            self.renew_versions(true);
+        if versions.order_told(self.now, report) {
+            self.note_rollout_stage(pool, None);
+            self.apply_version_changes(true);
         }
     }
 
-    /// Lets time pass.
+    /// Performs the periodic work of all rollouts.
     pub(super) fn step_rollouts(&mut self) {
         let Some(limits) = self.options.rollout else { return };
-        self.review_held();
-        if self.now >= self.rollouts.reported + ANSWERS_EVERY {
-            self.rollouts.reported = self.now;
+        self.request_rollout_read();
+        if self.now >= self.rollouts.last_answer_report + ANSWER_REPORT_INTERVAL {
+            self.rollouts.last_answer_report = self.now;
             self.report_answers();
         }
-        let leads = self.order.first() == Some(&self.options.me);
+        let leads = self.all_pools_order.first() == Some(&self.options.me);
         self.rollouts.leads_since = match leads {
             true => Some(self.rollouts.leads_since.unwrap_or(self.now)),
             false => None,
@@ -126,28 +128,29 @@
         for pool in pools {
             self.step_rollout(&pool, limits);
         }
-        if leads && self.now >= self.rollouts.told + TELL_EVERY {
-            self.rollouts.told = self.now;
-            self.tell_rollouts();
+        if leads && self.now >= self.rollouts.last_stage_report + ROLLOUT_REPORT_INTERVAL {
+            self.rollouts.last_stage_report = self.now;
+            self.send_rollout_reports();
         }
     }
 
-    /// Wants to know the orders anew while a version is held back; what they tell may release it.
-    fn review_held(&mut self) {
+    /// Requests another read of the orders while a version is held back, since it may release the version.
+    fn request_rollout_read(&mut self) {
         let is_held = |versions: &PoolVersions| versions.held().next().is_some();
         if !self.rollouts.pools.values().any(is_held) {
             return;
         }
-        if self.rollouts.wanted.is_none_or(|wanted| self.now >= wanted + WANT_EVERY) {
-            self.rollouts.wanted = Some(self.now);
+        if self.rollouts.last_read_request.is_none_or(|last| self.now >= last + HELD_READ_INTERVAL)
+        {
+            self.rollouts.last_read_request = Some(self.now);
             self.actions.push(NodeAction::Platform(PlatformCall::ReadRollouts));
         }
     }
 
-    /// Decides what is next for the order of a pool, where this daemon decides.
+    /// Decides the next step of a pool's order, if this daemon is the one that decides.
     fn step_rollout(&mut self, pool: &PoolId, limits: RolloutLimits) {
         let leads_since = self.rollouts.leads_since;
-        let decides = self.rate_part(pool).turn == RateTurn::Leader;
+        let decides = self.rate_share(pool).turn == RateTurn::Leader;
         let versions = self.rollouts.pools.get(pool).and_then(PoolVersions::rollout);
         let open = versions.filter(|rollout| !rollout.is_kept());
         let (Some(leads_since), Some(rollout), true) = (leads_since, open, decides) else {
@@ -184,9 +187,9 @@
         if let Some(versions) = self.rollouts.pools.get_mut(pool) {
             versions.settle_stage(true);
         }
-        self.note_order(pool, Some(reason));
-        self.renew_versions(true);
-        self.tell_rollouts();
+        self.note_rollout_stage(pool, Some(reason));
+        self.apply_version_changes(true);
+        self.send_rollout_reports();
     }
 
     fn write_rollout(&mut self, pool: &PoolId, stage: RolloutStage) {
@@ -201,33 +204,33 @@
         self.actions.push(NodeAction::Platform(PlatformCall::WriteRollout(write)));
     }
 
-    /// Tells all peers how far the orders are.
-    fn tell_rollouts(&mut self) {
+    /// Reports the stage of the orders to all reachable peers.
+    fn send_rollout_reports(&mut self) {
         let now = self.now;
         let due = |rollout: &&PoolRollout| {
-            !rollout.stage().is_final() || now < rollout.staged() + TOLD_AFTER_END
+            !rollout.stage().is_final() || now < rollout.staged() + ENDED_ROLLOUT_REPORT_TIME
         };
         let known = self.rollouts.pools.values().filter_map(PoolVersions::rollout).filter(due);
-        let news: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
-        if news.is_empty() {
+        let reports: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
+        if reports.is_empty() {
             return;
         }
         let live = self.members.peers().iter().filter(|(_, peer)| peer.live);
         for vm in live.map(|(vm, _)| vm.clone()).collect::<Vec<VmId>>() {
-            for news in &news {
-                self.post(&vm, PeerMessage::RolloutNews(news.clone()));
+            for report in &reports {
+                self.post(&vm, PeerMessage::RolloutNews(report.clone()));
             }
         }
     }
 
-    /// What the targets of each version may get is worked out anew, and kept to where it has changed.
-    fn renew_versions(&mut self, changed: bool) {
+    /// Evaluates anew what the targets of each version may get, and rebuilds the configuration if that has changed.
+    fn apply_version_changes(&mut self, changed: bool) {
         if self.review_versions() || changed {
-            self.renew_active();
+            self.rebuild_active();
         }
     }
 
-    /// Looks which versions the targets show; returns whether what any of them may get has changed.
+    /// Checks which versions the targets report; returns whether what any of them may get has changed.
     pub(super) fn review_versions(&mut self) -> bool {
         if self.options.rollout.is_none() {
             return false;
@@ -239,7 +242,7 @@
                 *versions.entry(target.entry.version.clone()).or_default() += 1;
             }
         }
-        let (now, read) = (self.now, self.rollouts.read);
+        let (now, read) = (self.now, self.rollouts.last_read);
         let mut changed = false;
         for (pool, shown) in shown {
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
@@ -253,8 +256,8 @@
         changed
     }
 
-    /// The schedulers keep to what each version may get.
-    pub(super) fn keep_versions(&mut self) {
+    /// Passes what each version may get to the schedulers.
+    pub(super) fn apply_versions(&mut self) {
         for (pool, versions) in &self.rollouts.pools {
             if let Some(scheduler) = self.pools.get_mut(pool) {
                 scheduler.keep_versions(versions);
@@ -262,13 +265,13 @@
         }
     }
 
-    fn note_order(&mut self, pool: &PoolId, reason: Option<RolloutReason>) {
+    fn note_rollout_stage(&mut self, pool: &PoolId, reason: Option<RolloutReason>) {
         if let Some(status) = self.rollout_status(pool) {
             self.actions.push(NodeAction::Note(NodeNote::RolloutStage(status, reason)));
         }
     }
 
-    /// What operators see of all orders.
+    /// Returns the status of all orders for operators.
     pub(super) fn rollout_statuses(&self) -> Vec<RolloutStatus> {
         self.rollouts.pools.keys().filter_map(|pool| self.rollout_status(pool)).collect()
     }
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -1,4 +1,4 @@
-//! What the node does as time passes.
+//! Performs the periodic work of the node.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: a tick every few milliseconds.
 
@@ -6,28 +6,29 @@
 
 use curlewcleat_core::{Heartbeat, PeerFrame, PeerMessage};
 
-use super::{order_of, Node};
+use super::{cached_order, Node};
 use crate::event::{NodeAction, NodeNote};
 
-/// Time between looks whether the key table has to change, and between pulls.
-const REVIEW: Duration = Duration::from_millis(500);
-/// Heartbeats within the time of one while a daemon announces itself.
-const ANNOUNCED_BEATS_PER_BEAT: u32 = 4;
-/// Time between clean-ups of old keys.
-const EXPIRE: Duration = Duration::from_secs(10);
+/// Interval between reviews of the key table, the lethal requests and the waiting pools.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Factor by which heartbeats are more frequent while a daemon announces itself.
+const ANNOUNCING_HEARTBEAT_FACTOR: u32 = 4;
+/// Interval between clean-ups of expired keys.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Node {
     pub(super) fn tick(&mut self) {
         for lost in self.members.tick(self.now) {
             self.actions.push(NodeAction::Note(NodeNote::PeerLost(lost.clone())));
-            self.entry_ended(&lost);
+            self.entry_daemon_ended(&lost);
         }
         self.review_roles();
         self.entry.set_daemons(self.members.fleet_size() as u64);
-        self.renew_parts();
-        let orders = &self.orders;
+        self.update_rate_shares();
+        let scheduler_orders = &self.scheduler_orders;
         let members = &self.members;
-        let actions = self.entry.tick(self.now, &|pool| order_of(orders, members, pool));
+        let actions =
+            self.entry.tick(self.now, &|pool| cached_order(scheduler_orders, members, pool));
         self.perform(actions);
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
@@ -35,18 +36,18 @@
             self.send_answers(actions);
             let peers = self.other_schedulers();
             let step = self.guards.entry(pool.clone()).or_default().tick(self.now, &peers);
-            self.take_guard_step(&pool, step);
+            self.apply_guard_step(&pool, step);
         }
         self.step_rollouts();
         self.step_freshness();
         self.send_heartbeats();
-        if self.now >= self.last_review + REVIEW {
+        if self.now >= self.last_review + REVIEW_INTERVAL {
             self.last_review = self.now;
             self.note_waiting();
             self.review_table();
             self.review_lethal();
         }
-        if self.now >= self.last_expire + EXPIRE {
+        if self.now >= self.last_expire + EXPIRE_INTERVAL {
             self.last_expire = self.now;
             self.home.expire(self.wall);
         }
@@ -62,26 +63,27 @@
     }
 
     pub(super) fn send_heartbeats(&mut self) {
-        let pause = match self.members.is_announcing() {
-            true => self.options.heartbeat_every / ANNOUNCED_BEATS_PER_BEAT,
+        let interval = match self.members.is_announcing() {
+            true => self.options.heartbeat_every / ANNOUNCING_HEARTBEAT_FACTOR,
             false => self.options.heartbeat_every,
         };
-        if self.last_heartbeat.is_some_and(|last| self.now < last + pause) {
+        if self.last_heartbeat.is_some_and(|last| self.now < last + interval) {
             return;
         }
         self.last_heartbeat = Some(self.now);
         self.query_freshness();
         self.pull_suspects();
-        let beat = self.heartbeat();
+        let heartbeat = self.heartbeat();
         for receiver in self.members.heartbeat_receivers(self.now) {
-            let beat = Heartbeat { answer_wanted: receiver.answer_wanted, ..beat.clone() };
-            self.send_heartbeat(receiver.address, beat);
+            let heartbeat =
+                Heartbeat { answer_wanted: receiver.answer_wanted, ..heartbeat.clone() };
+            self.send_heartbeat(receiver.address, heartbeat);
         }
     }
 
-    /// Sends a heartbeat, also to an address of which no daemon was heard.
-    pub(super) fn send_heartbeat(&mut self, address: String, beat: Heartbeat) {
-        let messages = vec![PeerMessage::Heartbeat(beat)];
+    /// Sends a heartbeat, even to an address from which no frame has been received.
+    pub(super) fn send_heartbeat(&mut self, address: String, heartbeat: Heartbeat) {
+        let messages = vec![PeerMessage::Heartbeat(heartbeat)];
         let frame = PeerFrame { from: self.options.me.clone(), messages };
         self.actions.push(NodeAction::Send(address, frame));
     }
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node.
+//! Builds the status of a node for operators.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`NodeStatus`] for the form.
 
@@ -9,7 +9,7 @@
 use crate::status::{GrantedPart, NodeStatus, PoolStatus, TargetStatus};
 
 impl Node {
-    /// A view for operators.
+    /// Returns the status for operators.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             me: self.options.me.clone(),
@@ -44,14 +44,14 @@
             limit: state.word().rate(),
             rests: state.rests(self.now),
         });
-        // The order names at least this daemon.
-        let order = self.members.scheduler_order(self.subject_of(id));
+        // The order contains at least this daemon.
+        let order = self.members.scheduler_order(self.scheduling_subject(id));
         PoolStatus {
             id: id.clone(),
             scheduler: order[0].vm.clone(),
             waiting: pool.waiting(),
             late: pool.waiting_late(),
-            granted: granted_parts(pool),
+            granted: granted_shares(pool),
             in_flight: pool.in_flight(),
             lowest_open: pool.level().lowest_open(),
             targets: targets.collect(),
@@ -59,10 +59,10 @@
     }
 }
 
-fn granted_parts(pool: &PoolScheduler) -> Vec<GrantedPart> {
-    let part = |((tier, urgency), flow): (_, &UrgencyFlow)| {
+fn granted_shares(pool: &PoolScheduler) -> Vec<GrantedPart> {
+    let share = |((tier, urgency), flow): (_, &UrgencyFlow)| {
         let percent = flow.granted_percent();
         GrantedPart { tier, urgency, percent }
     };
-    pool.flows().all().map(part).collect()
+    pool.flows().all().map(share).collect()
 }
