--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,16 +1,21 @@
-//! Which target gets a request?
+//! Decides which target gets a waiting request.
 //!
 //! Inputs: the waiting request (work in microseconds, deadline, when its first part is due, targets
-//! that failed it), and of each target its room, learned pace, backlog of prompts, share of failures
-//! and data centre.
+//! that failed it), and for each target its free capacity, learned pace, prompt backlog, share of
+//! failures and data centre.
 //!
-//! The rule: of the targets with room ([`target`]) that have not asked the entry for rest the one is taken that, in this
-//! order, has asked no other entry for rest either, makes no running stream pause for too long, begins the answer in time, ends it soonest (failing and far
-//! targets count longer), and is least loaded. A request waits instead where a busy target would end it
-//! in time and this one would not, or where another does not stall, as long as its first part is not
-//! due.
+//! The rule: the candidates are the targets with free capacity ([`target`]) that have not requested rest
+//! from the request's entry daemon. They are compared by these criteria, in this order:
+//! 1. The target has not requested rest from another entry daemon either.
+//! 2. Its running streams do not pause for too long.
+//! 3. It begins the answer in time.
+//! 4. It ends the answer soonest; the time on failing and remote targets is weighted up.
+//! 5. It has the lowest load.
 //!
-//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: [`pace`] and [`prefix`] for beliefs
+//! As long as its first part is not due, the request waits instead if a busy target would end it in time
+//! and the best candidate would not, or if the best candidate stalls streams and another target does not.
+//!
+//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: [`pace`] and [`prefix`] for estimates
 //! about targets.
 
 pub mod ejection;
@@ -32,39 +37,41 @@
 use crate::pool::{micros, with_margin, PermitRecord, PoolScheduler, SchedulerAction};
 use crate::rollout::versions::VersionAccess;
 
-/// Accounts of each tier whose first requests are tried when the best one finds no target.
+/// Number of accounts of each tier whose first requests are considered when the best one finds no target.
 const HEADS_TRIED: usize = 8;
-/// Reading prompts for up to this part of the longest allowed pause, in percent, stalls no stream.
+/// Reading prompts for up to this percentage of the longest allowed pause stalls no stream.
 const STALL_PERCENT: u32 = 70;
-/// The time on a target of another data centre counts longer by this, in percent: a near target is
-/// taken unless a far one is several times as fast, or the near one would be late.
-const FAR_PERCENT: u64 = 250;
-/// The time on a target counts longer by this many times where all its requests failed lately.
+/// Percentage added to the time on a target of another data centre: a local target is chosen unless a
+/// remote one is several times as fast, or the local one would be late.
+const REMOTE_PENALTY_PERCENT: u64 = 250;
+/// Multiple of its time added for a target all of whose recent requests failed.
 const FAILING_PENALTY: u64 = 8;
 
-/// How well a target suits a permit request; the least is the best.
+/// How well a target suits a permit request, as criteria in order; the smallest value is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TargetFit {
-    /// It has asked some entry for rest.
+    /// Whether it has requested rest from any entry daemon.
     rests: bool,
-    /// Streams there would pause for too long.
+    /// Whether its running streams would pause for too long.
     stalls: bool,
-    /// The answer would begin too late.
+    /// Whether the answer would begin too late.
     late: bool,
-    /// Time until its end, longer where requests failed there lately.
+    /// Time until the end of the answer, increased by the penalties for failures and for another data centre.
     penalized: WorkMicros,
-    /// Time until its end.
+    /// Time until the end of the answer.
     time: WorkMicros,
 }
 
 impl PoolScheduler {
-    /// Whether a target is known to be in another data centre than the entry.
-    fn is_far(&self, entry: &DaemonId, state: &TargetState) -> bool {
-        let place = self.places.get(&entry.vm).filter(|place| !place.is_empty());
-        place.is_some_and(|place| !state.data_centre.is_empty() && *place != state.data_centre)
+    /// Returns whether a target is known to be in another data centre than the entry daemon.
+    fn is_remote(&self, entry: &DaemonId, state: &TargetState) -> bool {
+        let data_centre = self.places.get(&entry.vm).filter(|data_centre| !data_centre.is_empty());
+        data_centre.is_some_and(|data_centre| {
+            !state.data_centre.is_empty() && *data_centre != state.data_centre
+        })
     }
 
-    /// Gives permits as long as the best waiting requests find targets with room.
+    /// Grants permits as long as the best waiting requests find targets with free capacity.
     pub(crate) fn grant(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
         self.queues.defer_late(now);
         while let Some((permit, target)) = self.next_trial(now).or_else(|| self.next_grant(now)) {
@@ -103,91 +110,92 @@
     }
 
     fn next_grant(&self, now: Uptime) -> Option<(PermitId, TargetId)> {
-        // Where everything is busy, and at an overload it is, no ask needs to be looked at.
-        let room = |state: &TargetState| state.has_room(true, 0, now);
-        if self.queues.is_empty() || !self.targets.values().any(room) {
+        // If all targets are busy, as in an overload, no request needs to be considered.
+        let has_capacity = |state: &TargetState| state.has_room(true, 0, now);
+        if self.queues.is_empty() || !self.targets.values().any(has_capacity) {
             return None;
         }
         let heads = self.queues.heads(HEADS_TRIED);
-        heads.filter_map(|waiting| Some((waiting.request.permit, self.place(now, waiting)?))).next()
+        heads
+            .filter_map(|waiting| Some((waiting.request.permit, self.choose_target(now, waiting)?)))
+            .next()
     }
 
-    /// The target with room that suits the permit request best, `None` where waiting for another one is
-    /// better.
-    fn place(&self, now: Uptime, waiting: &WaitingRequest) -> Option<TargetId> {
+    /// Returns the candidate that suits the permit request best, `None` if there is none or waiting for another
+    /// target is better.
+    fn choose_target(&self, now: Uptime, waiting: &WaitingRequest) -> Option<TargetId> {
         let top = waiting.request.tier == self.options.top;
         let reserve = self.options.reserve_percent;
-        let open = self.targets.iter().filter(|(id, state)| {
+        let candidates = self.targets.iter().filter(|(id, state)| {
             state.has_room(top, reserve, now) && eligible(now, waiting, id, state)
         });
-        let scored = open.map(|(id, state)| {
-            let fit = self.fit(now, waiting, state);
+        let scored = candidates.map(|(id, state)| {
+            let fit = self.evaluate(now, waiting, state);
             (fit, load_permille(state), id)
         });
         let (fit, _, target) = scored.min()?;
-        // Waiting for a better target is worth while only as long as the answer need not begin yet, and
-        // where there is a better one that is busy.
+        // The request waits only while its first part is not due, and only if a better target is busy.
         let may_wait = now < waiting.first_part_by;
         let time_left = micros(waiting.deadline.saturating_sub(now));
         let too_slow = with_margin(fit.time) > time_left;
         if too_slow && may_wait && self.has_fast_target(now, waiting, time_left) {
             return None;
         }
-        if fit.stalls && may_wait && self.has_steady_target(now, waiting) {
+        if fit.stalls && may_wait && self.has_target_without_stalls(now, waiting) {
             return None;
         }
         Some(target.clone())
     }
 
-    /// How well a target suits a permit request.
-    fn fit(&self, now: Uptime, waiting: &WaitingRequest, state: &TargetState) -> TargetFit {
+    /// Returns how well a target suits a permit request.
+    fn evaluate(&self, now: Uptime, waiting: &WaitingRequest, state: &TargetState) -> TargetFit {
         let request = &waiting.request;
         let rests = state.rests(now);
         let prompt = state.pace.prompt_time(request.prompt_work);
         let output = state.pace.output_time(request.output_work, &self.pace);
         let (Some(prompt), Some(output)) = (prompt, output) else {
             let time = state.estimate(request);
-            let penalty = penalty(time, state) + self.distance(waiting, state, time);
+            let penalty = failure_penalty(time, state) + self.remote_penalty(waiting, state, time);
             let penalized = time + penalty;
             return TargetFit { rests, stalls: false, late: false, penalized, time };
         };
         let backlog = state.prompt_backlog(now);
-        let reading = backlog + Duration::from_micros(prompt);
-        let stalls = state.in_flight > 0 && self.would_stall(now, state, reading, request);
-        let late = now + reading > waiting.first_part_by;
-        let time = micros(reading) + output;
-        let penalty = penalty(time, state) + self.distance(waiting, state, time);
+        let prompt_delay = backlog + Duration::from_micros(prompt);
+        let stalls = state.in_flight > 0 && self.would_stall(now, state, prompt_delay, request);
+        let late = now + prompt_delay > waiting.first_part_by;
+        let time = micros(prompt_delay) + output;
+        let penalty = failure_penalty(time, state) + self.remote_penalty(waiting, state, time);
         TargetFit { rests, stalls, late, penalized: time + penalty, time }
     }
 
-    /// Whether reading prompts for so long makes the streams of a target pause for too long. A target
-    /// that was seen to pause so long does so again, unless it has little to read.
+    /// Returns whether prompt_delay prompts for `prompt_delay` makes the streams of a target pause for too long. A
+    /// target that recently paused for too long is expected to do so again, unless it has little to read.
     fn would_stall(
         &self,
         now: Uptime,
         state: &TargetState,
-        reading: Duration,
+        prompt_delay: Duration,
         request: &PermitRequest,
     ) -> bool {
         let limit = request.objectives.pause_limit;
         let pauses = state.pace.longest_pause(now) > limit;
-        pauses && reading > limit / 100 * STALL_PERCENT
+        pauses && prompt_delay > limit / 100 * STALL_PERCENT
     }
 
-    /// What a target's time counts more since it is far from the entry.
-    fn distance(
+    /// Returns the time added for a target in another data centre than the entry daemon.
+    fn remote_penalty(
         &self,
         waiting: &WaitingRequest,
         state: &TargetState,
         time: WorkMicros,
     ) -> WorkMicros {
-        match self.is_far(&waiting.entry, state) {
-            true => time / 100 * FAR_PERCENT,
+        match self.is_remote(&waiting.entry, state) {
+            true => time / 100 * REMOTE_PENALTY_PERCENT,
             false => 0,
         }
     }
 
-    /// Whether some target that takes new work, busy or not, would end the answer in time.
+    /// Returns whether any target that accepts new requests, busy or not, would end the answer in time.
     fn has_fast_target(
         &self,
         now: Uptime,
@@ -196,12 +204,12 @@
     ) -> bool {
         self.targets.iter().any(|(id, state)| {
             let usable = state.usable(now) && eligible(now, waiting, id, state);
-            usable && with_margin(self.fit(now, waiting, state).time) <= time_left
+            usable && with_margin(self.evaluate(now, waiting, state).time) <= time_left
         })
     }
 
-    /// Whether some target that takes new work, busy or not, has not been seen to stall.
-    fn has_steady_target(&self, now: Uptime, waiting: &WaitingRequest) -> bool {
+    /// Returns whether any target that accepts new requests, busy or not, has not recently stalled streams.
+    fn has_target_without_stalls(&self, now: Uptime, waiting: &WaitingRequest) -> bool {
         let limit = waiting.request.objectives.pause_limit;
         self.targets.iter().any(|(id, state)| {
             let usable = state.usable(now) && eligible(now, waiting, id, state);
@@ -210,17 +218,18 @@
     }
 }
 
-/// Whether a target has neither failed a request nor asked its entry for rest.
+/// Returns whether a target has neither failed a request nor requested rest from its entry daemon.
 fn eligible(now: Uptime, waiting: &WaitingRequest, id: &TargetId, state: &TargetState) -> bool {
     let avoided = waiting.request.avoid.contains(id);
     !avoided && state.rest_left(now, &waiting.entry.vm).is_none()
 }
 
-/// What the time on a target counts more where its requests failed lately.
-fn penalty(time: WorkMicros, state: &TargetState) -> WorkMicros {
+/// Returns the time added for a target whose requests failed recently.
+fn failure_penalty(time: WorkMicros, state: &TargetState) -> WorkMicros {
     time / 1_000 * state.failing() * FAILING_PENALTY
 }
 
+/// Returns the permits in use relative to the slots, in thousandths.
 fn load_permille(state: &TargetState) -> u32 {
     state.in_flight * 1_000 / state.slots.max(1)
 }
--- a/crates/sched/src/placement/notice.rs
+++ b/crates/sched/src/placement/notice.rs
@@ -1,16 +1,17 @@
-//! What does a target say of itself now?
+//! Merges the notices that a target instance reports about itself into its current state.
 //!
-//! Inputs: what the heads of its answers say ([`TargetNotice`]), each with when its request was sent and when it came, and
-//! what other daemons report of theirs.
+//! Inputs: the notices in the response headers of the target ([`TargetNotice`]), each with the time its request was
+//! sent and the time it arrived, and the reports of other daemons about their notices.
 //!
-//! The rule, for one life of a target (a new start has said nothing):
-//! - *Leaving* counts for good.
-//! - *A rest* counts until its end, for the daemon that was asked for it; a later one never shortens it.
-//! - *A limit* counts from the head that names it until a head names none whose request was sent after that, so that an
-//!   answer that was overtaken ends nothing. It does not lapse by itself: a target whose limit is nearly zero is tried
-//!   out by what [`pacing`](super::pacing) lets pass. One that cannot be read neither begins nor ends a limit.
+//! The rule, for one target instance (a new instance begins without notices):
+//! - *Leaving* is permanent.
+//! - *Rest* holds until it ends, for the daemon from which it was requested; a later notice never shortens it.
+//! - *A limit* holds from the notice that states it until a notice without one, whose request was sent after that,
+//!   so that an answer that was overtaken does not end a limit. It does not expire by itself: a target whose limit
+//!   is nearly zero is probed at the rate that [`pacing`](super::pacing) allows. An unreadable limit neither begins
+//!   nor ends one.
 //!
-//! Owns: the word of one life. Relies on: clocks that count a suspension.
+//! Owns: the notices of one target instance. Relies on: clocks that count the time of a suspension.
 
 use std::time::Duration;
 
@@ -18,98 +19,102 @@
     LimitNotice, LimitReport, NoticeReport, RequestRate, TargetLife, TargetNotice, Uptime,
 };
 
-/// Time for which others are told again that a limit has ended.
-const ENDED_TOLD: Duration = Duration::from_secs(30);
+/// Time for which the end of a limit is reported repeatedly to other daemons.
+const LIMIT_END_REPORT_TIME: Duration = Duration::from_secs(30);
 
-/// A limit, or that there is none any more, and since when that counts.
+/// The limit of a target instance, or its end, and since when that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct LimitWord {
+struct LimitState {
+    /// The limit, `None` if it has ended.
     rate: Option<RequestRate>,
-    at: Uptime,
+    since: Uptime,
 }
 
-/// What one life of a target says of itself.
+/// The merged notices of one target instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TargetWord {
     leaving: bool,
     rest_until: Option<Uptime>,
-    limit: Option<LimitWord>,
+    limit: Option<LimitState>,
 }
 
-/// A head of an answer that came now.
+/// A notice that has just arrived in a response header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeardNotice {
-    /// When its request was sent.
+    /// When the request of the response was sent.
     pub sent: Uptime,
-    /// What it says.
+    /// The notice in the response header.
     pub notice: TargetNotice,
 }
 
 impl TargetWord {
-    /// Takes a head in; whether something else is believed now.
-    pub fn heard(&mut self, now: Uptime, heard: &HeardNotice) -> bool {
+    /// Applies a received notice, and returns whether the state changed.
+    pub fn heard(&mut self, now: Uptime, received: &HeardNotice) -> bool {
         let before = self.clone();
-        self.leaving |= heard.notice.leaving;
-        let rest_until = heard.notice.rest.map(|rest| now + rest);
+        self.leaving |= received.notice.leaving;
+        let rest_until = received.notice.rest.map(|rest| now + rest);
         self.rest_until = self.rest_until.max(rest_until);
-        match heard.notice.limit {
-            LimitNotice::Named(rate) => self.limit = Some(LimitWord { rate: Some(rate), at: now }),
-            LimitNotice::Absent => self.end_limit(heard.sent),
+        match received.notice.limit {
+            LimitNotice::Named(rate) => {
+                self.limit = Some(LimitState { rate: Some(rate), since: now })
+            }
+            LimitNotice::Absent => self.end_limit(received.sent),
             LimitNotice::Unreadable => {}
         }
         self.differs(&before)
     }
 
-    /// Takes in what a daemon reports; its rest is that of the daemon alone and is left out.
+    /// Merges the report of another daemon. A rest holds only for that daemon and is not merged.
     pub fn merge(&mut self, now: Uptime, report: &NoticeReport) {
         self.leaving |= report.leaving;
         if let Some(LimitReport { rate, age }) = report.limit {
-            let at = now.saturating_sub(age);
+            let since = now.saturating_sub(age);
             match rate {
-                Some(_) if self.limit.is_none_or(|known| known.at <= at) => {
-                    self.limit = Some(LimitWord { rate, at });
+                Some(_) if self.limit.is_none_or(|known| known.since <= since) => {
+                    self.limit = Some(LimitState { rate, since });
                 }
                 Some(_) => {}
-                None => self.end_limit(at),
+                None => self.end_limit(since),
             }
         }
     }
 
-    /// The limit is named no longer by an answer to a request of then.
+    /// Ends the limit if it is older than `sent`, the time of a request whose answer states none.
     fn end_limit(&mut self, sent: Uptime) {
-        if let Some(limit) = self.limit.as_mut().filter(|limit| limit.at < sent) {
-            *limit = LimitWord { rate: None, at: sent };
+        if let Some(limit) = self.limit.as_mut().filter(|limit| limit.since < sent) {
+            *limit = LimitState { rate: None, since: sent };
         }
     }
 
-    /// Whether what is believed differs, not only since when.
+    /// Returns whether the state differs from `before`, apart from the time since which a limit holds.
     fn differs(&self, before: &TargetWord) -> bool {
-        let told = |word: &TargetWord| (word.leaving, word.rest_until, word.rate());
-        told(self) != told(before)
+        let state = |word: &TargetWord| (word.leaving, word.rest_until, word.rate());
+        state(self) != state(before)
     }
 
-    /// Whether the target leaves.
+    /// Returns whether the target is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Until when it wants nothing, `None` where it has not said so.
+    /// Returns until when the target requires rest from this daemon, `None` if it has not requested any.
     pub fn rest_until(&self) -> Option<Uptime> {
         self.rest_until
     }
 
-    /// The requests a second that it takes, `None` for any number.
+    /// Returns the limit of the target in requests per second, `None` if there is none.
     pub fn rate(&self) -> Option<RequestRate> {
         self.limit.and_then(|limit| limit.rate)
     }
 
-    /// Whether others may still believe something else, where a report was lost.
-    pub fn is_worth_telling(&self, now: Uptime) -> bool {
-        let limited = |limit: LimitWord| limit.rate.is_some() || now < limit.at + ENDED_TOLD;
+    /// Returns whether the state needs to be reported again, since an earlier report may have been lost.
+    pub fn needs_report(&self, now: Uptime) -> bool {
+        let limited =
+            |limit: LimitState| limit.rate.is_some() || now < limit.since + LIMIT_END_REPORT_TIME;
         self.leaving || self.limit.is_some_and(limited)
     }
 
-    /// What there is to tell others.
+    /// Returns the report of the state to other daemons.
     pub fn report(&self, now: Uptime, life: &TargetLife) -> NoticeReport {
         NoticeReport {
             life: life.clone(),
@@ -118,9 +123,10 @@
                 .rest_until
                 .map(|until| until.saturating_sub(now))
                 .filter(|rest| !rest.is_zero()),
-            limit: self
-                .limit
-                .map(|limit| LimitReport { rate: limit.rate, age: now.saturating_sub(limit.at) }),
+            limit: self.limit.map(|limit| LimitReport {
+                rate: limit.rate,
+                age: now.saturating_sub(limit.since),
+            }),
         }
     }
 }
--- a/crates/sched/src/placement/pace.rs
+++ b/crates/sched/src/placement/pace.rs
@@ -1,12 +1,12 @@
-//! How fast a target streams, learned from the streams that passed through.
+//! Learns how fast a target streams, from the streams that it has completed.
 //!
-//! Inputs: of each whole stream the time to its first part, the time of the rest, its parts and its
-//! longest pause, and the work in microseconds that was estimated for it. The rule: times are learned
-//! as ratios to the estimated work, in exponentially weighted means; a new target is believed to be as
-//! fast as its pool; what is believed of an idle target approaches its pool, so that a belief that
-//! keeps requests away cannot keep itself alive.
+//! Inputs: for each complete stream the time to its first part, the time of the rest, its number of parts
+//! and its longest pause, and its estimated work in microseconds. The rule: times are learned as ratios to
+//! the estimated work, in exponentially weighted means. A new target is assumed to be as fast as its pool.
+//! The estimate of an idle target decays towards that of its pool; otherwise a bad estimate would keep
+//! requests away, and no further stream could correct it.
 //!
-//! Owns: the means of one target or pool. Relies on: entries that report whole streams.
+//! Owns: the means of one target or pool. Relies on: entry daemons that report complete streams.
 
 use std::time::Duration;
 
@@ -14,97 +14,98 @@
 
 use crate::decaying_ratio::DecayingRatio;
 
-/// A stream weighs one in this many in the learned pace of its target.
+/// A stream has a weight of one in this many in the learned pace of its target.
 const TARGET_WEIGHT: u64 = 8;
-/// A stream weighs one in this many in the pace that is assumed of new targets.
+/// A stream has a weight of one in this many in the pace of its pool, which new targets begin with.
 const POOL_WEIGHT: u64 = 64;
-/// Half-life of a long pause.
-const PAUSE_LIFE: Duration = Duration::from_secs(10);
-/// Work in microseconds that every prompt has besides its tokens, so that short prompts do not look slow.
+/// Half-life of the longest pause.
+const PAUSE_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Work in microseconds that is added to the work of each prompt's tokens, so that short prompts do not appear slow.
 const PROMPT_BASE: WorkMicros = 50_000;
 
-/// Learned pace of a target, or of a whole pool.
+/// Learned streaming speed of a target, or of a whole pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StreamPace {
-    /// Microseconds to the first part by estimated prompt work.
-    first: DecayingRatio,
-    /// Microseconds by part.
-    part: DecayingRatio,
-    /// Parts by estimated output work.
-    parts: DecayingRatio,
-    /// Longest pause lately, and when it was seen.
-    pause: (Duration, Uptime),
+    /// Microseconds to the first part, per estimated prompt work.
+    first_part_time: DecayingRatio,
+    /// Microseconds per further part.
+    part_time: DecayingRatio,
+    /// Number of parts, per estimated output work.
+    parts_per_work: DecayingRatio,
+    /// Longest recent pause, and when it was reported.
+    longest: (Duration, Uptime),
+    /// A stream has a weight of one in this many.
     weight: u64,
 }
 
 impl StreamPace {
-    /// The pace of a pool about which nothing is known yet.
+    /// Returns the pace of a pool about which nothing is known yet.
     pub fn of_pool() -> StreamPace {
         StreamPace {
-            first: DecayingRatio::default(),
-            part: DecayingRatio::default(),
-            parts: DecayingRatio::default(),
-            pause: (Duration::ZERO, Duration::ZERO),
+            first_part_time: DecayingRatio::default(),
+            part_time: DecayingRatio::default(),
+            parts_per_work: DecayingRatio::default(),
+            longest: (Duration::ZERO, Duration::ZERO),
             weight: POOL_WEIGHT,
         }
     }
 
-    /// The pace that is assumed of a new target of a pool with this pace.
+    /// Returns the pace that is assumed of a new target in a pool with this pace.
     pub fn of_new_target(&self) -> StreamPace {
-        let fade = |ratio: DecayingRatio| DecayingRatio {
+        let scaled = |ratio: DecayingRatio| DecayingRatio {
             above: ratio.above * TARGET_WEIGHT / POOL_WEIGHT,
             below: ratio.below * TARGET_WEIGHT / POOL_WEIGHT,
         };
         StreamPace {
-            first: fade(self.first),
-            part: fade(self.part),
-            parts: fade(self.parts),
-            pause: (Duration::ZERO, Duration::ZERO),
+            first_part_time: scaled(self.first_part_time),
+            part_time: scaled(self.part_time),
+            parts_per_work: scaled(self.parts_per_work),
+            longest: (Duration::ZERO, Duration::ZERO),
             weight: TARGET_WEIGHT,
         }
     }
 
-    /// Learns from a whole stream of a request with this estimated work.
+    /// Learns from a complete stream of a request with this estimated work.
     pub fn learn(
         &mut self,
         now: Uptime,
         prompt: WorkMicros,
         output: WorkMicros,
-        seen: &StreamTiming,
+        timing: &StreamTiming,
     ) {
         let micros = |time: Duration| time.as_micros() as u64;
-        self.first.feed(micros(seen.first), prompt + PROMPT_BASE, self.weight);
-        if seen.parts > 1 {
-            self.part.feed(micros(seen.rest), u64::from(seen.parts - 1), self.weight);
+        self.first_part_time.feed(micros(timing.first), prompt + PROMPT_BASE, self.weight);
+        if timing.parts > 1 {
+            self.part_time.feed(micros(timing.rest), u64::from(timing.parts - 1), self.weight);
         }
-        self.parts.feed(u64::from(seen.parts), output, self.weight);
-        if seen.pause >= self.longest_pause(now) {
-            self.pause = (seen.pause, now);
+        self.parts_per_work.feed(u64::from(timing.parts), output, self.weight);
+        if timing.pause >= self.longest_pause(now) {
+            self.longest = (timing.pause, now);
         }
     }
 
-    /// What is believed of an idle target fades towards what holds for its pool.
+    /// Moves the estimate of an idle target towards that of its pool.
     pub fn fade_towards(&mut self, pool: &StreamPace) {
-        let usual = pool.of_new_target();
-        self.first.approach(usual.first, TARGET_WEIGHT);
-        self.part.approach(usual.part, TARGET_WEIGHT);
+        let new_target = pool.of_new_target();
+        self.first_part_time.approach(new_target.first_part_time, TARGET_WEIGHT);
+        self.part_time.approach(new_target.part_time, TARGET_WEIGHT);
     }
 
-    /// Time that the prompt takes, `None` while nothing is known.
+    /// Returns the estimated time until the first part, `None` while nothing is known.
     pub fn prompt_time(&self, prompt: WorkMicros) -> Option<WorkMicros> {
-        self.first.of(prompt + PROMPT_BASE)
+        self.first_part_time.of(prompt + PROMPT_BASE)
     }
 
-    /// Time from the first part to the end, `None` while nothing is known. `pool` knows how many parts
-    /// an output has.
+    /// Returns the estimated time from the first part to the end, `None` while nothing is known. The number
+    /// of parts is estimated from `pool`.
     pub fn output_time(&self, output: WorkMicros, pool: &StreamPace) -> Option<WorkMicros> {
-        self.part.of(pool.parts.of(output)?)
+        self.part_time.of(pool.parts_per_work.of(output)?)
     }
 
-    /// Longest pause that was seen lately.
+    /// Returns the longest recent pause, halved for each [`PAUSE_HALF_LIFE`] since it was reported.
     pub fn longest_pause(&self, now: Uptime) -> Duration {
-        let (pause, seen) = self.pause;
-        let halvings = now.saturating_sub(seen).as_millis() / PAUSE_LIFE.as_millis();
+        let (pause, reported) = self.longest;
+        let halvings = now.saturating_sub(reported).as_millis() / PAUSE_HALF_LIFE.as_millis();
         pause / (1u32 << halvings.min(16) as u32)
     }
 }
--- a/crates/sched/src/placement/prefix.rs
+++ b/crates/sched/src/placement/prefix.rs
@@ -1,23 +1,26 @@
-//! What a target is believed to hold in its prompt cache.
+//! Estimates which prefixes a target holds in its prompt cache.
 
 use std::collections::BTreeMap;
 
-/// A bounded set of prefix hashes that forgets the least recently used.
+/// A bounded set of prefix hashes that evicts the least recently used.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PrefixCache {
+    /// Clock of the latest use, by prefix hash.
     by_hash: BTreeMap<u64, u64>,
+    /// Prefix hash, by clock of its latest use.
     by_use: BTreeMap<u64, u64>,
+    /// Number of uses so far.
     clock: u64,
 }
 
 impl PrefixCache {
-    /// Whether the prefix is believed to be cached.
+    /// Returns whether the prefix is assumed to be cached.
     pub fn holds(&self, prefix: u64) -> bool {
         self.by_hash.contains_key(&prefix)
     }
 
-    /// Notes that the target has just computed or used the prefix; it is believed to hold `limit` of
-    /// them. A belief that is too large costs more than none.
+    /// Records that the target has just computed or used the prefix, and evicts down to `limit` prefixes.
+    /// Assuming too many cached prefixes costs more than assuming none.
     pub fn touch(&mut self, prefix: u64, limit: usize) {
         self.forget(prefix);
         self.clock += 1;
@@ -29,13 +32,13 @@
         }
     }
 
-    /// Forgets everything, as when events about the cache were lost.
+    /// Removes all prefixes, for example after cache events were lost.
     pub fn clear(&mut self) {
         self.by_hash.clear();
         self.by_use.clear();
     }
 
-    /// Notes that the target has evicted the prefix.
+    /// Removes a prefix that the target has evicted.
     pub fn forget(&mut self, prefix: u64) {
         if let Some(used) = self.by_hash.remove(&prefix) {
             self.by_use.remove(&used);
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -1,11 +1,11 @@
-//! Does a target have room, and how fast is it? What a scheduler knows of one life of a target.
+//! Tracks what a scheduler knows of one target instance: free capacity, speed and health.
 //!
-//! The rules: a target has room while the permits in use, and what others sent by its latest report,
-//! are fewer than its slots (less a reserve for the top tier), it is not ejected ([`ejection`]), and the limit that it
-//! names has room ([`notice`], [`pacing`]).
-//! Its slowness is the ratio of seen to estimated time, in an exponentially weighted mean.
+//! The rules: a target has free capacity if the permits in use plus the requests of others in its latest
+//! report are fewer than its slots (less a reserve for the top tier), it is not ejected ([`ejection`]), and
+//! the limit that it states allows one more request ([`notice`], [`pacing`]).
+//! Its slowness is the ratio of measured to estimated time, in an exponentially weighted mean.
 //!
-//! Owns: slots, permits in use, beliefs. Relies on: reports that may be late or missing.
+//! Owns: slots, permits in use, estimates. Relies on: reports that may be late or missing.
 //!
 //! [`ejection`]: super::ejection
 //! [`notice`]: super::notice
@@ -22,71 +22,73 @@
 use super::ejection::TargetEjection;
 use super::notice::TargetWord;
 use super::pace::StreamPace;
-use super::pacing::{part_of, SendPace};
+use super::pacing::{share_of, SendPace};
 use super::prefix::PrefixCache;
 use crate::admission::shared_rate::RatePart;
 use crate::rollout::versions::VersionAccess;
 
 /// Slowness of a target that takes exactly the estimated time, in thousandths.
-const NORMAL: u64 = 1_000;
-/// Time for which a report counts: some reports may be lost, which come once a second.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
-/// Share of the prompt work that is left when the prefix is cached, in percent.
+const NORMAL_SLOWNESS: u64 = 1_000;
+/// Time for which a report is valid. Reports come once a second, and some may be lost.
+const REPORT_VALIDITY: Duration = Duration::from_secs(5);
+/// Percentage of the prompt work that remains if the prefix is cached.
 const CACHED_PROMPT_PERCENT: u64 = 10;
-/// A request weighs one part in this many in the share that failed.
+/// A request has a weight of one in this many in the share of failures.
 const FAILING_WEIGHT: u64 = 8;
-/// Longest time that prompts are believed to keep a target: a bound on a wrong belief.
+/// Longest estimate of the prompt backlog, which bounds the effect of a wrong estimate.
 const BACKLOG_LIMIT: Duration = Duration::from_secs(5);
-/// The share where every request fails, in thousandths.
-const ALL_FAILING: u64 = 1_000;
-/// An answer weighs one part in this many in the learned slowness.
+/// Share of failures if every request fails, in thousandths.
+const FULL_FAILURE_SHARE: u64 = 1_000;
+/// An answer has a weight of one in this many in the learned slowness.
 const SLOWNESS_WEIGHT: u64 = 8;
 
-/// Slots, load, speed and health of one target.
+/// Slots, load, speed and health of one target instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TargetState {
-    /// Start of the life that this is known of, `None` where the target does not tell.
+    /// Start of the target instance, `None` if the target does not report one.
     pub start: Option<TargetStart>,
-    /// Version of its software, `None` where the target does not tell.
+    /// Version of its software, `None` if the target does not report one.
     pub version: Option<TargetVersion>,
-    /// What its version may get.
+    /// Which requests its version may get.
     pub access: VersionAccess,
-    /// VM of the target.
+    /// The VM that it runs on.
     pub vm: VmId,
-    /// Its data centre, empty where it is not known.
+    /// Its data centre, empty if unknown.
     pub data_centre: String,
-    /// Requests that it serves at the same time.
+    /// Number of requests that it can serve at the same time.
     pub slots: u32,
-    /// Permits in use.
+    /// Number of permits in use.
     pub in_flight: u32,
-    /// Whether its VM leaves or is gone.
+    /// Whether its VM is leaving or unlisted.
     pub leaving: bool,
-    /// Prefixes that it is believed to hold.
+    /// Prefixes that it is assumed to hold in its prompt cache.
     pub prefixes: PrefixCache,
+    /// Ratio of measured to estimated time, in thousandths.
     slowness: u64,
     ejection: TargetEjection,
-    /// Requests there that others sent, by its latest report, and until when that counts.
-    foreign: (u32, Uptime),
-    /// Permits in use when the report before came.
-    in_flight_before: u32,
-    /// Number of the latest cache event taken in.
+    /// Number of requests sent by others, by its latest report, and until when that is valid.
+    external_load: (u32, Uptime),
+    /// Number of permits in use when the previous report arrived.
+    previous_in_flight: u32,
+    /// Number of the latest cache eviction applied.
     last_eviction: Option<u64>,
-    /// How fast it streams.
+    /// Its learned streaming speed.
     pub pace: StreamPace,
-    /// When it has read the prompts that were sent there, by estimate.
+    /// Estimated time by which it has read the prompts sent to it.
     prompts_until: Uptime,
-    /// Share of its requests that failed lately, in thousandths.
+    /// Share of its recent requests that failed, in thousandths.
     failing: u64,
-    /// What it says of itself.
+    /// The merged notices of the target instance.
     word: TargetWord,
-    /// Until when it wants nothing from an entry, by the entry's VM.
+    /// Until when it requires rest from an entry daemon, by the entry daemon's VM.
     rests: BTreeMap<VmId, Uptime>,
-    /// The part of its limit that this scheduler grants, `None` where it names none, with what it has granted.
+    /// This scheduler's share of the limit that the target states, with the limiter of the requests granted; `None`
+    /// if it states no limit.
     limit: Option<(RequestRate, SendPace)>,
 }
 
 impl TargetState {
-    /// A target about which nothing is known yet.
+    /// Returns a target about which nothing is known yet.
     pub fn new(vm: VmId, slots: u32) -> TargetState {
         TargetState {
             start: None,
@@ -98,10 +100,10 @@
             in_flight: 0,
             leaving: false,
             prefixes: PrefixCache::default(),
-            slowness: NORMAL,
+            slowness: NORMAL_SLOWNESS,
             ejection: TargetEjection::default(),
-            foreign: (0, Duration::ZERO),
-            in_flight_before: 0,
+            external_load: (0, Duration::ZERO),
+            previous_in_flight: 0,
             last_eviction: None,
             pace: StreamPace::of_pool().of_new_target(),
             prompts_until: Duration::ZERO,
@@ -112,36 +114,37 @@
         }
     }
 
-    /// The same target, of which this pace is assumed.
+    /// Returns the target with this pace.
     pub fn with_pace(self, pace: StreamPace) -> TargetState {
         TargetState { pace, ..self }
     }
 
-    /// Lets a second pass. What is believed of an idle target's slowness fades, so that a belief that
-    /// keeps requests away cannot keep itself alive.
+    /// Updates the estimates once a second. The slowness of an idle target decays to normal; otherwise a bad
+    /// estimate would keep requests away, and no answer could correct it.
     pub fn second_passed(&mut self, pool: &StreamPace) {
         if self.in_flight == 0 {
             self.pace.fade_towards(pool);
         }
         self.failing -= self.failing / FAILING_WEIGHT;
-        if self.in_flight == 0 && self.slowness > NORMAL {
-            let excess = self.slowness - NORMAL;
+        if self.in_flight == 0 && self.slowness > NORMAL_SLOWNESS {
+            let excess = self.slowness - NORMAL_SLOWNESS;
             self.slowness -= excess.div_ceil(SLOWNESS_WEIGHT);
         }
     }
 
-    /// Takes a report of the target in. It is late: what ended since may still be counted in it, so
-    /// only what exceeds the permits of both this report and the one before counts as foreign.
+    /// Applies a report of the target. A report is late: it may still count requests that have ended since.
+    /// Only the excess over the permits in use at both this report and the previous one is attributed to
+    /// others.
     pub fn reported(&mut self, now: Uptime, report: &TargetReport) {
-        let own = self.in_flight.max(self.in_flight_before);
-        self.in_flight_before = self.in_flight;
-        self.foreign = (report.running.saturating_sub(own), now + REPORT_LIFE);
-        self.note_evictions(report);
+        let own = self.in_flight.max(self.previous_in_flight);
+        self.previous_in_flight = self.in_flight;
+        self.external_load = (report.running.saturating_sub(own), now + REPORT_VALIDITY);
+        self.apply_evictions(report);
     }
 
-    /// Takes the cache events of a report in. Reports come in order, so numbers that go back are those of
-    /// a target that has started again and holds nothing of before.
-    fn note_evictions(&mut self, report: &TargetReport) {
+    /// Applies the cache evictions of a report. Reports come in order, so numbers that go back mean that the
+    /// target has restarted with an empty cache.
+    fn apply_evictions(&mut self, report: &TargetReport) {
         let newest = report.evictions.last().map(|eviction| eviction.number);
         if newest.is_some() && newest < self.last_eviction {
             self.last_eviction = None;
@@ -150,70 +153,77 @@
             match self.last_eviction {
                 Some(last) if eviction.number <= last => continue,
                 Some(last) if eviction.number == last + 1 => self.prefixes.forget(eviction.prefix),
-                // Events were lost, or this is the first report: nothing is known of the cache.
+                // Evictions were missed, or this is the first report: the content of the cache is unknown.
                 _ => self.prefixes.clear(),
             }
             self.last_eviction = Some(eviction.number);
         }
     }
 
-    /// Requests there that others sent.
-    pub fn foreign(&self, now: Uptime) -> u32 {
-        if now < self.foreign.1 {
-            self.foreign.0
+    /// Returns the number of requests that others have sent to the target.
+    pub fn external_load(&self, now: Uptime) -> u32 {
+        if now < self.external_load.1 {
+            self.external_load.0
         } else {
             0
         }
     }
 
-    /// Takes in what a daemon has heard of it.
-    pub fn noticed(&mut self, now: Uptime, from: &VmId, report: &NoticeReport, part: RatePart) {
+    /// Applies a daemon's report of the target's notices.
+    pub fn noticed(
+        &mut self,
+        now: Uptime,
+        from: &VmId,
+        report: &NoticeReport,
+        rate_share: RatePart,
+    ) {
         self.word.merge(now, report);
         self.rests.retain(|_, until| now < *until);
         if let Some(rest) = report.rest {
             self.rests.insert(from.clone(), now + rest);
         }
-        self.keep_part(now, part);
+        self.keep_part(now, rate_share);
     }
 
-    /// Time for which it still wants nothing from an entry's VM, `None` where it takes what comes.
+    /// Returns the remaining time of the rest that it requires from the daemon on this VM, `None` if there is none.
     pub fn rest_left(&self, now: Uptime, vm: &VmId) -> Option<Duration> {
         let until = self.rests.get(vm)?;
         Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// Whether it has asked any entry for rest that lasts.
+    /// Returns whether it currently requires rest from any entry daemon.
     pub fn rests(&self, now: Uptime) -> bool {
         self.rests.values().any(|until| now < *until)
     }
 
-    /// Whether it leaves, by the platform's word or its own.
+    /// Returns whether the target is leaving, according to the platform or to its own notice.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.word.is_leaving()
     }
 
-    /// Grants this part of its limit from now on.
-    pub fn keep_part(&mut self, now: Uptime, part: RatePart) {
-        let rate = self.word.rate().map(|rate| part_of(rate, part));
+    /// Sets this scheduler's share of the target's limit.
+    pub fn keep_part(&mut self, now: Uptime, rate_share: RatePart) {
+        let rate = self.word.rate().map(|rate| share_of(rate, rate_share));
         let limit = self.limit.take();
-        // A part that was nothing before has been used by others.
+        // If the share was zero before, other schedulers have used the limit, so the limiter begins empty.
         let pace = limit.filter(|(before, _)| before.0 > 0).map(|(_, pace)| pace);
         self.limit = rate.map(|rate| (rate, pace.unwrap_or_else(|| SendPace::begin(now, 0))));
     }
 
-    /// A request goes there.
+    /// Counts a request sent to the target against its limit.
     pub fn request_sent(&mut self, now: Uptime) {
         if let Some((rate, pace)) = &mut self.limit {
             pace.sent(now, *rate);
         }
     }
 
-    /// The requests a second that this scheduler grants there, `None` for any number.
+    /// Returns the rate in requests per second that this scheduler may grant, `None` if there is no limit.
     pub fn rate(&self) -> Option<RequestRate> {
         self.limit.as_ref().map(|(rate, _)| *rate)
     }
 
-    /// Time until the limit that it names lets one more request pass, `None` where it does not at this scheduler.
+    /// Returns the time until the target's limit allows one more request, `None` if this scheduler has no share of
+    /// it.
     pub fn limit_wait(&self, now: Uptime) -> Option<Duration> {
         match &self.limit {
             Some((rate, pace)) => pace.wait(now, *rate),
@@ -221,12 +231,12 @@
         }
     }
 
-    /// What the target says of itself.
+    /// Returns the merged notices of the target instance.
     pub fn word(&self) -> &TargetWord {
         &self.word
     }
 
-    /// Whether one more request may go there; the reserve is kept free unless `top`.
+    /// Returns whether one more request may go to the target. The reserve is kept free unless `top` is set.
     pub fn has_room(&self, top: bool, reserve_percent: u32, now: Uptime) -> bool {
         if self.is_leaving() || self.access != VersionAccess::Open {
             return false;
@@ -235,30 +245,30 @@
             return false;
         }
         if self.ejection.is_ejected() {
-            // After the ejection one request at a time tries the target out.
+            // After the time of the ejection the target is tried with one request at a time.
             return self.ejection.admits(now) && self.in_flight == 0;
         }
         let reserve =
             if top { 0 } else { (self.slots * reserve_percent).div_ceil(100).min(self.slots - 1) };
-        self.in_flight + self.foreign(now) < self.slots - reserve
+        self.in_flight + self.external_load(now) < self.slots - reserve
     }
 
-    /// Whether the target takes new work at all.
+    /// Returns whether the target accepts new requests when it has free capacity.
     pub fn usable(&self, now: Uptime) -> bool {
         !self.is_leaving() && self.access == VersionAccess::Open && self.ejection.admits(now)
     }
 
-    /// Time until an ejected target is tried out again.
+    /// Returns the time until an ejected target may be tried again, `None` if it is not ejected or is leaving.
     pub fn back_after(&self, now: Uptime) -> Option<Duration> {
         self.ejection.time_left(now).filter(|_| !self.is_leaving())
     }
 
-    /// Whether the target is ejected for failures.
+    /// Returns whether the target is ejected.
     pub fn ejected(&self) -> bool {
         self.ejection.is_ejected()
     }
 
-    /// Estimated time of the request on this target, with its speed and prompt cache.
+    /// Returns the estimated time of the request on this target, by its speed and prompt cache.
     pub fn estimate(&self, request: &PermitRequest) -> WorkMicros {
         let cached = request.prefix.is_some_and(|prefix| self.prefixes.holds(prefix));
         let prompt = if cached {
@@ -266,42 +276,42 @@
         } else {
             request.prompt_work
         };
-        (prompt + request.output_work) * self.slowness / NORMAL
+        (prompt + request.output_work) * self.slowness / NORMAL_SLOWNESS
     }
 
-    /// Time until the prompts that were sent there are read.
+    /// Returns the estimated time until the target has read the prompts sent to it.
     pub fn prompt_backlog(&self, now: Uptime) -> Duration {
         self.prompts_until.saturating_sub(now)
     }
 
-    /// A prompt that takes so long to read goes there.
+    /// Adds a prompt that takes this time to read to the backlog.
     pub fn prompt_sent(&mut self, now: Uptime, time: WorkMicros) {
         let until = self.prompts_until.max(now) + Duration::from_micros(time);
         self.prompts_until = until.min(now + BACKLOG_LIMIT);
     }
 
-    /// Share of its requests that failed lately, in thousandths.
+    /// Returns the share of its recent requests that failed, in thousandths.
     pub fn failing(&self) -> u64 {
         self.failing
     }
 
-    /// Slowness in thousandths of the estimate.
+    /// Returns the ratio of measured to estimated time, in thousandths.
     pub fn slowness(&self) -> u64 {
         self.slowness
     }
 
-    /// A whole answer took this long for work that was estimated at normal speed.
+    /// Records a complete answer: `expected` is its estimated time at normal speed, `took` the measured time.
     pub fn succeeded(&mut self, expected: WorkMicros, took: Duration) {
         self.failing -= self.failing / FAILING_WEIGHT;
         self.ejection.succeeded();
-        let ratio = took.as_micros() as u64 * NORMAL / expected.max(1);
-        let ratio = ratio.clamp(NORMAL / 10, NORMAL * 20);
+        let ratio = took.as_micros() as u64 * NORMAL_SLOWNESS / expected.max(1);
+        let ratio = ratio.clamp(NORMAL_SLOWNESS / 10, NORMAL_SLOWNESS * 20);
         self.slowness = (self.slowness * (SLOWNESS_WEIGHT - 1) + ratio) / SLOWNESS_WEIGHT;
     }
 
-    /// The target failed a request; `may_eject` says whether it may be ejected for that.
+    /// Records a failed request; `may_eject` is whether the target may be ejected for it.
     pub fn failed(&mut self, now: Uptime, may_eject: bool) {
-        self.failing += (ALL_FAILING - self.failing) / FAILING_WEIGHT;
+        self.failing += (FULL_FAILURE_SHARE - self.failing) / FAILING_WEIGHT;
         self.ejection.failed(now, may_eject);
     }
 }
--- a/crates/sched/src/placement/trial.rs
+++ b/crates/sched/src/placement/trial.rs
@@ -1,13 +1,14 @@
-//! Which request goes to a version on trial, and to which of its targets?
+//! Decides which request goes to a version on trial, and to which of its targets.
 //!
-//! Inputs: the first waiting requests, the targets of the version, and the part that it may get
+//! Inputs: the first waiting requests, the targets of the version, and the share of requests that it may get
 //! ([`exposure`](crate::rollout::exposure)).
 //!
-//! The rule: a first attempt whose urgency had least of it goes to one of a few targets of the version, which change every
-//! [`TURN`] and are loaded as the others are on the mean: faults that show under load would not show at many targets with
-//! little to do, and one target would stand for itself alone.
+//! The rule: among first attempts, one whose urgency has had the least of the trial is chosen. It goes to one of a
+//! few targets of the version, which change every [`ROTATION_PERIOD`] and are loaded like the mean of the other
+//! targets. Spread over many targets with little load, faults that need load would not show; one target alone would
+//! not represent the version.
 //!
-//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: the node for the stage of the order.
+//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: the node for the stage of the rollout order.
 
 use std::time::Duration;
 
@@ -20,35 +21,35 @@
 use crate::rollout::exposure::{RolloutLimits, TrialShare};
 use crate::rollout::versions::{PoolVersions, VersionAccess};
 
-/// Time for which the same targets of the version are taken first.
-const TURN: Duration = Duration::from_secs(1);
-/// Least number of requests at the same time at a target on trial.
-const LEAST_LOAD: u32 = 2;
+/// Time for which the same targets of the version are preferred.
+const ROTATION_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum concurrency that a target on trial is loaded to.
+const MIN_TRIAL_LOAD: u32 = 2;
 
 impl PoolScheduler {
-    /// Keeps to what the versions of its targets may get.
+    /// Applies the access of each target's version.
     pub fn keep_versions(&mut self, versions: &PoolVersions) {
         for state in self.targets.values_mut() {
             state.access = versions.access(&state.version);
         }
     }
 
-    /// A version is on trial from now on; `is_first` says whether this scheduler has been asked since the order.
+    /// Begins the trial of a version; `is_first` is whether this scheduler has been asked since the rollout order.
     pub fn begin_trial(&mut self, limits: RolloutLimits, is_first: bool) {
         self.trial.get_or_insert_with(|| TrialShare::new(limits, is_first));
     }
 
-    /// No version is on trial any more.
+    /// Ends the trial of a version.
     pub fn end_trial(&mut self) {
         self.trial = None;
     }
 
-    /// What was granted of the version on trial, `None` where none is.
+    /// Returns the grants to the version on trial, `None` if no version is on trial.
     pub fn trial(&self) -> Option<&TrialShare> {
         self.trial.as_ref()
     }
 
-    /// Targets that do not leave, of a version and of others.
+    /// Returns the numbers of targets that are not leaving, of a version and of all others.
     pub fn targets_by_version(&self, version: &TargetVersion) -> (usize, usize) {
         let stay = self.targets.values().filter(|state| !state.is_leaving());
         let (of_version, others): (Vec<_>, Vec<_>) =
@@ -56,52 +57,52 @@
         (of_version.len(), others.len())
     }
 
-    /// Permits in use at targets of other versions.
+    /// Returns the number of permits in use at targets of other versions.
     pub fn in_flight_beside(&self, version: &TargetVersion) -> usize {
         let known = self.permits.values().filter_map(|permit| self.targets.get(&permit.target.id));
         known.filter(|state| state.version.as_ref() != Some(version)).count()
     }
 
-    /// The next request that goes to the version on trial.
+    /// Returns the permit and the target of the next request for the version on trial.
     pub(super) fn next_trial(&self, now: Uptime) -> Option<(PermitId, TargetId)> {
         let trial = self.trial.as_ref()?;
-        let may_go = |waiting: &&WaitingRequest| {
+        let is_candidate = |waiting: &&WaitingRequest| {
             let request = &waiting.request;
             let is_first = request.permit.attempt == 0 && request.avoid.is_empty();
             is_first && trial.admits(request.objectives.urgency, self.part)
         };
-        let heads = self.queues.heads(HEADS_TRIED).filter(may_go);
+        let heads = self.queues.heads(HEADS_TRIED).filter(is_candidate);
         let waiting = heads.min_by_key(|waiting| trial.had(waiting.request.objectives.urgency))?;
         let target = self.trial_target(now, waiting)?;
         Some((waiting.request.permit, target))
     }
 
     fn trial_target(&self, now: Uptime, waiting: &WaitingRequest) -> Option<TargetId> {
-        let load = self.usual_load();
+        let load = self.mean_open_load();
         let on_trial =
             self.targets.iter().filter(|(_, state)| state.access == VersionAccess::Trial);
         let on_trial: Vec<(&TargetId, &TargetState)> = on_trial.collect();
-        let turn = now.as_millis() / TURN.as_millis();
-        let first = (turn % on_trial.len().max(1) as u128) as usize;
-        let in_turn = on_trial[first..].iter().chain(&on_trial[..first]);
-        let mut fit = in_turn.filter(|(id, state)| {
-            has_trial_room(state, load, now) && eligible(now, waiting, id, state)
+        let rotation = now.as_millis() / ROTATION_PERIOD.as_millis();
+        let first = (rotation % on_trial.len().max(1) as u128) as usize;
+        let rotated = on_trial[first..].iter().chain(&on_trial[..first]);
+        let mut with_capacity = rotated.filter(|(id, state)| {
+            has_trial_capacity(state, load, now) && eligible(now, waiting, id, state)
         });
-        fit.next().map(|(id, _)| (*id).clone())
+        with_capacity.next().map(|(id, _)| (*id).clone())
     }
 
-    /// Requests at a target of the others on the mean.
-    fn usual_load(&self) -> u32 {
+    /// Returns the mean number of requests in flight at the targets that are open, at least [`MIN_TRIAL_LOAD`].
+    fn mean_open_load(&self) -> u32 {
         let open = self.targets.values().filter(|state| state.access == VersionAccess::Open);
         let (targets, in_flight) =
             open.fold((0, 0), |(targets, all), state| (targets + 1, all + state.in_flight));
-        in_flight.div_ceil(targets.max(1)).max(LEAST_LOAD)
+        in_flight.div_ceil(targets.max(1)).max(MIN_TRIAL_LOAD)
     }
 }
 
-/// Whether one more request may go to a target while its version is on trial, where so many at the same time are usual.
-fn has_trial_room(state: &TargetState, usual_load: u32, now: Uptime) -> bool {
+/// Returns whether one more request may go to a target on trial, given the mean load of the open targets.
+fn has_trial_capacity(state: &TargetState, mean_open_load: u32, now: Uptime) -> bool {
     let is_limited = state.limit_wait(now) != Some(Duration::ZERO);
-    let is_shut = state.is_leaving() || state.ejected() || is_limited;
-    !is_shut && state.in_flight + state.foreign(now) < usual_load.min(state.slots)
+    let is_closed = state.is_leaving() || state.ejected() || is_limited;
+    !is_closed && state.in_flight + state.external_load(now) < mean_open_load.min(state.slots)
 }
--- a/crates/sched/src/target_gate.rs
+++ b/crates/sched/src/target_gate.rs
@@ -1,11 +1,13 @@
-//! May a request go to its target, by what the target has said to this daemon?
+//! Decides whether a request may be sent to its target, by the notices that this daemon has received from the target.
 //!
-//! Inputs: the heads of the answers that came here. The rule: asked after the last wait and before the first byte, whoever
-//! granted the target and however long ago, the gate stops what the target's own word excludes. A target that limits its
-//! rate gets no more than the whole limit from this daemon alone; that all daemons together send no more is the
-//! scheduler's part ([`pacing`](crate::placement::pacing)).
+//! Inputs: the notices in the response headers that this daemon received. The rule: the gate is checked after the
+//! last wait and before the first byte, no matter which scheduler granted the target and how long ago. It stops
+//! requests that the target's notices exclude. A target that limits its rate gets no more than the whole limit from
+//! this daemon alone; the scheduler ensures that all daemons together send no more
+//! ([`pacing`](crate::placement::pacing)).
 //!
-//! Owns: the word of each life of a target that has answered here. Relies on: [`TargetWord`] for what counts.
+//! Owns: the notices of each target instance that has answered this daemon. Relies on: [`TargetWord`] for which
+//! notices hold.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,81 +17,81 @@
 use crate::placement::notice::{HeardNotice, TargetWord};
 use crate::placement::pacing::SendPace;
 
-/// Requests beyond the scheduler's burst that may arrive at once: grants bunch on their way.
-const SPARE: u64 = 1;
-/// Least time between two reports of the same word.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-/// Time for which the word of a life is kept of which nothing is heard.
-const KEEP: Duration = Duration::from_secs(3_600);
+/// Requests allowed at once beyond the scheduler's burst, since grants can bunch up on their way.
+const EXTRA_BURST: u64 = 1;
+/// Minimum interval between reports of unchanged notices.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which the record of a target instance is kept without a new notice.
+const RECORD_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// What is kept of one life.
+/// The notices of one target instance, and what was sent and reported of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct GateRecord {
     word: TargetWord,
-    /// When it was heard of last.
-    heard: Uptime,
-    /// Whether the operators know that it says what cannot be read.
-    noted_unreadable: bool,
-    /// What has gone there since it named a limit.
+    /// When its latest notice was received.
+    last_notice: Uptime,
+    /// Whether an unreadable notice has been reported to the operators.
+    unreadable_reported: bool,
+    /// Limiter of the requests sent to it, `None` if it states no limit.
     pace: Option<SendPace>,
-    /// When others were told of it last.
-    told: Option<Uptime>,
+    /// When its notices were last reported to other daemons.
+    last_report: Option<Uptime>,
 }
 
 /// Why the gate stops a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateStop {
-    /// The target leaves.
+    /// The target is leaving.
     Leaving,
-    /// It wants nothing from this daemon now.
+    /// The target currently requires rest from this daemon.
     Resting,
-    /// As many have gone there as the target takes.
+    /// The limit of the target allows no further request now.
     Limited,
 }
 
-/// What a head has changed.
+/// The effect of a received notice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NoticeNews {
-    /// What the life says now.
+    /// The merged notices of the target instance.
     pub report: NoticeReport,
-    /// Whether that differs from before.
+    /// Whether the notice changed them.
     pub changed: bool,
-    /// Whether others are to be told.
+    /// Whether the report is to be sent to other daemons.
     pub tell: bool,
-    /// Whether it said something that cannot be read, for the first time.
+    /// Whether this is the first unreadable notice of the target instance.
     pub unreadable: bool,
 }
 
-/// What the targets have said to this daemon.
+/// The notices of target instances that this daemon has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TargetGate {
     lives: BTreeMap<TargetLife, GateRecord>,
 }
 
 impl TargetGate {
-    /// Takes the head of an answer in that came now.
-    pub fn heard(&mut self, now: Uptime, life: &TargetLife, heard: &HeardNotice) -> NoticeNews {
+    /// Applies a notice that has just arrived in a response header.
+    pub fn heard(&mut self, now: Uptime, life: &TargetLife, received: &HeardNotice) -> NoticeNews {
         if !self.lives.contains_key(life) {
-            self.lives.retain(|_, record| now < record.heard + KEEP);
+            self.lives.retain(|_, record| now < record.last_notice + RECORD_RETENTION);
         }
         let record = self.lives.entry(life.clone()).or_default();
-        record.heard = now;
-        let changed = record.word.heard(now, heard);
+        record.last_notice = now;
+        let changed = record.word.heard(now, received);
         record.pace = record
             .word
             .rate()
-            .map(|_| record.pace.take().unwrap_or_else(|| SendPace::begin(now, SPARE)));
-        let due = record.told.is_none_or(|told| now >= told + TELL_EVERY);
-        let tell = changed || due && record.word.is_worth_telling(now);
+            .map(|_| record.pace.take().unwrap_or_else(|| SendPace::begin(now, EXTRA_BURST)));
+        let due = record.last_report.is_none_or(|reported| now >= reported + REPORT_INTERVAL);
+        let tell = changed || due && record.word.needs_report(now);
         if tell {
-            record.told = Some(now);
+            record.last_report = Some(now);
         }
         let unreadable =
-            heard.notice.unreadable && !std::mem::replace(&mut record.noted_unreadable, true);
+            received.notice.unreadable && !std::mem::replace(&mut record.unreadable_reported, true);
         NoticeNews { report: record.word.report(now, life), changed, tell, unreadable }
     }
 
-    /// What would stop a request now.
+    /// Returns why a request would be stopped now, `None` if it may be sent.
     pub fn stop(&mut self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
         let record = self.lives.get_mut(life)?;
         if record.word.is_leaving() {
@@ -101,15 +103,15 @@
         let limit = record.word.rate().zip(record.pace.as_ref());
         match limit {
             Some((rate, pace)) if !pace.admits(now, rate) => {
-                // Whoever grants so much does not know the limit, and hears of it with the next answer.
-                record.told = None;
+                // The scheduler that granted this request does not know the limit; the next answer is reported to it.
+                record.last_report = None;
                 Some(GateStop::Limited)
             }
             _ => None,
         }
     }
 
-    /// Lets a request pass that is sent now, or says what stops it.
+    /// Counts a request that is sent now, or returns why it is stopped.
     pub fn pass(&mut self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
         if let Some(stop) = self.stop(now, life) {
             return Some(stop);
--- a/crates/sched/src/targets.rs
+++ b/crates/sched/src/targets.rs
@@ -1,11 +1,11 @@
-//! What a scheduler knows of its targets: their entries, whether they leave, their reports, and what they say.
+//! Applies what a scheduler learns of its targets: list entries, departures, reports and notices.
 //!
-//! What is learned of a target is learned of one life. Where its entry tells a later start, the target
-//! begins anew: it has none of the permits in use, and nothing is believed of it. Those permits stay
-//! until their entries give them back, and then free no place.
+//! Everything known of a target belongs to one target instance. If its list entry states a later start, the
+//! state of the target is reset: it has no permits in use and no estimates of its own. Permits of the earlier
+//! instance remain until their entry daemons return them, and then free no slot.
 //!
 //! Owns: nothing; these are methods of [`PoolScheduler`]. Relies on: the node's view of the targets, which
-//! leaves out late entries of earlier lives.
+//! omits late list entries of earlier instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 use crate::pool::{PoolOptions, PoolScheduler, SchedulerAction};
 
 impl PoolScheduler {
-    /// Takes a new configuration over. What is learned of targets that stay is kept.
+    /// Applies a new configuration. What is learned of targets that stay in the pool is kept.
     pub fn configure(&mut self, options: PoolOptions, pool: &TargetPool) {
         self.options = options;
         self.targets.retain(|id, _| pool.targets.contains_key(id));
@@ -27,21 +27,22 @@
             self.configure_target(entry);
         }
         for (id, state) in &mut self.targets {
-            let lives = self.permits.values().map(|permit| &permit.target);
-            let own = lives.filter(|life| life.id == *id && is_same(life, state));
-            state.in_flight = own.count() as u32;
+            let targets = self.permits.values().map(|permit| &permit.target);
+            let of_instance =
+                targets.filter(|target| target.id == *id && is_same_instance(target, state));
+            state.in_flight = of_instance.count() as u32;
         }
     }
 
     fn configure_target(&mut self, entry: &TargetEntry) {
         let known = self.targets.get(&entry.id).map(|state| state.start);
         match known.map(|known| LifeOrder::of(entry.start, known)) {
-            // The entry is older than what is known.
+            // The list entry is of an earlier instance than the known one.
             Some(LifeOrder::Earlier) => return,
             Some(LifeOrder::Later) => drop(self.targets.remove(&entry.id)),
-            Some(LifeOrder::Same) | None => self.start_told(entry),
+            Some(LifeOrder::Same) | None => self.fill_in_start(entry),
         }
-        let away = self.away.contains(&entry.vm);
+        let is_leaving = self.away.contains(&entry.vm);
         let state = self.targets.entry(entry.id.clone()).or_insert_with(|| {
             TargetState::new(entry.vm.clone(), entry.slots).with_pace(self.pace.of_new_target())
         });
@@ -50,24 +51,24 @@
         state.version.clone_from(&entry.version);
         state.data_centre.clone_from(&entry.data_centre);
         state.vm.clone_from(&entry.vm);
-        state.leaving = away;
+        state.leaving = is_leaving;
     }
 
-    /// The start of a target is stated. Permits from before were given for the same life.
-    fn start_told(&mut self, entry: &TargetEntry) {
+    /// Records the start of a target's instance in permits that were granted before the start was known.
+    fn fill_in_start(&mut self, entry: &TargetEntry) {
         let permits = self.permits.values_mut().map(|permit| &mut permit.target);
         for life in permits.filter(|life| life.id == entry.id && life.start.is_none()) {
             life.start = entry.start;
         }
     }
 
-    /// The life of a target that is known.
+    /// Returns the known instance of a target.
     pub(crate) fn life_of(&self, target: &TargetId) -> TargetLife {
         let start = self.targets.get(target).and_then(|state| state.start);
         TargetLife { id: target.clone(), start }
     }
 
-    /// Names the VMs that leave or are gone; their targets get no new permits.
+    /// Sets the VMs that are leaving or unlisted; their targets get no new permits.
     pub fn set_away(&mut self, away: BTreeSet<VmId>) {
         for state in self.targets.values_mut() {
             state.leaving = away.contains(&state.vm);
@@ -75,12 +76,12 @@
         self.away = away;
     }
 
-    /// Names the data centres of the entries, so that near targets go first among equals.
+    /// Sets the data centres of the entry daemons, so that local targets are preferred among equals.
     pub fn set_places(&mut self, places: BTreeMap<VmId, String>) {
         self.places = places;
     }
 
-    /// Takes a target's report in. That of another life than is known says nothing.
+    /// Applies a target's report. A report of another instance than the known one is ignored.
     pub fn reported(
         &mut self,
         now: Uptime,
@@ -95,23 +96,24 @@
         actions
     }
 
-    /// Takes in what an entry has heard of a target. What another life said says nothing.
+    /// Applies an entry daemon's report of a target's notices. Notices of another instance than the known one are
+    /// ignored.
     pub fn noticed(
         &mut self,
         now: Uptime,
         from: &VmId,
         report: &NoticeReport,
     ) -> Vec<SchedulerAction> {
-        let part = self.part;
+        let rate_share = self.part;
         if let Some(state) = state_of(&mut self.targets, &report.life) {
-            state.noticed(now, from, report, part);
+            state.noticed(now, from, report, rate_share);
         }
         let mut actions = Vec::new();
         self.grant(now, &mut actions);
         actions
     }
 
-    /// Grants this part of what limited targets take.
+    /// Sets this scheduler's share of the limits of its targets.
     pub fn set_part(&mut self, now: Uptime, part: RatePart) {
         if self.part == part {
             return;
@@ -120,21 +122,21 @@
         self.targets.values_mut().for_each(|state| state.keep_part(now, part));
     }
 
-    /// Known targets.
+    /// Returns the known targets.
     pub fn targets(&self) -> &BTreeMap<TargetId, TargetState> {
         &self.targets
     }
 }
 
-/// What is known of a life of a target, `None` where another life is known.
+/// Returns the state of a target instance, `None` if another instance is known.
 pub(crate) fn state_of<'a>(
     targets: &'a mut BTreeMap<TargetId, TargetState>,
     life: &TargetLife,
 ) -> Option<&'a mut TargetState> {
-    targets.get_mut(&life.id).filter(|state| is_same(life, state))
+    targets.get_mut(&life.id).filter(|state| is_same_instance(life, state))
 }
 
-/// Whether a state is known of this life of its target.
-fn is_same(life: &TargetLife, state: &TargetState) -> bool {
+/// Returns whether a state belongs to this instance of its target.
+fn is_same_instance(life: &TargetLife, state: &TargetState) -> bool {
     LifeOrder::of(life.start, state.start) == LifeOrder::Same
 }
--- a/crates/sched/tests/life_reports.rs
+++ b/crates/sched/tests/life_reports.rs
@@ -67,10 +67,10 @@
     let mut scheduler = scheduler(Some(2));
     for start in [1, 3] {
         scheduler.reported(NOW, &life(start), &report(2, &[(9, 7)]));
-        assert_eq!(scheduler.targets()["t"].foreign(NOW), 0);
+        assert_eq!(scheduler.targets()["t"].external_load(NOW), 0);
     }
     scheduler.reported(NOW, &life(2), &report(2, &[]));
-    assert_eq!(scheduler.targets()["t"].foreign(NOW), 2);
+    assert_eq!(scheduler.targets()["t"].external_load(NOW), 2);
 }
 
 /// The numbers of the later life begin at 1 and were passed over as seen, up to the latest of the
