--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -168,7 +168,7 @@
         TargetFit { rests, stalls, late, penalized: time + penalty, time }
     }
 
-    /// Returns whether prompt_delay prompts for `prompt_delay` makes the streams of a target pause for too long. A
+    /// Returns whether reading prompts for `prompt_delay` makes the streams of a target pause for too long. A
     /// target that recently paused for too long is expected to do so again, unless it has little to read.
     fn would_stall(
         &self,
@@ -203,8 +203,8 @@
         time_left: WorkMicros,
     ) -> bool {
         self.targets.iter().any(|(id, state)| {
-            let usable = state.usable(now) && eligible(now, waiting, id, state);
-            usable && with_margin(self.evaluate(now, waiting, state).time) <= time_left
+            let suitable = state.usable(now) && eligible(now, waiting, id, state);
+            suitable && with_margin(self.evaluate(now, waiting, state).time) <= time_left
         })
     }
 
@@ -212,8 +212,8 @@
     fn has_target_without_stalls(&self, now: Uptime, waiting: &WaitingRequest) -> bool {
         let limit = waiting.request.objectives.pause_limit;
         self.targets.iter().any(|(id, state)| {
-            let usable = state.usable(now) && eligible(now, waiting, id, state);
-            usable && state.pace.longest_pause(now) <= limit
+            let suitable = state.usable(now) && eligible(now, waiting, id, state);
+            suitable && state.pace.longest_pause(now) <= limit
         })
     }
 }
--- a/crates/sched/tests/late_schedulers.rs
+++ b/crates/sched/tests/late_schedulers.rs
@@ -1,4 +1,4 @@
-//! An entry whose scheduler answers each ask, and each a little too late.
+//! An entry daemon whose scheduler answers every permit request, but each answer a little too late.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,29 +9,33 @@
 use curlewcleat_sched::{EntryAction, EntryOptions, EntryRequests, RequestSpec};
 use rstest::rstest;
 
-const LIMIT: Duration = Duration::from_millis(30);
+/// Time within which a scheduler has to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
+/// Time between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(5);
-/// A request comes every so often.
-const EVERY: Duration = Duration::from_millis(100);
+/// Interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const BEGIN: Duration = Duration::from_secs(100);
-const LASTS: Duration = Duration::from_secs(10);
-const BEAT: Duration = Duration::from_millis(500);
+/// Duration of the simulation.
+const DURATION: Duration = Duration::from_secs(10);
+/// Interval between two heartbeats of the first scheduler.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What became of the requests.
+/// Outcomes of the requests in one second.
 #[derive(Debug, Default)]
 struct AnswerCount {
     dispatched: usize,
     refused: usize,
-    /// Asks of the first scheduler and of the next one.
-    asked: [usize; 2],
+    /// Permit requests sent to the first scheduler and to the next one.
+    requested: [usize; 2],
 }
 
-/// An answer on its way: when it arrives, who sent it, and what it says.
+/// An answer under way: its arrival time, its scheduler, its permit and its decision.
 type SentAnswer = (Duration, &'static str, PermitId, PermitDecision);
 
-/// An entry and two schedulers. The first one answers after a time; the next one refuses at once, since it does not keep the
-/// rates.
-struct LatePlay {
+/// An entry daemon and two schedulers. The first one answers after a delay; the next one refuses at once, since
+/// it does not hold the rates.
+struct LateSimulation {
     now: Duration,
     entry: EntryRequests,
     answers: VecDeque<SentAnswer>,
@@ -42,15 +46,15 @@
     ["s0", "s1"].map(|vm| DaemonId { vm: vm.to_string(), incarnation: 1 }).to_vec()
 }
 
-impl LatePlay {
-    fn new() -> LatePlay {
+impl LateSimulation {
+    fn new() -> LateSimulation {
         let options = EntryOptions {
-            answer_timeout: LIMIT,
+            answer_timeout: ANSWER_TIMEOUT,
             answer_tries: 1,
             avoid_for: Duration::from_secs(3),
             ..EntryOptions::default()
         };
-        LatePlay {
+        LateSimulation {
             now: BEGIN,
             entry: EntryRequests::new(options),
             answers: VecDeque::new(),
@@ -73,29 +77,29 @@
     fn answers_arrive(&mut self) -> Vec<EntryAction> {
         let now = self.now;
         let mut actions = Vec::new();
-        while let Some(at) = self.answers.iter().position(|(due, ..)| *due <= now) {
-            let Some((_, from, permit, decision)) = self.answers.remove(at) else { break };
+        while let Some(index) = self.answers.iter().position(|(due, ..)| *due <= now) {
+            let Some((_, from, permit, decision)) = self.answers.remove(index) else { break };
             let answer = PermitAnswer { permit, pool: "p".to_string(), decision };
             actions.extend(self.entry.permit_answered(now, &from.to_string(), answer, &order));
         }
         actions
     }
 
-    /// Sends what the entry asks for; the first scheduler takes this long to answer.
-    fn perform(&mut self, actions: Vec<EntryAction>, takes: Option<Duration>) {
+    /// Performs the actions of the entry daemon. The first scheduler answers after `delay`, or not at all.
+    fn perform(&mut self, actions: Vec<EntryAction>, delay: Option<Duration>) {
         for action in actions {
             match action {
-                EntryAction::RequestPermit(vm, ask) if vm == "s0" => {
-                    self.count.asked[0] += 1;
+                EntryAction::RequestPermit(vm, request) if vm == "s0" => {
+                    self.count.requested[0] += 1;
                     let granted = PermitDecision::Granted("t".to_string());
-                    let due = takes.map(|takes| self.now + takes);
-                    self.answers.extend(due.map(|due| (due, "s0", ask.permit, granted)));
+                    let due = delay.map(|delay| self.now + delay);
+                    self.answers.extend(due.map(|due| (due, "s0", request.permit, granted)));
                 }
-                EntryAction::RequestPermit(_, ask) => {
-                    self.count.asked[1] += 1;
+                EntryAction::RequestPermit(_, request) => {
+                    self.count.requested[1] += 1;
                     let refusal = Refusal::not_run(RefusalReason::RateUnknown, None);
                     let refused = PermitDecision::Refused(refusal);
-                    self.answers.push_back((self.now, "s1", ask.permit, refused));
+                    self.answers.push_back((self.now, "s1", request.permit, refused));
                 }
                 EntryAction::Dispatch { .. } => self.count.dispatched += 1,
                 EntryAction::Refuse(..) => self.count.refused += 1,
@@ -105,60 +109,62 @@
     }
 }
 
-/// Plays ten seconds, by what the first scheduler takes to answer; gives the counts of each.
-fn play(takes: impl Fn(Duration) -> Option<Duration>) -> Vec<AnswerCount> {
-    let mut play = LatePlay::new();
+/// Runs ten seconds, where `delay` gives the time that the first scheduler takes to answer; returns the counts of
+/// each second.
+fn simulate(delay: impl Fn(Duration) -> Option<Duration>) -> Vec<AnswerCount> {
+    let mut simulation = LateSimulation::new();
     let mut counts = Vec::new();
-    let mut asked = 0;
-    while play.now < BEGIN + LASTS {
-        play.now += STEP;
-        let passed = play.now - BEGIN;
-        let mut actions = play.entry.tick(play.now, &order);
-        if passed.as_millis().is_multiple_of(BEAT.as_millis()) {
-            play.entry.heartbeat_received(play.now, &"s0".to_string());
+    let mut requested = 0;
+    while simulation.now < BEGIN + DURATION {
+        simulation.now += STEP;
+        let passed = simulation.now - BEGIN;
+        let mut actions = simulation.entry.tick(simulation.now, &order);
+        if passed.as_millis().is_multiple_of(HEARTBEAT_INTERVAL.as_millis()) {
+            simulation.entry.heartbeat_received(simulation.now, &"s0".to_string());
         }
-        if passed >= EVERY * asked {
-            asked += 1;
-            actions.extend(play.admit(asked));
+        if passed >= REQUEST_INTERVAL * requested {
+            requested += 1;
+            actions.extend(simulation.admit(requested));
         }
-        actions.extend(play.answers_arrive());
-        play.perform(actions, takes(passed));
+        actions.extend(simulation.answers_arrive());
+        simulation.perform(actions, delay(passed));
         if passed.as_millis().is_multiple_of(1_000) {
-            counts.push(std::mem::take(&mut play.count));
+            counts.push(std::mem::take(&mut simulation.count));
         }
     }
     counts
 }
 
-/// Passed over by all entries for each late answer, a scheduler was kept late for good by what that cost.
+/// All entry daemons skipped a scheduler for each late answer, and the cost of that kept the scheduler late
+/// permanently.
 #[rstest]
 #[case::a_little(Duration::from_millis(40))]
 #[case::several_times(Duration::from_millis(150))]
-fn scheduler_that_answers_late_is_waited_for(#[case] takes: Duration) {
-    let counts = play(|_| Some(takes));
+fn late_scheduler_is_not_skipped(#[case] delay: Duration) {
+    let counts = simulate(|_| Some(delay));
     for count in &counts[1..] {
-        assert_eq!((count.refused, count.asked[1]), (0, 0), "{counts:?}");
+        assert_eq!((count.refused, count.requested[1]), (0, 0), "{counts:?}");
         assert!(count.dispatched >= 9, "{counts:?}");
     }
 }
 
-/// One that does not answer at all is passed over as soon as ever.
+/// A scheduler that does not answer at all is still skipped after its first missed answer.
 #[test]
-fn scheduler_that_does_not_answer_is_passed_over() {
-    let counts = play(|_| None);
+fn unresponsive_scheduler_is_skipped() {
+    let counts = simulate(|_| None);
     for count in &counts[1..] {
-        assert!(count.asked[1] >= 9, "{counts:?}");
+        assert!(count.requested[1] >= 9, "{counts:?}");
     }
 }
 
-/// Once its answers come in time again, and then not at all, it is waited for no longer than before.
+/// A scheduler that answered late, then in time and then not at all is skipped as soon as one that was never late.
 #[test]
-fn patience_ends_with_late_answers() {
-    let counts = play(|passed| match passed.as_secs() {
+fn longer_timeout_ends_after_answers_in_time() {
+    let counts = simulate(|passed| match passed.as_secs() {
         0..=1 => Some(Duration::from_millis(150)),
         2..=7 => Some(Duration::from_millis(5)),
         _ => None,
     });
     let last = counts.last().expect("a second");
-    assert!(last.asked[1] >= 9, "{counts:?}");
+    assert!(last.requested[1] >= 9, "{counts:?}");
 }
--- a/crates/sched/tests/life_reports.rs
+++ b/crates/sched/tests/life_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of a target that starts again: those of another life say nothing, and numbers begin anew.
+//! Reports of a restarted target: reports of another instance are ignored, and eviction numbers begin at 1 again.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     DaemonId { vm: "e".to_string(), incarnation: 1 }
 }
 
-/// A scheduler with one target.
+/// Returns a scheduler with one target.
 fn scheduler(start: Option<u64>) -> PoolScheduler {
     let mut scheduler = PoolScheduler::new(POOL.to_string(), PoolOptions::default());
     configure(&mut scheduler, start);
@@ -35,8 +35,8 @@
     scheduler.configure(PoolOptions::default(), &pool);
 }
 
-/// A request whose prompt begins with prefix 7.
-fn ask(number: u128) -> PermitRequest {
+/// Returns a permit request whose prompt begins with prefix 7.
+fn permit_request(number: u128) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt: 0 },
         pool: POOL.to_string(),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn report_of_another_life_says_nothing() {
+fn report_of_another_instance_is_ignored() {
     let mut scheduler = scheduler(Some(2));
     for start in [1, 3] {
         scheduler.reported(NOW, &life(start), &report(2, &[(9, 7)]));
@@ -73,33 +73,33 @@
     assert_eq!(scheduler.targets()["t"].external_load(NOW), 2);
 }
 
-/// The numbers of the later life begin at 1 and were passed over as seen, up to the latest of the
-/// earlier life: evictions were not noticed.
+/// Eviction numbers of a new instance begin at 1. They were skipped as already applied up to the latest
+/// number of the earlier instance, so that evictions were missed.
 #[test]
-fn counts_that_begin_anew_are_not_taken_for_old_ones() {
+fn evictions_of_a_new_instance_are_not_skipped_as_applied() {
     let mut scheduler = scheduler(Some(1));
     scheduler.reported(NOW, &life(1), &report(0, &[(40, 1)]));
     configure(&mut scheduler, Some(2));
     scheduler.reported(NOW, &life(2), &report(0, &[(1, 1)]));
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     assert!(scheduler.targets()["t"].prefixes.holds(7));
     scheduler.reported(NOW, &life(2), &report(0, &[(1, 1), (2, 7)]));
     assert!(!scheduler.targets()["t"].prefixes.holds(7));
 }
 
-/// A target that tells no start began anew. Its numbers went back from 40 to 1, and all of its evictions
-/// were passed over as seen until they had reached 40 again.
+/// A target that reports no start restarted. Its eviction numbers went back from 40 to 1, and all evictions
+/// were skipped as already applied until the numbers had reached 40 again.
 #[test]
-fn numbers_that_go_back_without_a_start_forget_everything() {
+fn eviction_numbers_that_go_back_clear_the_cache_of_a_target_without_start() {
     let mut scheduler = scheduler(None);
     let target = TargetLife { id: "t".to_string(), start: None };
     scheduler.reported(NOW, &target, &report(0, &[(40, 1)]));
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     scheduler.reported(NOW, &target, &report(0, &[]));
     assert!(scheduler.targets()["t"].prefixes.holds(7), "nothing was evicted");
     scheduler.reported(NOW, &target, &report(0, &[(1, 1)]));
     assert!(!scheduler.targets()["t"].prefixes.holds(7));
-    scheduler.request_permit(NOW, entry(), ask(2));
+    scheduler.request_permit(NOW, entry(), permit_request(2));
     scheduler.reported(NOW, &target, &report(0, &[(1, 1)]));
     assert!(scheduler.targets()["t"].prefixes.holds(7), "the same report once more");
     scheduler.reported(NOW, &target, &report(0, &[(1, 1), (2, 7)]));
--- a/crates/sched/tests/lives.rs
+++ b/crates/sched/tests/lives.rs
@@ -1,4 +1,5 @@
-//! A target that starts again under its id: its scheduler knows nothing of the later life but its entry.
+//! A target that restarts under its id: its scheduler keeps nothing of the earlier instance, and knows only the
+//! list entry of the new one.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
     DaemonId { vm: "e".to_string(), incarnation: 1 }
 }
 
-/// A pool of targets with the same slots, by id and start.
+/// Returns a pool of targets with the same number of slots, by id and start.
 fn pool(targets: &[(&str, Option<u64>)], slots: u32) -> TargetPool {
     let entry = |(id, start): &(&str, Option<u64>)| {
         let entry = TargetEntry {
@@ -48,7 +49,7 @@
     scheduler.configure(options, &pool(targets, slots));
 }
 
-fn ask(number: u128) -> PermitRequest {
+fn permit_request(number: u128) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt: 0 },
         pool: POOL.to_string(),
@@ -64,7 +65,7 @@
     }
 }
 
-fn back(number: u128, end: AttemptEnd) -> PermitReturn {
+fn permit_return(number: u128, end: AttemptEnd) -> PermitReturn {
     let permit = PermitId { request: RequestId::from_u128(number), attempt: 0 };
     PermitReturn { permit, pool: POOL.to_string(), end }
 }
@@ -85,51 +86,55 @@
     })
 }
 
-/// Requests to the earlier life kept all places of the later one until they were given back, and then
-/// freed a place each that a request to the later life had.
+/// Permits of the earlier instance occupied all slots of the new one until they were returned, and then each
+/// freed a slot that a request to the new instance was using.
 #[test]
-fn permits_of_the_earlier_life_neither_keep_nor_free_a_place() {
+fn permits_of_the_earlier_instance_neither_occupy_nor_free_a_slot() {
     let mut scheduler = scheduler(&[("t", Some(1))], 2);
     for number in 1..=2 {
-        assert_eq!(granted(&scheduler.request_permit(NOW, entry(), ask(number))), [number]);
+        assert_eq!(
+            granted(&scheduler.request_permit(NOW, entry(), permit_request(number))),
+            [number]
+        );
     }
-    assert!(granted(&scheduler.request_permit(NOW, entry(), ask(3))).is_empty());
+    assert!(granted(&scheduler.request_permit(NOW, entry(), permit_request(3))).is_empty());
     configure(&mut scheduler, &[("t", Some(2))], 2);
     assert_eq!(scheduler.targets()["t"].in_flight, 0);
     assert_eq!(granted(&scheduler.tick(NOW)), [3]);
-    assert_eq!(granted(&scheduler.request_permit(NOW, entry(), ask(4))), [4]);
-    assert!(granted(&scheduler.request_permit(NOW, entry(), ask(5))).is_empty());
+    assert_eq!(granted(&scheduler.request_permit(NOW, entry(), permit_request(4))), [4]);
+    assert!(granted(&scheduler.request_permit(NOW, entry(), permit_request(5))).is_empty());
     for number in 1..=2 {
-        assert!(granted(&scheduler.give_back(NOW, &back(number, AttemptEnd::Failed))).is_empty());
+        assert!(granted(&scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed)))
+            .is_empty());
     }
     assert_eq!(scheduler.targets()["t"].in_flight, 2);
     configure(&mut scheduler, &[("t", Some(2))], 2);
-    assert_eq!(scheduler.targets()["t"].in_flight, 2, "the same entry once more");
-    assert_eq!(granted(&scheduler.give_back(NOW, &back(3, AttemptEnd::Unused))), [5]);
+    assert_eq!(scheduler.targets()["t"].in_flight, 2, "the same list entry again");
+    assert_eq!(granted(&scheduler.give_back(NOW, &permit_return(3, AttemptEnd::Unused))), [5]);
 }
 
 #[test]
-fn permit_of_a_daemon_that_is_gone_frees_no_place_of_the_later_life() {
+fn permit_of_a_removed_daemon_frees_no_slot_of_the_new_instance() {
     let mut scheduler = scheduler(&[("t", Some(1))], 1);
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     configure(&mut scheduler, &[("t", Some(2))], 1);
     let other = DaemonId { vm: "other".to_string(), incarnation: 1 };
-    assert_eq!(granted(&scheduler.request_permit(NOW, other.clone(), ask(2))), [2]);
+    assert_eq!(granted(&scheduler.request_permit(NOW, other.clone(), permit_request(2))), [2]);
     scheduler.entry_gone(NOW, &entry());
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
-    assert!(granted(&scheduler.request_permit(NOW, other, ask(3))).is_empty());
+    assert!(granted(&scheduler.request_permit(NOW, other, permit_request(3))).is_empty());
 }
 
 #[test]
-fn nothing_that_was_learned_of_the_earlier_life_holds_for_the_later_one() {
+fn new_instance_inherits_no_state_of_the_earlier_one() {
     let mut scheduler = scheduler(&[("t", Some(1)), ("u", Some(1))], 4);
     let unknown = scheduler.targets()["t"].clone();
-    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..ask(number) };
+    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     scheduler.request_permit(NOW, entry(), to_t(1));
-    scheduler.give_back(NOW, &back(1, AttemptEnd::Whole(MINUTE)));
+    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Whole(MINUTE)));
     for number in 2..=4 {
         scheduler.request_permit(NOW, entry(), to_t(number));
-        scheduler.give_back(NOW, &back(number, AttemptEnd::Failed));
+        scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed));
     }
     scheduler.set_away(["t".to_string()].into());
     let learned = &scheduler.targets()["t"];
@@ -137,18 +142,18 @@
     assert!(learned.slowness() > unknown.slowness() && learned.failing() > 0);
     configure(&mut scheduler, &[("t", Some(2)), ("u", Some(1))], 4);
     scheduler.set_away(Default::default());
-    let mut anew = unknown;
-    anew.start = Some(TargetStart(2));
-    assert_eq!(scheduler.targets()["t"], anew);
+    let mut expected = unknown;
+    expected.start = Some(TargetStart(2));
+    assert_eq!(scheduler.targets()["t"], expected);
 }
 
 #[test]
-fn prompts_and_pace_of_the_earlier_life_are_forgotten() {
+fn new_instance_inherits_no_prompt_backlog_or_pace() {
     let mut scheduler = scheduler(&[("t", Some(1)), ("u", Some(1))], 4);
-    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..ask(number) };
+    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     for number in 1..=8 {
         scheduler.request_permit(NOW, entry(), to_t(number));
-        scheduler.give_back(NOW, &back(number, streamed(900)));
+        scheduler.give_back(NOW, &permit_return(number, streamed(900)));
     }
     scheduler.request_permit(NOW, entry(), to_t(9));
     let learned = &scheduler.targets()["t"];
@@ -158,105 +163,105 @@
     let later = &scheduler.targets()["t"];
     assert_eq!(later.prompt_backlog(NOW), Duration::ZERO);
     assert_eq!(later.pace.longest_pause(NOW), Duration::ZERO);
-    // What the stream of the earlier life tells still holds for the pool, not for the target.
+    // A stream of the earlier instance updates the pace of the pool, but not that of the target.
     let before = later.clone();
-    scheduler.give_back(NOW, &back(9, streamed(900)));
+    scheduler.give_back(NOW, &permit_return(9, streamed(900)));
     assert_eq!(scheduler.targets()["t"], before);
 }
 
 #[test]
-fn failures_of_the_earlier_life_do_not_count_against_the_later_one() {
+fn failures_of_the_earlier_instance_do_not_count_against_the_new_one() {
     let mut scheduler = scheduler(&[("t", Some(1)), ("u", Some(1))], 4);
-    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..ask(number) };
+    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     for number in 1..=3 {
         scheduler.request_permit(NOW, entry(), to_t(number));
     }
     configure(&mut scheduler, &[("t", Some(2)), ("u", Some(1))], 4);
     for number in 1..=3 {
-        scheduler.give_back(NOW, &back(number, AttemptEnd::Failed));
+        scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed));
     }
     let later = &scheduler.targets()["t"];
     assert_eq!((later.ejected(), later.failing()), (false, 0));
 }
 
-/// A scheduler that is configured by an older view than it had.
+/// The scheduler is configured from an older list of the targets than it has already applied.
 #[test]
-fn entry_of_an_earlier_life_changes_nothing() {
+fn list_entry_of_an_earlier_instance_is_ignored() {
     let mut scheduler = scheduler(&[("t", Some(2))], 2);
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     let known = scheduler.targets()["t"].clone();
     configure(&mut scheduler, &[("t", Some(1))], 9);
     assert_eq!(scheduler.targets()["t"], known);
     assert_eq!(known.in_flight, 1);
 }
 
-/// Entries without a start: the id stands for the life, as before targets told their starts.
+/// List entries without a start: the id alone identifies the instance, so a missing start must not reset the target.
 #[rstest]
-#[case::never_told(None, None)]
-#[case::told_from_now_on(None, Some(1))]
-#[case::told_by_some_peers_only(Some(1), None)]
-fn entry_without_a_start_keeps_what_is_known(
+#[case::never_stated(None, None)]
+#[case::stated_later(None, Some(1))]
+#[case::stated_by_some_peers_only(Some(1), None)]
+fn list_entry_without_a_start_keeps_the_state(
     #[case] before: Option<u64>,
     #[case] after: Option<u64>,
 ) {
     let mut scheduler = scheduler(&[("t", before)], 1);
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     configure(&mut scheduler, &[("t", after)], 1);
     let kept = &scheduler.targets()["t"];
     assert_eq!((kept.in_flight, kept.prefixes.holds(7)), (1, true));
-    scheduler.give_back(NOW, &back(1, AttemptEnd::Failed));
+    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Failed));
     let kept = &scheduler.targets()["t"];
     assert_eq!((kept.in_flight, kept.failing() > 0), (0, true));
 }
 
-/// A permit from before the start was told belongs to the life whose start is told first.
+/// A permit that was granted before any start was stated belongs to the instance whose start is stated first.
 #[test]
-fn permit_from_before_the_start_was_told_ends_with_its_life() {
+fn permit_without_a_start_belongs_to_the_first_stated_instance() {
     let mut scheduler = scheduler(&[("t", None)], 1);
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     configure(&mut scheduler, &[("t", Some(1))], 1);
     configure(&mut scheduler, &[("t", Some(2))], 1);
     assert_eq!(scheduler.targets()["t"].in_flight, 0);
-    scheduler.request_permit(NOW, entry(), ask(2));
-    scheduler.give_back(NOW, &back(1, AttemptEnd::Unused));
+    scheduler.request_permit(NOW, entry(), permit_request(2));
+    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
 }
 
-/// Some daemons tell starts and others do not, and the target was out of sight in between.
+/// Some daemons state starts and others do not, and the target was unlisted in between.
 #[test]
-fn permit_of_a_life_whose_start_is_no_longer_told_frees_its_place_once() {
+fn permit_frees_its_slot_once_when_the_start_is_no_longer_stated() {
     let mut scheduler = scheduler(&[("t", Some(1))], 2);
-    scheduler.request_permit(NOW, entry(), ask(1));
+    scheduler.request_permit(NOW, entry(), permit_request(1));
     configure(&mut scheduler, &[], 2);
     configure(&mut scheduler, &[("t", None)], 2);
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
-    scheduler.request_permit(NOW, entry(), ask(2));
-    scheduler.give_back(NOW, &back(1, AttemptEnd::Unused));
+    scheduler.request_permit(NOW, entry(), permit_request(2));
+    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
 }
 
 #[test]
-fn held_permit_counts_for_the_life_that_is_known() {
+fn held_permit_counts_for_the_known_instance() {
     let mut scheduler = scheduler(&[("t", Some(2))], 1);
-    let held = PermitHeld { request: ask(1), target: "t".to_string() };
+    let held = PermitHeld { request: permit_request(1), target: "t".to_string() };
     scheduler.hold(NOW, entry(), held);
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
-    scheduler.give_back(NOW, &back(1, AttemptEnd::Unused));
+    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 0);
 }
 
-/// A request at a silent target asks for another one, after that target has started again.
+/// A request at a stalled target requests another one after the stalled target has restarted.
 #[test]
-fn silence_of_the_earlier_life_does_not_count_against_the_later_one() {
+fn stall_of_the_earlier_instance_does_not_count_against_the_new_one() {
     let mut scheduler = scheduler(&[("t", Some(1)), ("u", Some(1))], 4);
-    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..ask(number) };
+    let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     for number in 1..=3 {
         scheduler.request_permit(NOW, entry(), to_t(number));
     }
     configure(&mut scheduler, &[("t", Some(2)), ("u", Some(1))], 4);
     for number in 1..=3 {
         let permit = PermitId { request: RequestId::from_u128(number), attempt: 1 };
-        scheduler.request_permit(NOW, entry(), PermitRequest { permit, ..ask(number) });
+        scheduler.request_permit(NOW, entry(), PermitRequest { permit, ..permit_request(number) });
     }
     let later = &scheduler.targets()["t"];
     assert_eq!((later.ejected(), later.failing()), (false, 0));
--- a/crates/sched/tests/notices.rs
+++ b/crates/sched/tests/notices.rs
@@ -1,5 +1,6 @@
-//! What a target says of itself, and what a scheduler and a daemon's gate make of it, as sequences of events. An engine that
-//! named a limit of 1.8 requests a second got 23 in four seconds where 16 were allowed, since nothing kept to it.
+//! Notices that a target reports about itself, and how a scheduler and a daemon's gate apply them, as sequences of
+//! events. A target that stated a limit of 1.8 requests per second got 23 requests in 4 s where 16 were allowed,
+//! since the limit was not applied.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(20);
-/// Span in which the users count.
+/// Span over which requests are counted against a limit.
 const SPAN: Duration = Duration::from_secs(4);
 
 fn life(id: &str) -> TargetLife {
@@ -60,7 +61,7 @@
     scheduler
 }
 
-fn ask(number: u128, tier: u8) -> PermitRequest {
+fn permit_request(number: u128, tier: u8) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt: 0 },
         pool: "p".to_string(),
@@ -76,7 +77,7 @@
     }
 }
 
-/// The entry that heard.
+/// Returns the VM of the entry daemon that received the notices.
 fn vm() -> VmId {
     "e".to_string()
 }
@@ -92,7 +93,8 @@
     grants.map(|action| action.answer.permit.request.as_u128()).collect()
 }
 
-/// Times at which a scheduler with more than enough to do grants its target, where each answer comes at once.
+/// Returns the times at which a scheduler grants its target, with more requests than it can grant and instant
+/// answers.
 fn grants(scheduler: &mut PoolScheduler, from: Duration, time: Duration) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut now = from;
@@ -100,7 +102,7 @@
     while now < from + time {
         now += STEP;
         number += 1;
-        let mut actions = scheduler.request_permit(now, entry("e"), ask(number, 0));
+        let mut actions = scheduler.request_permit(now, entry("e"), permit_request(number, 0));
         actions.extend(scheduler.tick(now));
         while let Some(number) = granted(&actions).pop() {
             times.push(now);
@@ -123,7 +125,7 @@
     times.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// 1.2 times what the limit allows in a span, and five.
+/// Returns 1.2 times the requests that the limit allows in a span, plus five.
 fn allowed(per_second: f64) -> usize {
     (1.2 * per_second * SPAN.as_secs_f64()) as usize + 5
 }
@@ -132,7 +134,7 @@
 #[case::low(0.3)]
 #[case::of_the_report(1.8)]
 #[case::high(40.0)]
-fn scheduler_grants_what_the_target_takes_and_no_more(#[case] limit: f64) {
+fn scheduler_grants_the_limit_and_no_more(#[case] limit: f64) {
     let mut scheduler = scheduler(&["t"], 1_000);
     scheduler.noticed(SECOND, &vm(), &limited("t", limit));
     let times = grants(&mut scheduler, SECOND, SECOND * 60);
@@ -141,7 +143,7 @@
     assert!(times.len() >= least, "{} of {least}", times.len());
 }
 
-/// The limit rises, falls, is zero, and ends.
+/// The limit rises, falls, becomes zero, and ends.
 #[test]
 fn changes_of_the_limit_allow_no_burst() {
     let mut scheduler = scheduler(&["t"], 10_000);
@@ -159,24 +161,24 @@
     assert!(times.len() > 100, "{}", times.len());
 }
 
-/// A target that takes nothing is asked again, rarely.
+/// A target with a limit of zero is probed at a low rate.
 #[test]
-fn target_without_room_is_tried_out() {
+fn target_with_a_limit_of_zero_is_probed() {
     let mut scheduler = scheduler(&["t"], 10);
     scheduler.noticed(SECOND, &vm(), &limited("t", 0.0));
     let times = grants(&mut scheduler, SECOND, SECOND * 60);
     assert!((5..=7).contains(&times.len()), "{}", times.len());
 }
 
-/// Daemons are cut off from each other: each side's scheduler grants the part of the daemons that it reaches. One that is asked
-/// out of turn grants nothing.
+/// Daemons are cut off from each other: each side's scheduler grants the share of the daemons that it reaches. A
+/// daemon that is not the leader grants nothing.
 #[test]
-fn parts_add_up_to_the_limit() {
+fn shares_add_up_to_the_limit() {
     let limit = 10.0;
     let mut times = Vec::new();
-    for part in [leader(4, 7), leader(2, 7), leader(1, 7)] {
+    for share in [leader(4, 7), leader(2, 7), leader(1, 7)] {
         let mut scheduler = scheduler(&["t"], 1_000);
-        scheduler.set_part(SECOND, part);
+        scheduler.set_part(SECOND, share);
         scheduler.noticed(SECOND, &vm(), &limited("t", limit));
         times.extend(grants(&mut scheduler, SECOND, SECOND * 30));
     }
@@ -186,13 +188,13 @@
     scheduler.set_part(SECOND, RatePart { reached: 0, all: 1, turn: RateTurn::Deputy });
     scheduler.noticed(SECOND, &vm(), &limited("t", limit));
     assert_eq!(grants(&mut scheduler, SECOND, SECOND * 30), []);
-    // It comes to be asked first: what others let pass before is no credit of its own.
+    // It becomes the leader. What it did not grant before was granted by others, so it has no credit for a burst.
     scheduler.set_part(SECOND * 31, leader(7, 7));
     let times = grants(&mut scheduler, SECOND * 31, SECOND * 8);
     assert!(most_in_span(&times) <= allowed(limit) - 2, "{}", most_in_span(&times));
 }
 
-/// A higher tier gets what the limit lets pass.
+/// A higher tier has priority within the limit.
 #[test]
 fn lower_tier_does_not_use_up_the_limit() {
     let mut scheduler = scheduler(&["t"], 100);
@@ -202,10 +204,14 @@
     for step in 0..500u32 {
         let now = SECOND + STEP * step;
         let number = u128::from(step) * 2;
-        let mut actions = scheduler.request_permit(now, entry("e"), ask(number, 1));
+        let mut actions = scheduler.request_permit(now, entry("e"), permit_request(number, 1));
         // One request of the higher tier a second.
         if step % 50 == 0 {
-            actions.extend(scheduler.request_permit(now, entry("e"), ask(number + 1, 0)));
+            actions.extend(scheduler.request_permit(
+                now,
+                entry("e"),
+                permit_request(number + 1, 0),
+            ));
         }
         actions.extend(scheduler.tick(now));
         let new = granted(&actions).into_iter().filter(|number| known.insert(*number));
@@ -219,7 +225,7 @@
     NoticeReport { rest: Some(rest), limit: None, ..limited(id, 1.0) }
 }
 
-/// Targets of the grants among these answers.
+/// Returns the targets of the grants among these answers.
 fn targets(actions: &[SchedulerAction]) -> Vec<String> {
     let target = |action: &SchedulerAction| match &action.answer.decision {
         PermitDecision::Granted(target) => Some(target.clone()),
@@ -228,35 +234,44 @@
     actions.iter().filter_map(target).collect()
 }
 
-/// A rest holds for the entry that was asked for it; others go there where nobody else has room.
+/// A rest holds for the entry daemon from which it was requested. Others use the target only when no other one has
+/// capacity.
 #[test]
-fn rest_is_kept_for_the_entry_that_was_asked() {
+fn rest_holds_only_for_the_entry_daemon_from_which_it_was_requested() {
     let mut scheduler = scheduler(&["a", "b"], 2);
     let mut now = SECOND;
     scheduler.noticed(now, &vm(), &resting("a", SECOND * 3));
     let mut number = 0;
-    let mut ask_as = |scheduler: &mut PoolScheduler, now, vm: &str| {
+    let mut request_from = |scheduler: &mut PoolScheduler, now, vm: &str| {
         number += 1;
-        let request = PermitRequest { time_left: SECOND * 10, ..ask(number, 0) };
+        let request = PermitRequest { time_left: SECOND * 10, ..permit_request(number, 0) };
         scheduler.request_permit(now, entry(vm), request)
     };
-    assert_eq!(targets(&ask_as(&mut scheduler, now, "e")), ["b"]);
-    assert_eq!(targets(&ask_as(&mut scheduler, now, "other")), ["b"], "as long as it has room");
-    assert_eq!(targets(&ask_as(&mut scheduler, now, "other")), ["a"]);
-    assert_eq!(targets(&ask_as(&mut scheduler, now, "e")), [""; 0], "waits for the other target");
+    assert_eq!(targets(&request_from(&mut scheduler, now, "e")), ["b"]);
+    assert_eq!(
+        targets(&request_from(&mut scheduler, now, "other")),
+        ["b"],
+        "as long as it has capacity"
+    );
+    assert_eq!(targets(&request_from(&mut scheduler, now, "other")), ["a"]);
+    assert_eq!(
+        targets(&request_from(&mut scheduler, now, "e")),
+        [""; 0],
+        "waits for the other target"
+    );
     assert!(!scheduler.targets()["a"].ejected());
     now += SECOND * 3;
     assert_eq!(targets(&scheduler.tick(now)), ["a"], "the rest is over");
 }
 
-/// All targets rest: the caller hears at once when the first is back.
+/// All targets require rest: the caller is refused at once, with the time when the first rest ends.
 #[test]
-fn refusal_tells_when_the_first_rest_ends() {
+fn refusal_states_when_the_first_rest_ends() {
     let mut scheduler = scheduler(&["a", "b"], 2);
     scheduler.noticed(SECOND, &vm(), &resting("a", SECOND * 3));
     scheduler.noticed(SECOND, &vm(), &resting("b", SECOND * 2));
     for number in 0..50 {
-        let actions = scheduler.request_permit(SECOND, entry("e"), ask(number * 37, 0));
+        let actions = scheduler.request_permit(SECOND, entry("e"), permit_request(number * 37, 0));
         let PermitDecision::Refused(refusal) = &actions[0].answer.decision else {
             panic!("{actions:?}")
         };
@@ -264,25 +279,26 @@
         let wait = refusal.retry_after.expect("when to come back");
         assert!((SECOND * 2..SECOND * 5 / 2).contains(&wait), "{wait:?}");
     }
-    let actions = scheduler.request_permit(SECOND, entry("other"), ask(9_999, 0));
-    assert_eq!(targets(&actions).len(), 1, "another entry was asked for nothing");
+    let actions = scheduler.request_permit(SECOND, entry("other"), permit_request(9_999, 0));
+    assert_eq!(targets(&actions).len(), 1, "no rest was requested from another entry daemon");
 }
 
-/// A target that says that it leaves is granted to nobody, whatever its entry says.
+/// A target that reports that it is leaving gets no permits, even though its list entry is unchanged.
 #[test]
-fn target_that_says_that_it_leaves_is_granted_to_nobody() {
+fn leaving_target_is_not_granted() {
     let mut scheduler = scheduler(&["a", "b"], 100);
     let leaving = NoticeReport { leaving: true, limit: None, ..limited("a", 1.0) };
     scheduler.noticed(SECOND, &vm(), &leaving);
     for number in 0..20 {
-        let actions = scheduler.request_permit(SECOND * 2, entry("other"), ask(number, 0));
+        let actions =
+            scheduler.request_permit(SECOND * 2, entry("other"), permit_request(number, 0));
         assert_eq!(targets(&actions), ["b"]);
     }
 }
 
-/// The gate holds without anybody else's word.
+/// The gate applies notices on its own, without reports of other daemons.
 #[test]
-fn gate_stops_what_the_target_excludes() {
+fn gate_stops_requests_that_the_notices_exclude() {
     let mut gate = TargetGate::default();
     let heard = |notice| HeardNotice { sent: SECOND, notice };
     let rest = TargetNotice { rest: Some(SECOND * 3), ..TargetNotice::default() };
@@ -297,12 +313,12 @@
     gate.heard(SECOND * 5, &life("a"), &heard(TargetNotice::default()));
     assert_eq!(gate.pass(SECOND * 3_000, &life("a")), Some(GateStop::Leaving));
     let later = TargetLife { start: Some(TargetStart(2)), ..life("a") };
-    assert_eq!(gate.pass(SECOND * 5, &later), None, "a new start has said nothing");
+    assert_eq!(gate.pass(SECOND * 5, &later), None, "a new instance has no notices");
 }
 
-/// A new start has said nothing, and what an earlier life said counts no more.
+/// A new instance begins without notices, and notices of an earlier instance are ignored.
 #[test]
-fn word_belongs_to_one_life() {
+fn notices_belong_to_one_instance() {
     let start = |millis| Some(TargetStart(millis));
     let mut scheduler = scheduler(&["t"], 100);
     let pool = |start| {
@@ -329,9 +345,9 @@
     assert_eq!(scheduler.targets()["t"].rate(), None);
 }
 
-/// The gate of one daemon, which hears with each request that passes.
+/// The gate of one daemon, which receives a notice with each request that it lets pass.
 #[test]
-fn gate_lets_no_more_pass_than_the_whole_limit() {
+fn gate_allows_no_more_than_the_whole_limit() {
     let mut gate = TargetGate::default();
     let heard = HeardNotice { sent: SECOND, notice: named(1.8) };
     gate.heard(SECOND, &life("t"), &heard);
@@ -351,45 +367,45 @@
     assert_eq!(gate.pass(SECOND * 2, &life("other")), None);
 }
 
-/// An answer that was overtaken by the one that named the limit ends nothing; one to a later request does.
+/// An answer that was overtaken by the one that states the limit does not end it; an answer to a later request does.
 #[test]
 fn limit_ends_with_a_later_request() {
-    let mut word = TargetWord::default();
-    assert!(word.heard(SECOND * 5, &HeardNotice { sent: SECOND * 4, notice: named(2.0) }));
-    let silent = TargetNotice::default();
-    assert!(!word.heard(SECOND * 6, &HeardNotice { sent: SECOND * 3, notice: silent }));
-    assert_eq!(word.rate(), Some(rate(2.0)));
-    let unreadable = TargetNotice { limit: LimitNotice::Unreadable, ..silent };
-    assert!(!word.heard(SECOND * 7, &HeardNotice { sent: SECOND * 6, notice: unreadable }));
-    assert_eq!(word.rate(), Some(rate(2.0)));
-    assert!(word.heard(SECOND * 8, &HeardNotice { sent: SECOND * 6, notice: silent }));
-    assert_eq!(word.rate(), None);
+    let mut notices = TargetWord::default();
+    assert!(notices.heard(SECOND * 5, &HeardNotice { sent: SECOND * 4, notice: named(2.0) }));
+    let without_limit = TargetNotice::default();
+    assert!(!notices.heard(SECOND * 6, &HeardNotice { sent: SECOND * 3, notice: without_limit }));
+    assert_eq!(notices.rate(), Some(rate(2.0)));
+    let unreadable = TargetNotice { limit: LimitNotice::Unreadable, ..without_limit };
+    assert!(!notices.heard(SECOND * 7, &HeardNotice { sent: SECOND * 6, notice: unreadable }));
+    assert_eq!(notices.rate(), Some(rate(2.0)));
+    assert!(notices.heard(SECOND * 8, &HeardNotice { sent: SECOND * 6, notice: without_limit }));
+    assert_eq!(notices.rate(), None);
 }
 
 proptest! {
-    /// Whatever order reports come in, and however often, the newest word is believed.
+    /// Reports that arrive in any order and repeatedly lead to the state of the newest one.
     #[test]
     fn merged_reports_end_with_the_newest(
-        said in proptest::collection::vec((1u64..1_000, proptest::option::of(0u64..50)), 1..8),
+        limits in proptest::collection::vec((1u64..1_000, proptest::option::of(0u64..50)), 1..8),
         order in proptest::collection::vec(0usize..8, 1..24),
     ) {
         let now = SECOND * 10;
-        let mut said = said;
-        said.sort();
-        said.dedup_by_key(|(at, _)| *at);
+        let mut limits = limits;
+        limits.sort();
+        limits.dedup_by_key(|(at, _)| *at);
         let report = |(at, tenths): (u64, Option<u64>)| {
             let rate = tenths.map(|tenths| RequestRate(tenths * 100));
             let limit = LimitReport { rate, age: now - Duration::from_millis(at) };
             NoticeReport { limit: Some(limit), ..limited("t", 1.0) }
         };
-        let mut word = TargetWord::default();
+        let mut notices = TargetWord::default();
         for index in order {
-            word.merge(now, &report(said[index % said.len()]));
+            notices.merge(now, &report(limits[index % limits.len()]));
         }
-        for one in &said {
-            word.merge(now, &report(*one));
+        for limit in &limits {
+            notices.merge(now, &report(*limit));
         }
-        let newest = said.last().and_then(|(_, tenths)| tenths.map(|tenths| RequestRate(tenths * 100)));
-        prop_assert_eq!(word.rate(), newest);
+        let newest = limits.last().and_then(|(_, tenths)| tenths.map(|tenths| RequestRate(tenths * 100)));
+        prop_assert_eq!(notices.rate(), newest);
     }
 }
--- a/crates/sched/tests/replacement.rs
+++ b/crates/sched/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! A silent target is left only for another one: the entry beside two schedulers, with all that can cross on the way
-//! between the holder of the caller's connection, its node and the schedulers.
+//! A request leaves a stalled target only for another one. Tests the entry daemon's state with two schedulers, and
+//! messages that cross between the connection handler, its node and the schedulers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const ID: RequestId = RequestId::from_u128(1);
 const ATTEMPTS: u32 = 2;
 const TIME: Duration = Duration::from_secs(12);
-/// Longer than any wait that these machines have.
+/// Longer than any timeout in the simulation.
 const LONG: Duration = Duration::from_secs(6);
 
 fn daemon(index: usize) -> DaemonId {
@@ -28,10 +28,10 @@
 }
 
 fn scheduler(targets: usize) -> PoolScheduler {
-    scheduler_of(targets, 1, PoolOptions::default())
+    scheduler_with(targets, 1, PoolOptions::default())
 }
 
-fn scheduler_of(targets: usize, slots: u32, options: PoolOptions) -> PoolScheduler {
+fn scheduler_with(targets: usize, slots: u32, options: PoolOptions) -> PoolScheduler {
     let entries = (0..targets).map(|index| {
         let id = format!("t{index}");
         let entry = TargetEntry { id: id.clone(), vm: id.clone(), slots, ..TargetEntry::default() };
@@ -44,50 +44,52 @@
     scheduler
 }
 
-/// What the holder of the caller's connection tells its node.
+/// A message from the connection handler to its node.
 #[derive(Clone, Debug)]
-enum Told {
+enum HandlerMessage {
     Step(ReplacementStep),
     NotRun,
     Finished,
 }
 
-/// The holder, its node's entry, two schedulers and what is on the way between them.
-struct Machines {
+/// The connection handler, the entry daemon's state, two schedulers and the messages under way between them.
+struct ReplacementSimulation {
     now: Uptime,
     entry: EntryRequests,
     schedulers: [PoolScheduler; 2],
-    /// Which scheduler the entry prefers.
+    /// Index of the scheduler that the entry daemon prefers.
     best: usize,
-    /// Messages from the entry to each scheduler, and back.
-    asked: [VecDeque<EntryAction>; 2],
-    answered: [VecDeque<PermitAnswer>; 2],
-    told: VecDeque<Told>,
+    /// Messages from the entry daemon to each scheduler, and the answers.
+    requests: [VecDeque<EntryAction>; 2],
+    answers: [VecDeque<PermitAnswer>; 2],
+    /// Messages from the connection handler to its node.
+    handler_messages: VecDeque<HandlerMessage>,
+    /// Grants that the connection handler has not seen yet.
     granted: VecDeque<TargetId>,
-    /// The target that has the request, and whether it is silent.
+    /// The target that has the request, and whether it is stalled.
     target: Option<TargetId>,
-    silent: bool,
+    stalled: bool,
     sent: u32,
     ended: bool,
     refusals: Vec<(Refusal, bool)>,
     denied: u32,
 }
 
-impl Machines {
-    fn new(targets: usize, retries: u64) -> Machines {
+impl ReplacementSimulation {
+    fn new(targets: usize, retries: u64) -> ReplacementSimulation {
         let retries = RetryLimits { percent: 0, extra: retries, ..RetryLimits::default() };
         let options = EntryOptions { attempt_limit: ATTEMPTS, retries, ..EntryOptions::default() };
-        let mut machines = Machines {
+        let mut simulation = ReplacementSimulation {
             now: Duration::from_secs(1),
             entry: EntryRequests::new(options),
             schedulers: [scheduler(targets), scheduler(targets)],
             best: 0,
-            asked: Default::default(),
-            answered: Default::default(),
-            told: VecDeque::new(),
+            requests: Default::default(),
+            answers: Default::default(),
+            handler_messages: VecDeque::new(),
             granted: VecDeque::new(),
             target: None,
-            silent: false,
+            stalled: false,
             sent: 0,
             ended: false,
             refusals: Vec::new(),
@@ -101,10 +103,10 @@
             output_work: 1_000,
             ..RequestSpec::default()
         };
-        let order = machines.order();
-        let actions = machines.entry.admit(machines.now, spec, &|_| order.clone());
-        machines.perform(actions);
-        machines
+        let order = simulation.order();
+        let actions = simulation.entry.admit(simulation.now, spec, &|_| order.clone());
+        simulation.perform(actions);
+        simulation
     }
 
     fn order(&self) -> Vec<DaemonId> {
@@ -117,7 +119,7 @@
                 EntryAction::RequestPermit(vm, _)
                 | EntryAction::ReturnPermit(vm, _)
                 | EntryAction::HoldPermit(vm, _) => {
-                    self.asked[usize::from(*vm == "s1")].push_back(action)
+                    self.requests[usize::from(*vm == "s1")].push_back(action)
                 }
                 EntryAction::Dispatch { target, .. } => self.granted.push_back(target.clone()),
                 EntryAction::Refuse(_, refusal) => {
@@ -131,13 +133,15 @@
         }
     }
 
-    /// The next message to a scheduler arrives.
-    fn scheduler_gets(&mut self, index: usize) {
-        let Some(message) = self.asked[index].pop_front() else { return };
+    /// Delivers the next message to a scheduler.
+    fn deliver_to_scheduler(&mut self, index: usize) {
+        let Some(message) = self.requests[index].pop_front() else { return };
         let scheduler = &mut self.schedulers[index];
         let entry = DaemonId { vm: "e".to_string(), incarnation: 1 };
         let actions = match message {
-            EntryAction::RequestPermit(_, ask) => scheduler.request_permit(self.now, entry, ask),
+            EntryAction::RequestPermit(_, permit_request) => {
+                scheduler.request_permit(self.now, entry, permit_request)
+            }
             EntryAction::ReturnPermit(_, back) => scheduler.give_back(self.now, &back),
             EntryAction::HoldPermit(_, held) => {
                 scheduler.hold(self.now, entry, held);
@@ -145,30 +149,30 @@
             }
             _ => Vec::new(),
         };
-        self.answered[index].extend(actions.into_iter().map(|action| action.answer));
+        self.answers[index].extend(actions.into_iter().map(|action| action.answer));
     }
 
-    /// The next answer of a scheduler arrives.
-    fn entry_gets(&mut self, index: usize) {
-        let Some(answer) = self.answered[index].pop_front() else { return };
+    /// Delivers the next answer of a scheduler.
+    fn deliver_to_entry(&mut self, index: usize) {
+        let Some(answer) = self.answers[index].pop_front() else { return };
         let order = self.order();
         let from = daemon(index).vm;
         let actions = self.entry.permit_answered(self.now, &from, answer, &|_| order.clone());
         self.perform(actions);
     }
 
-    /// The next word of the holder reaches the node.
-    fn node_gets(&mut self) {
-        let Some(told) = self.told.pop_front() else { return };
+    /// Delivers the next message of the connection handler to the node.
+    fn deliver_to_node(&mut self) {
+        let Some(message) = self.handler_messages.pop_front() else { return };
         let order = self.order();
         let order = |_: &str| order.clone();
-        let actions = match told {
-            Told::Step(step) => self.entry.replacement(self.now, ID, step, &order),
-            Told::NotRun => {
+        let actions = match message {
+            HandlerMessage::Step(step) => self.entry.replacement(self.now, ID, step, &order),
+            HandlerMessage::NotRun => {
                 let (end, retry) = (AttemptEnd::Failed, RetryReason::StreamResumed);
                 self.entry.not_run(self.now, ID, end, retry, &order)
             }
-            Told::Finished => {
+            HandlerMessage::Finished => {
                 let end = AttemptEnd::Whole(Duration::from_millis(5));
                 self.entry.finished(ID, Verdict::Ran, end, None)
             }
@@ -176,357 +180,366 @@
         self.perform(actions);
     }
 
-    /// The holder sees the next grant, as it would between two parts of an answer.
-    fn holder_gets(&mut self) {
+    /// Lets the connection handler see the next grant, as it does between two parts of an answer.
+    fn handler_sees_grant(&mut self) {
         if self.ended {
             return;
         }
         let Some(target) = self.granted.pop_front() else { return };
-        match (&self.target, std::mem::take(&mut self.silent)) {
-            (Some(_), false) => self.told.push_back(Told::Step(ReplacementStep::Declined)),
+        match (&self.target, std::mem::take(&mut self.stalled)) {
+            (Some(_), false) => {
+                self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Declined))
+            }
             (Some(_), true) => {
-                self.told.push_back(Told::Step(ReplacementStep::Taken));
+                self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Taken));
                 self.send(target);
             }
             (None, _) => self.send(target),
         }
     }
 
-    /// The target that was granted for a silent one takes no connection.
-    fn holder_cannot_connect(&mut self) {
-        if !self.ended && self.target.is_some() && self.silent && self.granted.pop_front().is_some()
+    /// Makes the replacement refuse the connection.
+    fn replacement_refuses_connection(&mut self) {
+        if !self.ended
+            && self.target.is_some()
+            && self.stalled
+            && self.granted.pop_front().is_some()
         {
-            self.told.push_back(Told::Step(ReplacementStep::Unreachable));
+            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Unreachable));
         }
     }
 
     fn send(&mut self, target: TargetId) {
-        assert_ne!(self.target.as_ref(), Some(&target), "the silent target itself");
+        assert_ne!(self.target.as_ref(), Some(&target), "the stalled target itself");
         self.target = Some(target);
         self.sent += 1;
     }
 
-    fn target_is_silent(&mut self) {
+    fn target_stalls(&mut self) {
         if self.target.is_some() && !self.ended {
-            self.silent = true;
-            self.told.push_back(Told::Step(ReplacementStep::Wanted));
+            self.stalled = true;
+            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Wanted));
         }
     }
 
-    fn target_speaks(&mut self) {
-        if std::mem::take(&mut self.silent) {
-            self.told.push_back(Told::Step(ReplacementStep::Unwanted));
+    fn target_resumes(&mut self) {
+        if std::mem::take(&mut self.stalled) {
+            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Unwanted));
         }
     }
 
     fn target_fails(&mut self) {
         if !self.ended && self.target.take().is_some() {
-            self.silent = false;
-            self.told.push_back(Told::NotRun);
+            self.stalled = false;
+            self.handler_messages.push_back(HandlerMessage::NotRun);
         }
     }
 
-    fn target_ends(&mut self) {
+    fn target_completes(&mut self) {
         if !self.ended && self.target.take().is_some() {
             self.ended = true;
-            self.told.push_back(Told::Finished);
+            self.handler_messages.push_back(HandlerMessage::Finished);
         }
     }
 
-    fn time_passes(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         let order = self.order();
         let actions = self.entry.tick(self.now, &|_| order.clone());
         self.perform(actions);
         for index in 0..2 {
             let actions = self.schedulers[index].tick(self.now);
-            self.answered[index].extend(actions.into_iter().map(|action| action.answer));
+            self.answers[index].extend(actions.into_iter().map(|action| action.answer));
         }
     }
 
-    fn other_scheduler(&mut self) {
+    fn change_scheduler(&mut self) {
         self.best = 1 - self.best;
         let order = self.order();
         let actions = self.entry.schedulers_changed(self.now, &|_| order.clone());
         self.perform(actions);
     }
 
-    /// Everything on its way arrives.
+    /// Delivers all messages under way.
     fn settle(&mut self) {
         for _ in 0..64 {
-            self.node_gets();
+            self.deliver_to_node();
             for index in 0..2 {
-                self.scheduler_gets(index);
-                self.entry_gets(index);
+                self.deliver_to_scheduler(index);
+                self.deliver_to_entry(index);
             }
-            self.holder_gets();
+            self.handler_sees_grant();
         }
     }
 
-    /// Everything arrives, the target answers whole; what waits for a permit that an earlier scheduler still counts
-    /// has it once that one has confirmed it.
-    fn run_to_its_end(&mut self) {
-        self.target_ends();
+    /// Delivers all messages and lets the target complete its answer. A request that waits for a permit which an
+    /// earlier scheduler still counts gets it once that scheduler has confirmed the count.
+    fn run_to_end(&mut self) {
+        self.target_completes();
         self.settle();
-        self.target_ends();
+        self.target_completes();
         self.settle();
         if !self.ended {
-            self.time_passes(LONG);
+            self.advance(LONG);
             self.settle();
-            self.target_ends();
+            self.target_completes();
             self.settle();
         }
     }
 
     fn step(&mut self, step: u8) {
         match step {
-            0 | 1 => self.scheduler_gets(usize::from(step)),
-            2 | 3 => self.entry_gets(usize::from(step - 2)),
-            4 | 5 => self.node_gets(),
-            6 | 7 => self.holder_gets(),
-            8 | 9 => self.target_is_silent(),
-            10 => self.target_speaks(),
+            0 | 1 => self.deliver_to_scheduler(usize::from(step)),
+            2 | 3 => self.deliver_to_entry(usize::from(step - 2)),
+            4 | 5 => self.deliver_to_node(),
+            6 | 7 => self.handler_sees_grant(),
+            8 | 9 => self.target_stalls(),
+            10 => self.target_resumes(),
             11 => self.target_fails(),
-            12 => self.target_ends(),
-            13 => self.time_passes(Duration::from_millis(100)),
-            14 => self.holder_cannot_connect(),
-            _ => self.other_scheduler(),
+            12 => self.target_completes(),
+            13 => self.advance(Duration::from_millis(100)),
+            14 => self.replacement_refuses_connection(),
+            _ => self.change_scheduler(),
         }
     }
 }
 
-/// Permits in use and requests that wait, at both schedulers.
-fn in_use(machines: &Machines) -> usize {
+/// Returns the number of permits in use and waiting requests at both schedulers.
+fn in_use(simulation: &ReplacementSimulation) -> usize {
     let in_use = |scheduler: &PoolScheduler| scheduler.in_flight() + scheduler.waiting();
-    machines.schedulers.iter().map(in_use).sum()
+    simulation.schedulers.iter().map(in_use).sum()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4_000, ..ProptestConfig::default() })]
     #[test]
-    fn silence_gives_no_request_up_and_no_permit_leaks(
+    fn stalls_lose_no_request_and_leak_no_permit(
         steps in prop::collection::vec(0u8..16, 0..60),
         targets in 1usize..4,
         retries in 0u64..3,
     ) {
-        let mut machines = Machines::new(targets, retries);
+        let mut simulation = ReplacementSimulation::new(targets, retries);
         for step in steps {
-            machines.step(step);
+            simulation.step(step);
         }
-        prop_assert!(machines.sent <= ATTEMPTS);
-        prop_assert!(u64::from(machines.sent) <= 1 + retries);
-        machines.run_to_its_end();
-        prop_assert!(machines.ended);
-        prop_assert!(machines.entry.is_empty());
-        for (refusal, at_target) in &machines.refusals {
+        prop_assert!(simulation.sent <= ATTEMPTS);
+        prop_assert!(u64::from(simulation.sent) <= 1 + retries);
+        simulation.run_to_end();
+        prop_assert!(simulation.ended);
+        prop_assert!(simulation.entry.is_empty());
+        for (refusal, at_target) in &simulation.refusals {
             prop_assert!(!at_target, "{refusal:?} while a target has the request");
         }
-        // What a scheduler still holds is confirmed with its entry and comes back.
+        // Permits that a scheduler still counts are confirmed with their entry daemon and returned.
         for _ in 0..3 {
-            machines.time_passes(LONG);
-            machines.settle();
+            simulation.advance(LONG);
+            simulation.settle();
         }
-        prop_assert_eq!(in_use(&machines), 0);
+        prop_assert_eq!(in_use(&simulation), 0);
     }
 }
 
-/// A request at its first target, which is silent.
-fn silent(targets: usize, retries: u64) -> Machines {
-    let mut machines = Machines::new(targets, retries);
-    machines.settle();
-    machines.target_is_silent();
-    machines
+/// Returns a request at its first target, which is stalled.
+fn with_stalled_target(targets: usize, retries: u64) -> ReplacementSimulation {
+    let mut simulation = ReplacementSimulation::new(targets, retries);
+    simulation.settle();
+    simulation.target_stalls();
+    simulation
 }
 
 #[test]
-fn silent_target_is_left_once_another_one_is_granted_and_taken() {
-    let mut machines = silent(2, 1);
-    let first = machines.target.clone();
-    machines.node_gets();
-    assert_eq!(machines.entry.dispatched(), 1);
-    machines.scheduler_gets(0);
-    machines.entry_gets(0);
-    assert_eq!(in_use(&machines), 2, "both permits are held until the other target is taken");
-    machines.settle();
-    assert_ne!(machines.target, first);
-    assert_eq!((machines.sent, in_use(&machines)), (2, 1));
+fn request_leaves_its_stalled_target_once_another_one_is_granted_and_accepted() {
+    let mut simulation = with_stalled_target(2, 1);
+    let first = simulation.target.clone();
+    simulation.deliver_to_node();
+    assert_eq!(simulation.entry.dispatched(), 1);
+    simulation.deliver_to_scheduler(0);
+    simulation.deliver_to_entry(0);
+    assert_eq!(in_use(&simulation), 2, "both permits are held until the request has moved");
+    simulation.settle();
+    assert_ne!(simulation.target, first);
+    assert_eq!((simulation.sent, in_use(&simulation)), (2, 1));
 }
 
-/// There is no other target, no room for a retry, or no further attempt: the request stays.
+/// If there is no other target, no retry budget or no further attempt, the request stays at its stalled target.
 #[rstest]
 #[case::no_other_target(1, 1, 1)]
-#[case::no_room_for_retries(2, 0, 1)]
+#[case::no_retry_budget(2, 0, 1)]
 #[case::no_further_attempt(3, 5, 2)]
-fn request_stays_at_its_silent_target(
+fn request_without_a_replacement_stays_at_its_stalled_target(
     #[case] targets: usize,
     #[case] retries: u64,
     #[case] sent: u32,
 ) {
-    let mut machines = silent(targets, retries);
-    machines.settle();
-    machines.target_is_silent();
-    machines.settle();
-    assert_eq!((machines.sent, machines.refusals.len()), (sent, 0));
-    assert!(machines.denied > 0 && machines.target.is_some());
-    machines.target_speaks();
-    machines.target_ends();
-    machines.settle();
-    assert!(machines.entry.is_empty());
-    assert_eq!(in_use(&machines), 0);
+    let mut simulation = with_stalled_target(targets, retries);
+    simulation.settle();
+    simulation.target_stalls();
+    simulation.settle();
+    assert_eq!((simulation.sent, simulation.refusals.len()), (sent, 0));
+    assert!(simulation.denied > 0 && simulation.target.is_some());
+    simulation.target_resumes();
+    simulation.target_completes();
+    simulation.settle();
+    assert!(simulation.entry.is_empty());
+    assert_eq!(in_use(&simulation), 0);
 }
 
-/// The target that is granted takes no connection: the request stays, is asked for yet another one, and has used no
-/// attempt up.
+/// The replacement accepts no connection: the request stays, requests yet another target, and has used up no attempt.
 #[test]
-fn request_stays_where_its_other_target_takes_no_connection() {
-    let mut machines = silent(3, 1);
-    machines.node_gets();
-    machines.scheduler_gets(0);
-    machines.entry_gets(0);
-    let unreachable = machines.granted.front().cloned();
-    machines.holder_cannot_connect();
-    machines.settle();
-    assert_eq!((machines.sent, machines.refusals.len(), in_use(&machines)), (1, 0, 1));
-    machines.target_is_silent();
-    machines.settle();
-    assert_eq!((machines.sent, in_use(&machines)), (2, 1));
-    assert!(machines.target.is_some() && machines.target != unreachable);
+fn request_stays_if_its_replacement_accepts_no_connection() {
+    let mut simulation = with_stalled_target(3, 1);
+    simulation.deliver_to_node();
+    simulation.deliver_to_scheduler(0);
+    simulation.deliver_to_entry(0);
+    let unreachable = simulation.granted.front().cloned();
+    simulation.replacement_refuses_connection();
+    simulation.settle();
+    assert_eq!((simulation.sent, simulation.refusals.len(), in_use(&simulation)), (1, 0, 1));
+    simulation.target_stalls();
+    simulation.settle();
+    assert_eq!((simulation.sent, in_use(&simulation)), (2, 1));
+    assert!(simulation.target.is_some() && simulation.target != unreachable);
 }
 
-/// A retry that was counted when another target was asked for is free again where none was granted.
+/// A retry that was counted when another target was requested is refunded if none is granted.
 #[test]
-fn denied_replacement_takes_nothing_out_of_the_retry_budget() {
-    let mut machines = silent(1, 1);
+fn denied_replacement_refunds_the_retry_budget() {
+    let mut simulation = with_stalled_target(1, 1);
     for _ in 0..5 {
-        machines.settle();
-        machines.target_is_silent();
+        simulation.settle();
+        simulation.target_stalls();
     }
-    assert_eq!(machines.refusals.len(), 0);
-    machines.schedulers = [scheduler(2), scheduler(2)];
-    machines.settle();
-    machines.target_is_silent();
-    machines.settle();
-    assert_eq!(machines.sent, 2);
+    assert_eq!(simulation.refusals.len(), 0);
+    simulation.schedulers = [scheduler(2), scheduler(2)];
+    simulation.settle();
+    simulation.target_stalls();
+    simulation.settle();
+    assert_eq!(simulation.sent, 2);
 }
 
-/// The silent target breaks off while another one is asked for: what was asked for is used, and counted once.
+/// The stalled target fails while a replacement is requested: the replacement is used, and counted as one retry.
 #[test]
-fn target_that_breaks_off_while_another_one_is_asked_for_is_replaced() {
-    let mut machines = silent(2, 1);
-    machines.node_gets();
-    machines.target_fails();
-    machines.settle();
-    assert_eq!((machines.sent, machines.refusals.len()), (2, 0));
-    machines.target_ends();
-    machines.settle();
-    assert_eq!(in_use(&machines), 0);
+fn target_that_fails_during_its_replacement_is_replaced_once() {
+    let mut simulation = with_stalled_target(2, 1);
+    simulation.deliver_to_node();
+    simulation.target_fails();
+    simulation.settle();
+    assert_eq!((simulation.sent, simulation.refusals.len()), (2, 0));
+    simulation.target_completes();
+    simulation.settle();
+    assert_eq!(in_use(&simulation), 0);
 }
 
-/// A scheduler that names the silent target again is told that it is in use.
+/// A scheduler that grants the stalled target's permit again must not get it back, since it is in use.
 #[test]
-fn confirmed_permit_of_a_silent_target_is_kept() {
-    let mut machines = silent(1, 1);
-    let target = machines.target.clone().expect("a target");
-    machines.node_gets();
+fn confirmed_permit_of_a_stalled_target_is_not_returned() {
+    let mut simulation = with_stalled_target(1, 1);
+    let target = simulation.target.clone().expect("a target");
+    simulation.deliver_to_node();
     let permit = PermitId { request: ID, attempt: 0 };
     let decision = PermitDecision::Granted(target);
     let answer = PermitAnswer { permit, pool: POOL.to_string(), decision };
-    machines.answered[0].push_front(answer);
-    machines.entry_gets(0);
-    let returned = machines.asked[0].iter().any(|action| {
+    simulation.answers[0].push_front(answer);
+    simulation.deliver_to_entry(0);
+    let returned = simulation.requests[0].iter().any(|action| {
         matches!(action, EntryAction::ReturnPermit(_, PermitReturn { permit: back, .. }) if *back == permit)
     });
     assert!(!returned);
-    machines.settle();
-    assert_eq!(in_use(&machines), 1);
+    simulation.settle();
+    assert_eq!(in_use(&simulation), 1);
 }
 
-/// A stream's target breaks off, and two others take no connection. Nothing was sent to these, so they use up none of
-/// the two attempts: the answer that has begun would be cut. What has not begun is refused, as its attempts are used up.
+/// The target of a stream fails, and two others accept no connection. Nothing was sent to those, so for an answer
+/// that has begun they use up none of the two attempts; a refusal would truncate it. An answer that has not begun
+/// is refused, since its attempts are used up.
 #[rstest]
 #[case::begun(true)]
 #[case::not_begun(false)]
-fn target_that_takes_no_connection_uses_up_no_attempt_of_a_begun_stream(#[case] begun: bool) {
-    let mut machines = Machines::new(4, 4);
-    machines.settle();
+fn failed_connection_uses_up_no_attempt_of_a_begun_stream(#[case] begun: bool) {
+    let mut simulation = ReplacementSimulation::new(4, 4);
+    simulation.settle();
     if begun {
-        machines.entry.answer_begun(ID);
+        simulation.entry.answer_begun(ID);
     }
-    machines.target_fails();
-    machines.settle();
+    simulation.target_fails();
+    simulation.settle();
     for _ in 0..2 {
-        machines.target = None;
+        simulation.target = None;
         let (end, retry) = (AttemptEnd::Failed, RetryReason::ConnectFailed);
-        let order = machines.order();
-        let actions = machines.entry.not_run(machines.now, ID, end, retry, &|_| order.clone());
-        machines.perform(actions);
-        machines.settle();
+        let order = simulation.order();
+        let actions = simulation.entry.not_run(simulation.now, ID, end, retry, &|_| order.clone());
+        simulation.perform(actions);
+        simulation.settle();
     }
-    assert_eq!(machines.refusals.len(), usize::from(!begun));
-    assert_eq!(machines.target.is_some(), begun);
+    assert_eq!(simulation.refusals.len(), usize::from(!begun));
+    assert_eq!(simulation.target.is_some(), begun);
 }
 
-/// Reasons of a scheduler end a request that is nowhere, and only that.
+/// A scheduler's refusal ends a request that is at no target, and only such a request.
 #[test]
 fn refusal_ends_a_request_that_is_at_no_target() {
-    let mut machines = Machines::new(0, 1);
-    machines.settle();
-    assert_eq!(machines.refusals.len(), 1);
-    assert_eq!(machines.refusals[0].0.reason, RefusalReason::NoTarget);
+    let mut simulation = ReplacementSimulation::new(0, 1);
+    simulation.settle();
+    assert_eq!(simulation.refusals.len(), 1);
+    assert_eq!(simulation.refusals[0].0.reason, RefusalReason::NoTarget);
 }
 
-/// Under overload nothing is granted for seconds. A target whose requests ask for another one is ejected all the same,
-/// and what it fails then is not counted twice.
+/// In an overload, nothing is granted for seconds. A target whose requests require replacements is ejected
+/// nevertheless, and their later failures are not counted twice.
 #[test]
-fn silent_target_is_ejected_before_another_one_has_room() {
-    let mut scheduler = scheduler_of(2, 3, PoolOptions::default());
+fn stalled_target_is_ejected_before_a_replacement_is_granted() {
+    let mut scheduler = scheduler_with(2, 3, PoolOptions::default());
     let now = Duration::from_secs(1);
     for number in 0..6 {
-        scheduler.request_permit(now, daemon(0), ask(number, 0, &[]));
+        scheduler.request_permit(now, daemon(0), permit_request(number, 0, &[]));
     }
-    let at_first: Vec<PermitId> = permits_at(&scheduler, "t0");
-    assert_eq!(at_first.len(), 3);
-    for permit in &at_first {
-        let again = ask(permit.request.as_u128(), 1, &["t0"]);
+    let first_permits: Vec<PermitId> = permits_at(&scheduler, "t0");
+    assert_eq!(first_permits.len(), 3);
+    for permit in &first_permits {
+        let again = permit_request(permit.request.as_u128(), 1, &["t0"]);
         let actions = scheduler.request_permit(now, daemon(0), again);
         assert_eq!(actions[0].answer.decision, PermitDecision::Queued);
     }
     assert!(scheduler.targets()["t0"].ejected());
-    for permit in at_first {
+    for permit in first_permits {
         let end = AttemptEnd::Failed;
         scheduler.give_back(now, &PermitReturn { permit, pool: POOL.to_string(), end });
     }
     assert!(scheduler.targets()["t0"].usable(now + Duration::from_secs(2)));
 }
 
-/// A request that has a target asks for another one under overload. It evicts nothing that waits for its first
+/// In an overload, a request that has a target requests another one. It evicts no request that waits for its first
 /// target, and its refusal sheds no tier.
 #[test]
-fn ask_for_another_target_takes_nothing_from_requests_without_one() {
+fn replacement_request_displaces_no_request_without_a_target() {
     let options = PoolOptions { queue_limit: 1, ..PoolOptions::default() };
-    let mut scheduler = scheduler_of(1, 1, options);
+    let mut scheduler = scheduler_with(1, 1, options);
     let now = Duration::from_secs(1);
-    scheduler.request_permit(now, daemon(0), ask(1, 0, &[]));
-    let lower = PermitRequest { tier: 3, ..ask(2, 0, &[]) };
+    scheduler.request_permit(now, daemon(0), permit_request(1, 0, &[]));
+    let lower = PermitRequest { tier: 3, ..permit_request(2, 0, &[]) };
     scheduler.request_permit(now, daemon(0), lower);
     assert_eq!(scheduler.waiting(), 1);
-    let actions = scheduler.request_permit(now, daemon(0), ask(1, 1, &["t9"]));
+    let actions = scheduler.request_permit(now, daemon(0), permit_request(1, 1, &["t9"]));
     assert_eq!(actions.len(), 1, "{actions:?}");
     assert!(matches!(actions[0].answer.decision, PermitDecision::Refused(_)));
     assert_eq!((actions[0].shed, scheduler.waiting()), (None, 1));
-    let next =
-        scheduler.request_permit(now, daemon(0), PermitRequest { tier: 2, ..ask(4, 0, &[]) });
+    let next = scheduler.request_permit(
+        now,
+        daemon(0),
+        PermitRequest { tier: 2, ..permit_request(4, 0, &[]) },
+    );
     assert!(next.iter().any(|action| action.answer.decision == PermitDecision::Queued), "{next:?}");
 }
 
-/// The caller of a silent target leaves: the target has failed, also where no other one could be asked for.
+/// The caller disconnects from a stalled target: the target counts as failed, also if no replacement could be
+/// requested.
 #[rstest]
-#[case::asked(2)]
-#[case::not_asked(0)]
-fn silent_target_whose_caller_leaves_has_failed(#[case] retries: u64) {
-    let mut machines = silent(2, retries);
-    machines.node_gets();
-    let actions = machines.entry.cancelled(ID);
+#[case::replacement_requested(2)]
+#[case::no_replacement_requested(0)]
+fn stalled_target_whose_caller_disconnects_counts_as_failed(#[case] retries: u64) {
+    let mut simulation = with_stalled_target(2, retries);
+    simulation.deliver_to_node();
+    let actions = simulation.entry.cancelled(ID);
     let ends = actions.iter().filter_map(|action| match action {
         EntryAction::ReturnPermit(_, back) => Some((back.permit.attempt, back.end)),
         _ => None,
@@ -534,29 +547,29 @@
     assert!(ends.into_iter().any(|end| end == (0, AttemptEnd::Failed)), "{actions:?}");
 }
 
-/// A stream's target breaks off, and the scheduler refuses another one: an answer that has begun is not given up for
-/// that before its deadline. A request without a part of its answer gets its refusal at once.
+/// The target of a stream fails, and the scheduler refuses another one. An answer that has begun is not given up
+/// before its deadline for that. A request whose answer has not begun is refused at once.
 #[rstest]
 #[case::begun(true)]
 #[case::not_begun(false)]
-fn refused_stream_is_asked_for_again_once_its_answer_has_begun(#[case] begun: bool) {
-    let mut machines = Machines::new(1, 1);
-    machines.settle();
+fn refused_permit_of_a_begun_stream_is_requested_again(#[case] begun: bool) {
+    let mut simulation = ReplacementSimulation::new(1, 1);
+    simulation.settle();
     if begun {
-        machines.entry.answer_begun(ID);
+        simulation.entry.answer_begun(ID);
     }
-    machines.target_fails();
-    machines.settle();
-    assert_eq!(machines.refusals.len(), usize::from(!begun));
-    machines.ended = !begun;
+    simulation.target_fails();
+    simulation.settle();
+    assert_eq!(simulation.refusals.len(), usize::from(!begun));
+    simulation.ended = !begun;
     for _ in 0..12 {
-        machines.time_passes(Duration::from_millis(100));
-        machines.settle();
+        simulation.advance(Duration::from_millis(100));
+        simulation.settle();
     }
-    assert_eq!(machines.sent, if begun { 2 } else { 1 }, "the target that broke off serves again");
+    assert_eq!(simulation.sent, if begun { 2 } else { 1 }, "the target that failed serves again");
 }
 
-fn ask(number: u128, attempt: u32, avoid: &[&str]) -> PermitRequest {
+fn permit_request(number: u128, attempt: u32, avoid: &[&str]) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt },
         pool: POOL.to_string(),
@@ -577,18 +590,18 @@
     permits.filter(|(_, record)| record.target.id == target).map(|(permit, _)| *permit).collect()
 }
 
-/// The scheduler moves there and back while a grant is declined, so the first one hears of the grant's end only when
-/// it confirms it, after five seconds. The request has its target by then, and waits for no longer.
+/// The scheduler changes and changes back while a grant is declined, so the first scheduler learns that the grant
+/// has ended only when it confirms it, after 5 s. The request waits no longer than that for its target.
 #[test]
-fn permit_given_back_to_another_scheduler_is_free_once_it_is_confirmed() {
+fn permit_returned_to_another_scheduler_is_free_after_its_confirmation() {
     let steps = [0, 2, 6, 8, 8, 4, 0, 8, 2, 4, 10, 15, 6, 11, 4, 4, 4, 15];
-    let mut machines = Machines::new(2, 1);
+    let mut simulation = ReplacementSimulation::new(2, 1);
     for step in steps {
-        machines.step(step);
+        simulation.step(step);
     }
-    machines.settle();
-    assert_eq!((machines.sent, machines.entry.dispatched()), (1, 0));
-    machines.run_to_its_end();
-    assert!(machines.ended);
-    assert_eq!((machines.sent, machines.refusals.len()), (2, 0));
+    simulation.settle();
+    assert_eq!((simulation.sent, simulation.entry.dispatched()), (1, 0));
+    simulation.run_to_end();
+    assert!(simulation.ended);
+    assert_eq!((simulation.sent, simulation.refusals.len()), (2, 0));
 }
