--- a/crates/sched/tests/late_schedulers.rs
+++ b/crates/sched/tests/late_schedulers.rs
@@ -74,7 +74,7 @@
         self.entry.admit(self.now, spec, &order)
     }
 
-    fn answers_arrive(&mut self) -> Vec<EntryAction> {
+    fn deliver_answers(&mut self) -> Vec<EntryAction> {
         let now = self.now;
         let mut actions = Vec::new();
         while let Some(index) = self.answers.iter().position(|(due, ..)| *due <= now) {
@@ -126,7 +126,7 @@
             requested += 1;
             actions.extend(simulation.admit(requested));
         }
-        actions.extend(simulation.answers_arrive());
+        actions.extend(simulation.deliver_answers());
         simulation.perform(actions, delay(passed));
         if passed.as_millis().is_multiple_of(1_000) {
             counts.push(std::mem::take(&mut simulation.count));
--- a/crates/sched/tests/replacement.rs
+++ b/crates/sched/tests/replacement.rs
@@ -69,9 +69,12 @@
     /// The target that has the request, and whether it is stalled.
     target: Option<TargetId>,
     stalled: bool,
+    /// Number of targets that the request was sent to.
     sent: u32,
     ended: bool,
+    /// Refusals, each with whether the request was at a target or granted one at that time.
     refusals: Vec<(Refusal, bool)>,
+    /// Number of retries denied.
     denied: u32,
 }
 
