--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -1,23 +1,24 @@
-//! Is a request admitted to a pool? Who may wait, who is refused at once, and who makes room.
+//! Decides which requests may wait in a pool's queue, which are refused at once, and which waiting requests are
+//! evicted for them.
 //!
 //! Inputs: the request's tier, account, work (microseconds of a slot), deadline and forecast limit; the
 //! overload level, the account's limits, the targets and the queue of the pool.
 //!
-//! The rule, in this order; the first that holds refuses:
+//! The checks, in this order; the first that applies refuses the request:
 //! 1. its tier is shed ([`overload`]): `tier_shed`
-//! 2. its account has too much waiting, or no token left ([`account`]): `account_queue`, `account_rate`
-//! 3. no target that it has not failed at takes new work: `no_target`
-//! 4. the fastest target needs longer than its deadline ([`forecast`]): `deadline_unreachable`
-//! 5. its forecast wait is above its forecast limit: `wait_too_long`
-//! 6. wait and work together are above its deadline: `deadline_unreachable`, and all lower tiers are shed
+//! 2. its account has too many requests waiting, or no token remaining ([`account`]): `account_queue`, `account_rate`
+//! 3. no target accepts new work, apart from those at which it has failed: `no_target`
+//! 4. the fastest target needs more time than remains until its deadline ([`forecast`]): `deadline_unreachable`
+//! 5. its forecast wait exceeds its forecast limit: `wait_too_long`
+//! 6. wait and work together exceed its deadline: `deadline_unreachable`, and all lower tiers are shed
 //! 7. the queue is full and nothing can be evicted: `queue_full`, and all lower tiers are shed
 //!
 //! A full queue evicts from the lowest tier first, then from the account of the same tier with the most
-//! waiting for its weight. Whenever a tier is refused for want of capacity, everything below it is shed
-//! everywhere before the refusal goes out ([`level_guard`]). The account's rate over all daemons is
-//! charged before ([`shared_rate`]).
+//! waiting requests relative to its weight. Whenever a tier is refused for lack of capacity, all schedulers of the
+//! pool shed the tiers below it before the refusal is sent ([`level_guard`]). The account's rate over all daemons has
+//! been charged before these checks ([`shared_rate`]).
 //!
-//! Owns: the rules; the state is the [`PoolScheduler`]'s. Relies on: work estimates of the entries.
+//! Owns: the rules; the state is in [`PoolScheduler`]. Relies on: work estimates of the entry daemons.
 
 pub mod account;
 mod burst_window;
@@ -41,7 +42,7 @@
 use crate::pool::{micros, PoolScheduler, SchedulerAction};
 
 impl PoolScheduler {
-    /// Refuses what waits and has no target left that could take it.
+    /// Refuses waiting requests for which no target remains.
     pub(crate) fn refuse_unreachable(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
         let open = |target: &TargetState| target.usable(now) && !target.rests(now);
         if self.targets.values().all(open) && !self.targets.is_empty() {
@@ -59,33 +60,39 @@
         }
     }
 
-    /// Whether a target takes new work from this entry that has not failed this request already.
+    /// Returns whether some target accepts new work from this entry daemon and has not failed this request.
     pub(crate) fn reachable(&self, now: Uptime, entry: &DaemonId, request: &PermitRequest) -> bool {
         self.targets.iter().any(|(id, target)| {
-            let takes = target.usable(now) && target.rest_left(now, &entry.vm).is_none();
-            takes && !request.avoid.contains(id)
+            let accepts = target.usable(now) && target.rest_left(now, &entry.vm).is_none();
+            accepts && !request.avoid.contains(id)
         })
     }
 
+    /// Builds the `no_target` refusal. It advises retrying when the first target accepts new work again.
     pub(crate) fn no_target(
         &self,
         now: Uptime,
         entry: &DaemonId,
         request: &PermitRequest,
     ) -> Refusal {
-        let back = self.targets.values().filter_map(|target| target.back_after(now)).min();
-        let back = back.unwrap_or(DEFAULT_ADVICE).max(DEFAULT_ADVICE);
-        let rests = self.targets.values().filter(|target| target.usable(now));
-        let rested = rests.filter_map(|target| target.rest_left(now, &entry.vm)).min();
-        let wait = match rested {
+        let recovery = self.targets.values().filter_map(|target| target.back_after(now)).min();
+        let recovery = recovery.unwrap_or(DEFAULT_ADVICE).max(DEFAULT_ADVICE);
+        let usable = self.targets.values().filter(|target| target.usable(now));
+        let shortest_rest = usable.filter_map(|target| target.rest_left(now, &entry.vm)).min();
+        let wait = match shortest_rest {
             Some(rest) => rest_advice(request.permit, rest),
-            None => back,
+            None => recovery,
         };
         Refusal::not_run(RefusalReason::NoTarget, Some(wait))
     }
 
-    /// Decides whether a permit request may wait, and until when it can begin in time; makes room for it if
-    /// that takes nothing from a higher tier.
+    /// Decides whether a permit request may wait. If the queue is full, evicts a request of a lower tier, or one of
+    /// the same tier.
+    ///
+    /// Returns the time until which the request can start and still be in time.
+    ///
+    /// # Errors
+    /// The refusal of the first check that the request does not pass.
     pub(crate) fn admit(
         &mut self,
         now: Uptime,
@@ -125,6 +132,10 @@
         Ok(in_time_until)
     }
 
+    /// Checks the account's queue limit and takes a token from its rate bucket.
+    ///
+    /// # Errors
+    /// The refusal, if a limit is exceeded.
     fn check_account(
         &mut self,
         now: Uptime,
@@ -135,7 +146,7 @@
             return Err(Refusal::not_run(RefusalReason::AccountQueue, Some(self.drain_time())));
         }
         let Some(rate) = limit.rate_per_s else { return Ok(()) };
-        // A retry inside the system is the same request and is not charged again.
+        // A further attempt belongs to the same request and is not charged again.
         if request.permit.attempt > 0 {
             return Ok(());
         }
@@ -148,7 +159,11 @@
             .map_err(|wait| Refusal::not_run(RefusalReason::AccountRate, Some(wait)))
     }
 
-    /// Evicts from a lower tier, or from the account of the same tier that takes the most room.
+    /// Evicts a request of the lowest tier, or of the account of the same tier that waits with the most requests for
+    /// its weight.
+    ///
+    /// # Errors
+    /// `queue_full`, if nothing may be evicted; the tiers below are shed then.
     fn make_room(
         &mut self,
         now: Uptime,
@@ -168,6 +183,7 @@
         Err(refusal)
     }
 
+    /// Refuses a waiting request and sheds the tiers below it.
     fn evict(
         &mut self,
         now: Uptime,
@@ -182,7 +198,8 @@
         self.shed_below(now, tier, actions);
     }
 
-    /// Refuses what waits in the tiers below one that was refused for want of capacity.
+    /// Raises the overload level and refuses all waiting requests of the tiers below `tier`, of which a request was
+    /// refused for lack of capacity.
     pub(crate) fn shed_below(
         &mut self,
         now: Uptime,
@@ -199,13 +216,14 @@
         }
     }
 
-    /// Another scheduler of this pool refuses a tier for want of capacity: sheds all below it here.
+    /// Sheds the tiers below one that another scheduler of this pool refuses for lack of capacity.
     pub fn shed_for_peer(&mut self, now: Uptime, tier: TierRank) -> Vec<SchedulerAction> {
         let mut actions = Vec::new();
         self.shed_below(now, tier, &mut actions);
         actions
     }
 
+    /// Refuses a permit request and marks its tier as refused for lack of capacity.
     pub(crate) fn refuse_for_capacity(
         &self,
         entry: DaemonId,
@@ -216,6 +234,7 @@
         SchedulerAction { shed: Some(request.tier), ..action }
     }
 
+    /// Raises the overload level and builds the refusal of a request of this tier for lack of capacity.
     pub(crate) fn capacity_refusal(
         &mut self,
         now: Uptime,
@@ -226,20 +245,21 @@
         Refusal::not_run(reason, Some(self.drain_time()))
     }
 
+    /// Returns the limits of an account.
     pub(crate) fn limit_of(&self, account: &AccountId) -> AccountLimit {
-        // An account that the configuration no longer has keeps its queue with the defaults.
+        // An account that was removed from the configuration may still have waiting requests.
         self.options.accounts.get(account).cloned().unwrap_or_default()
     }
 }
 
-/// The refusal of a permit request that would wait too long. The wait is longer still for whatever
-/// goes after it, so the refusal sheds no tier.
+/// Builds the refusal of a permit request that would wait too long. It sheds no tier, since lower tiers would wait
+/// even longer.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
     let advice = spread_advice(request.permit, wait, request.time_left);
     Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
 }
 
-/// Whether a permit request is refused because the pool has not enough room.
+/// Returns whether a permit request is refused because the pool lacks capacity.
 pub(crate) fn is_for_capacity(refusal: &Refusal) -> bool {
     match refusal.reason {
         RefusalReason::QueueFull | RefusalReason::TierShed => true,
--- a/crates/sched/src/admission/account.rs
+++ b/crates/sched/src/admission/account.rs
@@ -1,8 +1,8 @@
 //! Limits of one client account in one pool.
 //!
-//! Inputs: the account's rate in requests a second and its queue limit in requests, both from its
-//! section in the configuration. The rule: a request takes one token of a bucket that holds one
-//! second's worth of requests; where there is none, it is refused with the time until the next one.
+//! Inputs: the account's rate in requests per second and its queue limit in requests, both from its
+//! section in the configuration. The rule: a request takes one token from a bucket that holds one
+//! second's worth of requests; if the bucket is empty, the request is refused with the time until the next token.
 //!
 //! Owns: the token bucket of an account in one pool. Relies on: the configuration for its rate.
 
@@ -12,14 +12,14 @@
 
 use super::token_bucket::{TokenBucket, SCALE};
 
-/// What an account may do in a pool.
+/// Weight and limits of an account in a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AccountLimit {
     /// Share relative to the other accounts.
     pub weight: u32,
-    /// Requests a second; `None` is unlimited.
+    /// Requests per second; `None` is unlimited.
     pub rate_per_s: Option<u32>,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue_limit: u32,
 }
 
@@ -29,22 +29,22 @@
     }
 }
 
-/// The rate of one account in one pool.
+/// The token bucket of one account in one pool, in requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RateBucket {
     tokens: TokenBucket,
 }
 
 impl RateBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_s: u32, now: Uptime) -> RateBucket {
         RateBucket { tokens: TokenBucket::new(capacity(rate_per_s), now) }
     }
 
-    /// Takes one request out, or says how long it takes until one is there.
+    /// Takes the token of one request.
     ///
     /// # Errors
-    /// The time until the next request fits.
+    /// The time until the next token is available.
     pub fn take(&mut self, rate_per_s: u32, now: Uptime) -> Result<(), Duration> {
         self.tokens.refill(now, i128::from(rate_per_s), capacity(rate_per_s));
         let missing = SCALE - self.tokens.level();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Scaled tokens of one second.
+/// Returns the capacity of a bucket in scaled tokens: those of one second.
 fn capacity(rate_per_s: u32) -> i128 {
     i128::from(rate_per_s.max(1)) * SCALE
 }
--- a/crates/sched/src/admission/burst_window.rs
+++ b/crates/sched/src/admission/burst_window.rs
@@ -1,15 +1,15 @@
-//! How much of an account's burst may be taken? What was taken comes back one window later.
+//! Limits how much of an account's burst is taken within a sliding window.
 //!
 //! Inputs: the burst in scaled units, the window over which the platform counts, the times and amounts
-//! that were taken. The rule: within any window no more than the burst is taken, except for what unused
-//! units of the rate have paid back meanwhile.
+//! that were taken. The rule: within any window no more than the burst is taken, plus the unused units of the rate
+//! that were repaid to it in that time. Units become available again one window after they were taken.
 //!
-//! Load pattern: an account that asks for more than its rate for many seconds. The platform allows it rate
-//! and burst in *every* window; a bucket that refills from unused units alone gives the burst once, and
-//! the rate from then on: 53 % of what an account asks for at twice its rate, in place of 58 (a minute,
+//! Load pattern: an account that requests more than its rate for many seconds. The platform allows it rate
+//! and burst in *every* window. A bucket that refills only from unused units grants the burst once, and only
+//! the rate from then on: at twice its rate an account gets 53 % of what it requests instead of 58 % (over a minute,
 //! tests/rates.rs).
 //!
-//! Owns: what was taken of one account's burst. Relies on: its user for the limit and the window, which
+//! Owns: the units taken from one account's burst. Relies on: its caller for the limit and the window, which
 //! may change from call to call.
 
 use std::collections::VecDeque;
@@ -17,11 +17,11 @@
 
 use curlewcleat_core::Uptime;
 
-/// What is taken within one part in this many of a window is remembered together, and comes back together: bounds the
-/// entries of an account.
-const WINDOW_PARTS: u32 = 16;
+/// Number of records per window: units taken within this fraction of a window share a record, and become available
+/// again together. Bounds the records of an account.
+const RECORDS_PER_WINDOW: u32 = 16;
 
-/// Units that were taken within a short time.
+/// Units that were taken within one fraction of a window.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct TakenUnits {
     first: Uptime,
@@ -32,44 +32,46 @@
 /// The burst of one account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct BurstWindow {
+    /// Units that are not available again yet, oldest first.
     taken: VecDeque<TakenUnits>,
-    sum: i128,
-    /// The limit at the latest call.
+    /// Sum of the units in `taken`.
+    taken_sum: i128,
+    /// The limit at the latest call of `advance`.
     limit: i128,
-    /// When time passed last.
-    advanced: Uptime,
+    /// Time of the latest call of `advance`.
+    advanced_at: Uptime,
 }
 
 impl BurstWindow {
-    /// The burst of a daemon that has given out the rate since then.
+    /// Creates the window of a daemon that has granted units since `since`.
     pub fn new(since: Uptime) -> BurstWindow {
-        BurstWindow { advanced: since, ..BurstWindow::default() }
+        BurstWindow { advanced_at: since, ..BurstWindow::default() }
     }
 
-    /// Lets time pass. What the limit has grown by counts as taken one window after the latest call: until
-    /// then another daemon that does not know of this one may give it out (model `rates`).
+    /// Advances the time and applies the limit. The amount by which the limit has grown counts as taken one window
+    /// after the latest call: until then another daemon that does not know of this one may grant it (model `rates`).
     pub fn advance(&mut self, now: Uptime, window: Duration, limit: i128) {
         if limit > self.limit {
-            self.note(self.advanced + window, window, limit - self.limit);
+            self.record(self.advanced_at + window, window, limit - self.limit);
         }
         self.limit = limit;
-        self.advanced = now;
-        // Without a window nothing comes back by time.
+        self.advanced_at = now;
+        // Without a window no units become available again by time.
         while let Some(oldest) = self.taken.front().filter(|_| !window.is_zero()) {
             if now < oldest.last + window {
                 return;
             }
-            self.sum -= oldest.units;
+            self.taken_sum -= oldest.units;
             self.taken.pop_front();
         }
     }
 
-    /// Unused units of the rate pay back what was taken first.
-    pub fn pay_back(&mut self, mut units: i128) {
+    /// Repays the units that were taken first with unused units of the rate.
+    pub fn repay(&mut self, mut units: i128) {
         while let Some(oldest) = self.taken.front_mut().filter(|_| units > 0) {
             let paid = oldest.units.min(units);
             oldest.units -= paid;
-            self.sum -= paid;
+            self.taken_sum -= paid;
             units -= paid;
             if oldest.units == 0 {
                 self.taken.pop_front();
@@ -77,39 +79,40 @@
         }
     }
 
-    /// Scaled units that may be taken now.
-    pub fn free(&self) -> i128 {
-        (self.limit - self.sum).max(0)
+    /// Returns the scaled units that may be taken now.
+    pub fn available(&self) -> i128 {
+        (self.limit - self.taken_sum).max(0)
     }
 
-    /// Takes scaled units.
+    /// Takes scaled units from the burst.
     pub fn take(&mut self, now: Uptime, window: Duration, units: i128) {
         if units > 0 {
-            self.note(now, window, units);
+            self.record(now, window, units);
         }
     }
 
-    /// Time until `missing` scaled units have come back from the burst or from a rate of `per_s`.
+    /// Returns the time until `missing` scaled units are available, from the burst or from a rate of `per_s`.
     pub fn wait_for(&self, now: Uptime, window: Duration, missing: i128, per_s: i128) -> Duration {
         let by_rate = |units: i128| Duration::from_micros((units / per_s.max(1)).max(0) as u64);
-        let mut back = 0;
+        let mut regained = 0;
         for taken in self.taken.iter().filter(|_| !window.is_zero()) {
             let due = (taken.last + window).saturating_sub(now);
-            if by_rate(missing - back) <= due {
+            if by_rate(missing - regained) <= due {
                 break;
             }
-            back += taken.units;
-            if missing <= back + per_s * due.as_micros() as i128 {
+            regained += taken.units;
+            if missing <= regained + per_s * due.as_micros() as i128 {
                 return due;
             }
         }
-        by_rate(missing - back)
+        by_rate(missing - regained)
     }
 
-    fn note(&mut self, now: Uptime, window: Duration, units: i128) {
-        self.sum += units;
+    /// Records units as taken at `now`.
+    fn record(&mut self, now: Uptime, window: Duration, units: i128) {
+        self.taken_sum += units;
         match self.taken.back_mut() {
-            Some(latest) if now < latest.first + window / WINDOW_PARTS => {
+            Some(latest) if now < latest.first + window / RECORDS_PER_WINDOW => {
                 latest.last = latest.last.max(now);
                 latest.units += units;
             }
--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -1,14 +1,18 @@
-//! How long will a request wait, and how long will it take?
+//! Forecasts how long a request will wait and how long a target will need for it.
 //!
-//! Inputs: the request's work in microseconds, its place in the queue, what was learned of the targets'
-//! speeds, and what the pool has taken in lately. The rule: the wait is the work ahead of the request
-//! by the pool's capacity, which is what was granted lately where lengths are guesses, and the slots by
-//! the targets' speeds, or by the limits that they name, where they are known. The time on a target is that of the fastest one, longer by
-//! a margin where the work is known, and shorter by [`GUESS_DIVISOR`] where the length of the answer is
-//! a guess, so that neither error refuses what could be served.
+//! Inputs: the request's work in microseconds, its position in the queue, the learned speeds of the targets, the
+//! limits that they report, and the work that the pool has granted recently.
+//!
+//! The wait is the work ahead of the request divided by the pool's capacity. If the length of the answer is a guess,
+//! the capacity is the work granted recently; otherwise it is the number of slots, weighted by the speed of each
+//! target and bounded by the limit that it reports.
+//!
+//! The time on a target is that of the fastest one. A margin is added if the work is known; if the length of the
+//! answer is a guess, the time is divided by [`GUESS_DIVISOR`], so that a wrong guess does not refuse a request that
+//! could be served.
 //!
 //! Owns: nothing; these are methods of `PoolScheduler`. Relies on: `throughput` and `placement` for
-//! what was learned.
+//! learned capacity and speeds.
 
 use std::time::Duration;
 
@@ -20,12 +24,12 @@
 use crate::pool::{micros, with_margin, PoolScheduler};
 use crate::rollout::versions::VersionAccess;
 
-/// A guessed length may be this many times too long.
+/// Factor by which a guessed length may be too long.
 const GUESS_DIVISOR: u64 = 3;
 
 impl PoolScheduler {
-    /// Time that the fastest target needs, with room for the error of the estimate: too late where the
-    /// work is known, too early where the length of the answer is a guess.
+    /// Returns the time that the fastest target needs: overestimated by a margin if the work is known, underestimated
+    /// if the length of the answer is a guess.
     pub(crate) fn fastest_estimate(&self, request: &PermitRequest) -> WorkMicros {
         if request.objectives.length_guessed {
             let times = self.open_targets().filter_map(|state| self.stream_time(request, state));
@@ -36,14 +40,14 @@
         with_margin(fastest.unwrap_or(request.prompt_work + request.output_work))
     }
 
-    /// Time of a stream on an idle target by what was learned, `None` while nothing is known.
+    /// Returns the time of a stream on an idle target at its learned pace, or `None` if the pace is not known yet.
     fn stream_time(&self, request: &PermitRequest, state: &TargetState) -> Option<WorkMicros> {
         let prompt = state.pace.prompt_time(request.prompt_work)?;
         let output = state.pace.output_time(request.output_work, &self.pace)?;
         Some(prompt + output)
     }
 
-    /// Estimated time until a new request would be granted; `late` says that it can no longer begin in time.
+    /// Estimates the time until a new request is granted; `late` is set if it can no longer begin in time.
     pub(super) fn wait_estimate(
         &self,
         request: &PermitRequest,
@@ -51,8 +55,7 @@
         late: bool,
     ) -> WorkMicros {
         let ahead = self.queues.work_ahead(request, limit.weight, late);
-        // Where the work is known, the targets' speeds tell more than what happened to be granted
-        // lately.
+        // If the work is known, the targets' speeds are a better estimate than the recent grants.
         let capacity = self
             .throughput
             .capacity_for(request.tier)
@@ -65,14 +68,14 @@
         self.wait_for_slots(ahead, slots)
     }
 
-    /// Estimated time until a target's own limit lets the next request pass, where all name one.
+    /// Returns the shortest time until a target's reported limit admits the next request.
     pub(super) fn limit_wait(&self, now: Uptime) -> WorkMicros {
-        // Without a target that ever lets one pass the queue decides.
+        // If there is none, only the queue determines the wait.
         let waits = self.open_targets().filter_map(|state| state.limit_wait(now));
         waits.min().map_or(0, micros)
     }
 
-    /// Targets that neither leave nor are ejected, of versions in service.
+    /// Iterates over the targets that are neither leaving nor ejected and whose version is in service.
     pub(crate) fn open_targets(&self) -> impl Iterator<Item = &TargetState> {
         let in_service = |state: &&TargetState| state.access == VersionAccess::Open;
         self.targets
@@ -81,8 +84,8 @@
             .filter(|state| !state.is_leaving() && !state.ejected())
     }
 
-    /// Slots of the usable targets, each weighed by its speed, in thousandths. One that limits its rate keeps as many busy
-    /// as requests of this work do that come so often.
+    /// Returns the slots of the open targets, each weighted by its target's speed, in thousandths. A target that
+    /// limits its rate has at most the slots that requests of this work keep busy at that rate.
     fn speed_slots(&self, work: WorkMicros) -> u64 {
         let slots = self.open_targets().map(|state| {
             let slots = u64::from(state.slots) * 1_000 / state.slowness().max(1) * 1_000;
@@ -95,12 +98,14 @@
         slots.fold(0, u64::saturating_add)
     }
 
-    /// Time in which so many thousandths of slots take work in. Where there are none, as one slot does.
+    /// Returns the time in which a number of slots, in thousandths, serve this work. No slots count as one.
     fn wait_for_slots(&self, work: WorkMicros, slots: u64) -> WorkMicros {
         let slots = if slots == 0 { 1_000 } else { slots };
         u64::try_from(u128::from(work) * 1_000 / u128::from(slots)).unwrap_or(u64::MAX)
     }
 
+    /// Returns the `Retry-After` advice for a refusal for lack of capacity: the time in which the pool serves all
+    /// waiting requests, within bounds.
     pub(crate) fn drain_time(&self) -> Duration {
         let work = self.queues.total_work();
         let slots = self.speed_slots(work / (self.queues.len() as u64).max(1));
--- a/crates/sched/src/admission/level_guard.rs
+++ b/crates/sched/src/admission/level_guard.rs
@@ -1,12 +1,12 @@
-//! Refusals for want of capacity wait until every other scheduler sheds the tiers below.
+//! Holds refusals for lack of capacity until every other scheduler of the pool sheds the lower tiers.
 //!
-//! Two daemons may act as scheduler of one pool for a moment. So that none of them takes a lower
-//! tier in while another refuses a higher one, a scheduler has its overload level confirmed by all
-//! daemons that could act as scheduler before it lets such a refusal out. That takes one round trip.
-//! The level is sent again until each has confirmed it or is no longer reachable; nothing can be
-//! promised for a daemon that is cut off and serves on.
+//! Two daemons may briefly act as schedulers of one pool. So that none of them admits a lower
+//! tier while another refuses a higher one, a scheduler has its overload level confirmed by all
+//! daemons that could act as scheduler before it sends such a refusal. That takes one round trip.
+//! The level is sent again until each daemon has confirmed it or is no longer reachable. There is no guarantee
+//! for a daemon that is cut off and continues to serve.
 //!
-//! Owns: refusals that are held back. Relies on: the node for sending and for the reachable daemons.
+//! Owns: the held refusals. Relies on: the node for sending and for the reachable daemons.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,41 +16,44 @@
 use super::overload::LEVEL_HOLD;
 use crate::pool::SchedulerAction;
 
-/// Time after which a level is sent again to those that have not confirmed it: many round trips.
-const RAISE_AGAIN: Duration = Duration::from_millis(100);
+/// Time after which a level is sent again to daemons that have not confirmed it: many round trips.
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a guard wants done.
+/// Messages that the guard requests to be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GuardStep {
-    /// Answers that may go out.
+    /// Answers that may be sent.
     pub answers: Vec<SchedulerAction>,
-    /// A level to send to these daemons: tier and number of the round.
+    /// A level to send: its tier, the number of the round and the daemons that receive it.
     pub raise: Option<(TierRank, u64, Vec<DaemonId>)>,
 }
 
+/// A level that is being confirmed by the other daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ConfirmRound {
     tier: TierRank,
     number: u64,
-    /// When the level was first sent, and last.
-    begun: Uptime,
-    sent: Uptime,
-    missing: BTreeSet<DaemonId>,
+    /// When the level was first sent.
+    first_sent: Uptime,
+    /// When the level was last sent.
+    last_sent: Uptime,
+    /// Daemons that have not confirmed it yet.
+    unconfirmed: BTreeSet<DaemonId>,
 }
 
-/// Holds refusals of one pool back until its level is confirmed.
+/// Holds the refusals of one pool until its level is confirmed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LevelGuard {
     rounds: u64,
     round: Option<ConfirmRound>,
-    /// Tiers below this one are shed everywhere until then.
+    /// The tiers below this one are shed by all schedulers until this time.
     confirmed: Option<(TierRank, Uptime)>,
     held: Vec<SchedulerAction>,
 }
 
 impl LevelGuard {
-    /// Takes an answer of the scheduler. One that refuses for want of capacity waits until `peers`
-    /// shed everything below its tier; all others go out at once.
+    /// Accepts an answer of the scheduler. A refusal for lack of capacity is held until `peers`
+    /// shed all tiers below its own; any other answer may be sent at once.
     pub fn pass(
         &mut self,
         now: Uptime,
@@ -70,29 +73,35 @@
             return GuardStep::default();
         }
         self.rounds += 1;
-        let missing = peers.iter().cloned().collect();
-        self.round =
-            Some(ConfirmRound { tier, number: self.rounds, begun: now, sent: now, missing });
+        let unconfirmed = peers.iter().cloned().collect();
+        self.round = Some(ConfirmRound {
+            tier,
+            number: self.rounds,
+            first_sent: now,
+            last_sent: now,
+            unconfirmed,
+        });
         GuardStep { answers: Vec::new(), raise: Some((tier, self.rounds, peers.to_vec())) }
     }
 
-    /// A daemon sheds everything below the tier of a round.
+    /// Records that a daemon sheds all tiers below the tier of a round. Returns the answers that may be sent.
     pub fn confirmed(&mut self, from: &DaemonId, number: u64) -> Vec<SchedulerAction> {
         let Some(round) = self.round.as_mut().filter(|round| round.number == number) else {
             return Vec::new();
         };
-        round.missing.remove(from);
+        round.unconfirmed.remove(from);
         self.release()
     }
 
-    /// Lets time pass. `peers` are the daemons that are reachable now.
+    /// Sends the level again where it is due. `peers` are the daemons that are reachable now.
     pub fn tick(&mut self, now: Uptime, peers: &[DaemonId]) -> GuardStep {
         let mut raise = None;
         if let Some(round) = self.round.as_mut() {
-            round.missing.retain(|peer| peers.contains(peer));
-            if !round.missing.is_empty() && now >= round.sent + RAISE_AGAIN {
-                round.sent = now;
-                raise = Some((round.tier, round.number, round.missing.iter().cloned().collect()));
+            round.unconfirmed.retain(|peer| peers.contains(peer));
+            if !round.unconfirmed.is_empty() && now >= round.last_sent + RESEND_INTERVAL {
+                round.last_sent = now;
+                raise =
+                    Some((round.tier, round.number, round.unconfirmed.iter().cloned().collect()));
             }
         }
         GuardStep { answers: self.release(), raise }
@@ -100,15 +109,15 @@
 
     /// Releases the held refusals once every daemon has confirmed.
     fn release(&mut self) -> Vec<SchedulerAction> {
-        let Some(round) = self.round.take_if(|round| round.missing.is_empty()) else {
+        let Some(round) = self.round.take_if(|round| round.unconfirmed.is_empty()) else {
             return Vec::new();
         };
-        // The others hold the level for a while from when they heard of it, which was later.
-        self.confirmed = Some((round.tier, round.begun + LEVEL_HOLD));
-        let (out, held) = std::mem::take(&mut self.held)
+        // The other daemons hold the level for as long, but from a later time: when they received it.
+        self.confirmed = Some((round.tier, round.first_sent + LEVEL_HOLD));
+        let (released, held) = std::mem::take(&mut self.held)
             .into_iter()
             .partition(|action| action.shed.is_none_or(|tier| round.tier <= tier));
         self.held = held;
-        out
+        released
     }
 }
--- a/crates/sched/src/admission/replacement.rs
+++ b/crates/sched/src/admission/replacement.rs
@@ -1,13 +1,13 @@
-//! May a request that is at a stalled target wait for another one?
+//! Decides whether a request at a stalled target may wait for another target.
 //!
-//! Inputs: the permits of the request, as the scheduler knows them; the overload level and the queue of the pool.
+//! Inputs: the permits of the request that the scheduler knows; the overload level and the queue of the pool.
 //!
-//! The rule: it waits like any other of its tier, but it has a target, so it takes nothing from requests that have
-//! none: where its tier is shed or the queue is full it is refused, and neither that nor the end of its wait evicts
-//! anything or sheds a tier. Load pattern: an overload in which targets pause, so that every stream asks again and
-//! again for another one.
+//! The rule: the request waits like any other of its tier, but since it already has a target, it takes nothing from
+//! requests that have none. It is refused if its tier is shed or the queue is full. Neither that refusal nor one at
+//! the end of its wait evicts a request or sheds a tier. Load pattern: an overload in which targets pause, so that
+//! every stream repeatedly requests another target.
 //!
-//! Owns: the rule; the state is the [`PoolScheduler`]'s. Relies on: entries that hold both permits until they leave
+//! Owns: the rule; the state is in [`PoolScheduler`]. Relies on: entry daemons that hold both permits until they leave
 //! the stalled target.
 
 use curlewcleat_core::{DaemonId, PermitId, PermitRequest, Refusal, RefusalReason, Uptime};
@@ -16,20 +16,20 @@
 use crate::targets::state_of;
 
 impl PoolScheduler {
-    /// Whether a permit of an earlier attempt of the same request is in use.
+    /// Returns whether a permit of an earlier attempt of the same request is in use.
     pub(crate) fn is_at_target(&self, permit: &PermitId) -> bool {
         let first = PermitId { attempt: 0, ..*permit };
         self.permits.range(first..*permit).next().is_some()
     }
 
-    /// Takes the permit request of a request that is at a stalled target.
+    /// Handles the permit request of a request that is at a stalled target: queues or refuses it.
     pub(crate) fn request_replacement(
         &mut self,
         now: Uptime,
         entry: DaemonId,
         request: PermitRequest,
     ) -> Vec<SchedulerAction> {
-        self.note_stalled(now, &request);
+        self.record_stalled(now, &request);
         if let Some(refusal) = self.replacement_refusal(now, &entry, &request) {
             return vec![self.refuse(entry, &request, refusal)];
         }
@@ -39,6 +39,7 @@
         actions
     }
 
+    /// Returns the refusal of a request that may not wait for another target, `None` if it may.
     fn replacement_refusal(
         &self,
         now: Uptime,
@@ -61,9 +62,10 @@
         Some(Refusal::not_run(reason, Some(self.drain_time())))
     }
 
-    /// The target of a request that asks for another one has failed now, not only once the request can leave it:
-    /// under overload that takes seconds, in which an ended target would be given further requests.
-    fn note_stalled(&mut self, now: Uptime, request: &PermitRequest) {
+    /// Counts a failure of the target of a request that requests another one. This happens now and not when the
+    /// request leaves the target: under overload that takes seconds, in which a terminated target would get further
+    /// requests.
+    fn record_stalled(&mut self, now: Uptime, request: &PermitRequest) {
         let may_eject = self.may_eject();
         let first = PermitId { attempt: 0, ..request.permit };
         for (_, record) in self.permits.range_mut(first..request.permit) {
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -1,17 +1,17 @@
-//! Has an account room in its rate? Rates that hold over all daemons together.
+//! Enforces account rates that hold over all daemons together.
 //!
-//! Inputs: the account's rate in units a second and its burst in units (configuration), the cost of the
-//! request in units, what the platform tolerates beyond (settings `[bounds] rate_*`), the daemons that
-//! this one reaches, whose turn it is. The rule: a request passes while the bucket and the burst that comes
-//! back once a window ([`burst_window`](super::burst_window)) are above zero, and may take them below;
-//! otherwise it is refused with the time until they, less what was promised to others before, are above
-//! zero again.
+//! Inputs: the account's rate in units per second and its burst in units (configuration), the cost of the
+//! request in units, what the platform tolerates beyond them (settings `[bounds] rate_*`), the number of daemons that
+//! this one reaches, its role. The rule: a request passes while the bucket and the available burst together
+//! ([`burst_window`](super::burst_window)) are above zero, and may take them below zero.
+//! Otherwise it is refused with the time until they are above zero again, after the units promised to requests that
+//! were refused before it.
 //!
-//! The daemon that schedules keeps them, since every request asks it. Where daemons cannot reach each
-//! other, several may schedule at once; each then gives out only the part of the rate that belongs to
-//! the daemons it reaches, so that the parts add up to the whole.
+//! The daemon that schedules keeps the rates, since it receives every request. If daemons cannot reach each
+//! other, several may schedule at once; each then grants only the share of the rate of the daemons that it reaches, so
+//! that the shares add up to the whole rate.
 //!
-//! Owns: one bucket an account. Relies on: the node for whose turn it is and how many daemons it
+//! Owns: one bucket per account. Relies on: the node for the role and the number of daemons that it
 //! reaches.
 
 use std::collections::BTreeMap;
@@ -23,41 +23,41 @@
 use super::token_bucket::{TokenBucket, SCALE};
 use crate::advice::{LEAST_ADVICE, MOST_ADVICE};
 
-/// Divides a second's units into what a daemon that is asked out of turn may save: little, since the daemon whose
-/// turn it is may have given the burst out.
-const OUT_OF_TURN_DIVISOR: i128 = 4;
-/// Divides the burst into what unused units of the rate fill, for gaps between requests; the rest comes back once a
-/// window: no more than what the rate gains in a second.
-const SAVED_DIVISOR: i128 = 2;
-/// Windows in which the reserve of a deputy fills, so that what is saved and what fills up within one window are the
-/// reserve together; model `rates`.
-const RESERVE_WINDOWS: i128 = 2;
-
-/// Whose turn it is to give out the rates, as a daemon sees itself.
+/// Divides the units of one second into what a daemon that is not the leader may save. It may save little, since
+/// the leader may have granted the burst.
+const NON_LEADER_SAVED_DIVISOR: i128 = 4;
+/// Divides the burst into what the leader's bucket may save of unused units, to bridge gaps between requests; at most
+/// the units of one second. The rest of the burst becomes available again one window after it was taken.
+const LEADER_SAVED_DIVISOR: i128 = 2;
+/// Windows in which the saved units of a deputy fill. The saved units and those gained within one window together make
+/// up its reserve; model `rates`.
+const RESERVE_FILL_WINDOWS: i128 = 2;
+
+/// The role in which a daemon grants units of the rates, from its own point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RateTurn {
-    /// It is asked first.
+    /// It receives the requests first.
     Leader,
-    /// It is asked next, where the leader is unresponsive. It has a reserve, which is what the platform
-    /// tolerates beyond the rates and the leader does not use; it fills while the leader stays the
+    /// It receives the requests if the leader is unresponsive. It has a reserve: what the platform
+    /// tolerates beyond the rates and the leader does not use. The reserve fills while the leader stays the
     /// same.
     Deputy,
-    /// It is asked after these. It has no burst saved, since the others may have given it out.
+    /// It receives requests only after these two. It has no burst, since the others may have granted it.
     Other,
 }
 
-/// The part of all rates that a daemon gives out.
+/// The share of all rates that a daemon grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RatePart {
-    /// Daemons that it reaches, itself among them.
+    /// Number of daemons that it reaches, including itself.
     pub reached: usize,
-    /// Daemons that there are.
+    /// Number of all daemons.
     pub all: usize,
-    /// Whose turn it is.
+    /// The role of this daemon.
     pub turn: RateTurn,
 }
 
-/// How far the daemons may go beyond the rates: the leader by half of what the platform tolerates, its
+/// How far the daemons may exceed the rates: the leader by half of what the platform tolerates, its
 /// deputy by the other half.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RateMargin {
@@ -70,7 +70,7 @@
 }
 
 impl RateMargin {
-    /// What a deputy may give out within a window.
+    /// Returns the units that a deputy may grant within a window.
     fn reserve(&self, rate: &SharedRate) -> u64 {
         let of_window = u128::from(rate.per_s) * self.window.as_millis() / 1_000;
         let of_rate = of_window * u128::from(self.percent) / 100;
@@ -78,7 +78,7 @@
     }
 }
 
-/// The rate of one account.
+/// The bucket and the burst of one account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SharedBucket {
     units: TokenBucket,
@@ -88,7 +88,7 @@
 }
 
 impl SharedBucket {
-    /// A bucket of a daemon that has given out the rate since then, and nothing before.
+    /// Creates an empty bucket of a daemon that has granted units since `since`.
     fn new(since: Uptime) -> SharedBucket {
         SharedBucket {
             units: TokenBucket::new(0, since),
@@ -97,42 +97,42 @@
         }
     }
 
-    /// Lets time pass. Unused units of the rate pay back what was taken of the burst.
-    fn pass(&mut self, now: Uptime, window: Duration, flow: &BucketFlow) {
+    /// Refills the bucket. Unused units of the rate repay what was taken from the burst.
+    fn refill(&mut self, now: Uptime, window: Duration, limits: &BucketLimits) {
         let before = self.units.level();
-        let gained = self.units.refill(now, flow.per_s, flow.limit);
+        let gained = self.units.refill(now, limits.per_s, limits.limit);
         self.promised = (self.promised - gained).max(0);
-        self.burst.advance(now, window, flow.burst);
-        self.burst.pay_back(before + gained - self.units.level());
+        self.burst.advance(now, window, limits.burst);
+        self.burst.repay(before + gained - self.units.level());
     }
 
-    /// Scaled units that may be taken now, below zero after more was taken than there was.
+    /// Returns the scaled units that may be taken now; below zero after more was taken than was available.
     fn level(&self) -> i128 {
-        self.units.level() + self.burst.free()
+        self.units.level() + self.burst.available()
     }
 
-    /// Takes units of the rate first, then of the burst; what is missing the rate has to gain.
+    /// Takes units of the rate first, then of the burst; the rest overdraws the bucket.
     fn take(&mut self, now: Uptime, window: Duration, cost: u64) {
         let beyond = i128::from(cost) * SCALE - self.units.level().max(0);
-        let of_burst = beyond.clamp(0, self.burst.free());
+        let of_burst = beyond.clamp(0, self.burst.available());
         self.burst.take(now, window, of_burst);
         self.units.take(cost);
-        self.units.put(of_burst);
+        self.units.add(of_burst);
     }
 }
 
-/// What a bucket gains and holds.
+/// Refill rate and limits of a bucket.
 #[derive(Clone, Copy, Debug)]
-struct BucketFlow {
-    /// Units a second.
+struct BucketLimits {
+    /// Units per second.
     per_s: i128,
-    /// Scaled units at most.
+    /// Maximum level, in scaled units.
     limit: i128,
-    /// Scaled units that come back one window after they were taken.
+    /// Scaled units that become available again one window after they were taken.
     burst: i128,
 }
 
-/// The rates that a daemon keeps.
+/// The rates of all accounts that a daemon keeps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AccountRates {
     margin: RateMargin,
@@ -141,21 +141,21 @@
 }
 
 impl AccountRates {
-    /// Rates that are kept with a margin.
+    /// Creates rates that may be exceeded by a margin.
     pub fn new(margin: RateMargin) -> AccountRates {
         AccountRates { margin, ..AccountRates::default() }
     }
 
-    /// Begins with nothing saved: another daemon may just have given the burst out.
+    /// Resets all buckets to empty, since another daemon may just have granted the burst.
     pub fn restart(&mut self, now: Uptime) {
         self.buckets.clear();
         self.since = now;
     }
 
-    /// Takes `cost` units out of an account's rate, or says how long to wait.
+    /// Takes `cost` units from an account's rate.
     ///
     /// # Errors
-    /// The time until there is room again.
+    /// The time until units are available again.
     pub fn take(
         &mut self,
         now: Uptime,
@@ -164,52 +164,52 @@
         cost: u64,
         part: RatePart,
     ) -> Result<(), Duration> {
-        let flow = self.flow(rate, part);
+        let limits = self.limits(rate, part);
         let since = self.since;
         let bucket =
             self.buckets.entry(account.clone()).or_insert_with(|| SharedBucket::new(since));
         let window = self.margin.window;
-        bucket.pass(now, window, &flow);
+        bucket.refill(now, window, &limits);
         if bucket.level() > 0 {
             bucket.take(now, window, cost);
             return Ok(());
         }
-        // Earlier refused requests are scheduled to retry first.
+        // Requests that were refused earlier are advised to retry before this one.
         let missing = 1 - bucket.level() + bucket.promised;
         bucket.promised += i128::from(cost) * SCALE;
-        let wait = bucket.burst.wait_for(now, window, missing, flow.per_s);
+        let wait = bucket.burst.wait_for(now, window, missing, limits.per_s);
         Err((wait + Duration::from_millis(1)).clamp(LEAST_ADVICE, MOST_ADVICE))
     }
 
-    /// What a bucket gains and holds.
-    fn flow(&self, rate: &SharedRate, part: RatePart) -> BucketFlow {
-        let of_part = |units: u64| {
+    /// Returns the refill rate and the limits of a bucket in a daemon with this share and role.
+    fn limits(&self, rate: &SharedRate, part: RatePart) -> BucketLimits {
+        let share_of = |units: u64| {
             i128::from(units) * part.reached.min(part.all) as i128 / part.all.max(1) as i128
         };
-        let per_s = of_part(rate.per_s + rate.per_s * self.margin.percent / 100);
-        let saved = per_s * SCALE / OUT_OF_TURN_DIVISOR;
+        let per_s = share_of(rate.per_s + rate.per_s * self.margin.percent / 100);
+        let saved = per_s * SCALE / NON_LEADER_SAVED_DIVISOR;
         match part.turn {
             RateTurn::Leader => {
-                let all = of_part(rate.burst + self.margin.units) * SCALE;
-                let limit = (all / SAVED_DIVISOR).min(per_s * SCALE);
-                BucketFlow { per_s, limit, burst: all - limit }
+                let whole_burst = share_of(rate.burst + self.margin.units) * SCALE;
+                let limit = (whole_burst / LEADER_SAVED_DIVISOR).min(per_s * SCALE);
+                BucketLimits { per_s, limit, burst: whole_burst - limit }
             }
             RateTurn::Deputy => {
                 let reserve = i128::from(self.margin.reserve(rate));
                 let millis = self.margin.window.as_millis().max(1) as i128;
-                // What is saved and what fills up within a window are the reserve together.
-                let held = reserve * RESERVE_WINDOWS / (RESERVE_WINDOWS + 1);
-                let refill = held * 1_000 / (millis * RESERVE_WINDOWS);
-                BucketFlow { per_s: per_s + refill, limit: saved + held * SCALE, burst: 0 }
+                // The saved units and those gained within a window together make up the reserve.
+                let held = reserve * RESERVE_FILL_WINDOWS / (RESERVE_FILL_WINDOWS + 1);
+                let refill = held * 1_000 / (millis * RESERVE_FILL_WINDOWS);
+                BucketLimits { per_s: per_s + refill, limit: saved + held * SCALE, burst: 0 }
             }
-            RateTurn::Other => BucketFlow { per_s, limit: saved, burst: 0 },
+            RateTurn::Other => BucketLimits { per_s, limit: saved, burst: 0 },
         }
     }
 
-    /// Gives units back that were taken for a request that is refused.
+    /// Returns the units that were taken for a request that is refused.
     pub fn give_back(&mut self, account: &AccountId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
-            bucket.units.give_back(cost);
+            bucket.units.refund(cost);
         }
     }
 }
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -1,10 +1,10 @@
-//! How much work can a pool take in? Learned from what it has granted while requests waited.
+//! Learns the capacity of a pool from the work that it granted while requests waited.
 //!
 //! Inputs: work in microseconds granted and arrived, by tier, and the time for which requests waited.
-//! The rule: the capacity left to a tier is what the pool grants in a second less what arrives in the
-//! tiers above, but at least one part in [`LEAST_PART`] of it.
+//! The rule: the capacity of a tier is the work that the pool grants per second less the work that arrives in the
+//! higher tiers, but at least the pool's capacity divided by [`MIN_CAPACITY_DIVISOR`].
 //!
-//! Owns: the decaying sums of one pool. Relies on: `PoolScheduler` for grants and the clock.
+//! Owns: the decaying sums of one pool. Relies on: `PoolScheduler` for arrivals, grants and the clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,75 +13,76 @@
 
 use crate::decaying_ratio::DecayingRatio;
 
-/// Time after which the sums decay, by one part in [`DECAY_PARTS`].
-const PART: Duration = Duration::from_millis(500);
-/// The sums lose one part in this many each time.
-const DECAY_PARTS: u64 = 4;
-/// Least time of a busy pool from which its capacity can be estimated.
-const LEAST_BUSY: Duration = Duration::from_millis(300);
-/// A tier is believed to get at least one part in this many of the capacity.
-const LEAST_PART: u64 = 8;
-/// Microseconds in a second, by definition; a figure from no setting.
+/// Interval at which the sums decay by the fraction 1 / [`DECAY_DIVISOR`].
+const DECAY_INTERVAL: Duration = Duration::from_millis(500);
+/// Divisor of the fraction that the sums lose at each decay.
+const DECAY_DIVISOR: u64 = 4;
+/// Minimum time with waiting requests from which the capacity is estimated.
+const MIN_BUSY_TIME: Duration = Duration::from_millis(300);
+/// A tier is assumed to get at least the capacity divided by this.
+const MIN_CAPACITY_DIVISOR: u64 = 8;
+/// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Work in a second: above the line in microseconds of work, below it in microseconds of time.
-fn per_second(flow: &DecayingRatio) -> u64 {
-    let flow = DecayingRatio { below: flow.below.max(1), ..*flow };
-    // `below` is at least 1, so that there always is a ratio.
-    flow.of(MICROS_PER_SECOND).unwrap_or(0)
+/// Returns the work per second, from a ratio of microseconds of work to microseconds of time.
+fn per_second(work: &DecayingRatio) -> u64 {
+    let work = DecayingRatio { below: work.below.max(1), ..*work };
+    // `below` is at least 1, so there always is a ratio.
+    work.of(MICROS_PER_SECOND).unwrap_or(0)
 }
 
-/// Flows of one pool.
+/// Work granted and arrived in one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PoolThroughput {
     /// Work granted while requests waited.
     granted: DecayingRatio,
-    /// Work that arrived in each tier, over all time.
+    /// Work that arrived in each tier, whether requests waited or not.
     arrived: BTreeMap<TierRank, DecayingRatio>,
-    last: Uptime,
-    faded: Uptime,
+    last_tick: Uptime,
+    last_decay: Uptime,
 }
 
 impl PoolThroughput {
-    /// A request with this work was taken in.
+    /// Records the work of a request that was admitted.
     pub fn arrived(&mut self, tier: TierRank, work: WorkMicros) {
         self.arrived.entry(tier).or_default().above += work;
     }
 
-    /// A request with this work got its permit; `busy` says whether others wait.
+    /// Records the work of a request that was granted a permit; `busy` is set if other requests wait.
     pub fn granted(&mut self, work: WorkMicros, busy: bool) {
         if busy {
             self.granted.above += work;
         }
     }
 
-    /// Lets time pass; `busy` says whether requests wait.
+    /// Counts the time since the last call and decays the sums if due; `busy` is set if requests wait.
     pub fn tick(&mut self, now: Uptime, busy: bool) {
-        let passed = now.saturating_sub(self.last).as_micros() as u64;
-        self.last = now;
+        let passed = now.saturating_sub(self.last_tick).as_micros() as u64;
+        self.last_tick = now;
         if busy {
             self.granted.below += passed;
         }
-        self.arrived.values_mut().for_each(|flow| flow.below += passed);
-        if now >= self.faded + PART {
-            self.faded = now;
+        self.arrived.values_mut().for_each(|work| work.below += passed);
+        if now >= self.last_decay + DECAY_INTERVAL {
+            self.last_decay = now;
             if busy {
-                self.granted.decay(DECAY_PARTS);
+                self.granted.decay(DECAY_DIVISOR);
             }
-            self.arrived.values_mut().for_each(|flow| flow.decay(DECAY_PARTS));
+            self.arrived.values_mut().for_each(|work| work.decay(DECAY_DIVISOR));
         }
     }
 
-    /// Work that the pool takes in each second of what waits in a tier, once the tiers above have had
-    /// theirs. `None` where it cannot be estimated.
+    /// Returns the work per second that the pool can grant to a tier beside the work of the higher tiers, or `None`
+    /// if it cannot be estimated yet.
     pub fn capacity_for(&self, tier: TierRank) -> Option<u64> {
         let busy = u128::from(self.granted.below);
-        // A scheduler that has just taken over may have granted nothing, since others hold the permits.
-        if busy < LEAST_BUSY.as_micros() || self.granted.above == 0 {
+        // A scheduler that has just taken over may have granted nothing, since the slots are in use by permits that
+        // its predecessor granted.
+        if busy < MIN_BUSY_TIME.as_micros() || self.granted.above == 0 {
             return None;
         }
         let capacity = per_second(&self.granted);
-        let above: u64 = self.arrived.range(..tier).map(|(_, flow)| per_second(flow)).sum();
-        Some(capacity.saturating_sub(above).max(capacity / LEAST_PART).max(1))
+        let higher: u64 = self.arrived.range(..tier).map(|(_, work)| per_second(work)).sum();
+        Some(capacity.saturating_sub(higher).max(capacity / MIN_CAPACITY_DIVISOR).max(1))
     }
 }
