--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -37,31 +37,40 @@
 };
 
 use self::account::{AccountLimit, RateBucket};
-use crate::advice::{rest_advice, spread_advice, DEFAULT_ADVICE};
+use crate::advice::{rest_retry_after, spread_advice, DEFAULT_ADVICE};
 use crate::placement::target::TargetState;
 use crate::pool::{micros, PoolScheduler, SchedulerAction};
 
 impl PoolScheduler {
     /// Refuses waiting requests for which no target remains.
-    pub(crate) fn refuse_unreachable(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
+    pub(crate) fn refuse_without_target(
+        &mut self,
+        now: Uptime,
+        actions: &mut Vec<SchedulerAction>,
+    ) {
         let open = |target: &TargetState| target.usable(now) && !target.rests(now);
         if self.targets.values().all(open) && !self.targets.is_empty() {
             return;
         }
-        let lost = self
+        let without_target = self
             .queues
             .heads(usize::MAX)
-            .filter(|waiting| !self.reachable(now, &waiting.entry, &waiting.request));
-        for permit in lost.map(|waiting| waiting.request.permit).collect::<Vec<_>>() {
+            .filter(|waiting| !self.has_usable_target(now, &waiting.entry, &waiting.request));
+        for permit in without_target.map(|waiting| waiting.request.permit).collect::<Vec<_>>() {
             if let Some(waiting) = self.queues.remove(&permit) {
-                let refusal = self.no_target(now, &waiting.entry, &waiting.request);
+                let refusal = self.no_target_refusal(now, &waiting.entry, &waiting.request);
                 actions.push(self.refuse(waiting.entry, &waiting.request, refusal));
             }
         }
     }
 
     /// Returns whether some target accepts new work from this entry daemon and has not failed this request.
-    pub(crate) fn reachable(&self, now: Uptime, entry: &DaemonId, request: &PermitRequest) -> bool {
+    pub(crate) fn has_usable_target(
+        &self,
+        now: Uptime,
+        entry: &DaemonId,
+        request: &PermitRequest,
+    ) -> bool {
         self.targets.iter().any(|(id, target)| {
             let accepts = target.usable(now) && target.rest_left(now, &entry.vm).is_none();
             accepts && !request.avoid.contains(id)
@@ -69,7 +78,7 @@
     }
 
     /// Builds the `no_target` refusal. It advises retrying when the first target accepts new work again.
-    pub(crate) fn no_target(
+    pub(crate) fn no_target_refusal(
         &self,
         now: Uptime,
         entry: &DaemonId,
@@ -80,7 +89,7 @@
         let usable = self.targets.values().filter(|target| target.usable(now));
         let shortest_rest = usable.filter_map(|target| target.rest_left(now, &entry.vm)).min();
         let wait = match shortest_rest {
-            Some(rest) => rest_advice(request.permit, rest),
+            Some(rest) => rest_retry_after(request.permit, rest),
             None => recovery,
         };
         Refusal::not_run(RefusalReason::NoTarget, Some(wait))
@@ -104,10 +113,10 @@
             let wait = Some(self.level.remaining(now).max(DEFAULT_ADVICE));
             return Err(Refusal::not_run(RefusalReason::TierShed, wait));
         }
-        let limit = self.limit_of(&request.account);
+        let limit = self.account_limit(&request.account);
         self.check_account(now, request, &limit)?;
-        if !self.reachable(now, entry, request) {
-            return Err(self.no_target(now, entry, request));
+        if !self.has_usable_target(now, entry, request) {
+            return Err(self.no_target_refusal(now, entry, request));
         }
         let estimate = self.fastest_estimate(request);
         let time_left = request.time_left.as_micros() as u64;
@@ -116,7 +125,7 @@
         }
         let in_time_until = self.in_time_until(now, request);
         let wait = self.wait_estimate(request, &limit, in_time_until <= now);
-        let wait = wait.max(self.limit_wait(now));
+        let wait = wait.max(self.target_limit_wait(now));
         if wait > micros(request.objectives.forecast_limit) {
             return Err(wait_too_long(request, Duration::from_micros(wait)));
         }
@@ -127,7 +136,7 @@
             return Err(refusal);
         }
         if self.queues.len() >= self.options.queue_limit {
-            self.make_room(now, request, actions)?;
+            self.evict_for(now, request, actions)?;
         }
         Ok(in_time_until)
     }
@@ -143,7 +152,10 @@
         limit: &AccountLimit,
     ) -> Result<(), Refusal> {
         if self.queues.account_len(&request.account) >= limit.queue_limit as usize {
-            return Err(Refusal::not_run(RefusalReason::AccountQueue, Some(self.drain_time())));
+            return Err(Refusal::not_run(
+                RefusalReason::AccountQueue,
+                Some(self.queue_drain_time()),
+            ));
         }
         let Some(rate) = limit.rate_per_s else { return Ok(()) };
         // A further attempt belongs to the same request and is not charged again.
@@ -164,7 +176,7 @@
     ///
     /// # Errors
     /// `queue_full`, if nothing may be evicted; the tiers below are shed then.
-    fn make_room(
+    fn evict_for(
         &mut self,
         now: Uptime,
         request: &PermitRequest,
@@ -209,8 +221,10 @@
         self.level.raise(tier, now);
         for permit in self.queues.below(tier) {
             if let Some(waiting) = self.queues.remove(&permit) {
-                let refusal =
-                    Refusal::not_run(RefusalReason::ShedForHigherTier, Some(self.drain_time()));
+                let refusal = Refusal::not_run(
+                    RefusalReason::ShedForHigherTier,
+                    Some(self.queue_drain_time()),
+                );
                 actions.push(self.refuse_for_capacity(waiting.entry, &waiting.request, refusal));
             }
         }
@@ -242,11 +256,11 @@
         reason: RefusalReason,
     ) -> Refusal {
         self.level.raise(tier, now);
-        Refusal::not_run(reason, Some(self.drain_time()))
+        Refusal::not_run(reason, Some(self.queue_drain_time()))
     }
 
     /// Returns the limits of an account.
-    pub(crate) fn limit_of(&self, account: &AccountId) -> AccountLimit {
+    pub(crate) fn account_limit(&self, account: &AccountId) -> AccountLimit {
         // An account that was removed from the configuration may still have waiting requests.
         self.options.accounts.get(account).cloned().unwrap_or_default()
     }
--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -3,13 +3,13 @@
 //! Inputs: the request's work in microseconds, its position in the queue, the learned speeds of the targets, the
 //! limits that they report, and the work that the pool has granted recently.
 //!
-//! The wait is the work ahead of the request divided by the pool's capacity. If the length of the answer is a guess,
-//! the capacity is the work granted recently; otherwise it is the number of slots, weighted by the speed of each
-//! target and bounded by the limit that it reports.
+//! The wait is the work ahead of the request divided by the pool's capacity. If the length of the answer is a guess
+//! and enough work was granted recently, the capacity is that work; otherwise it is the number of slots, weighted by
+//! the speed of each target and bounded by the limit that it reports.
 //!
 //! The time on a target is that of the fastest one. A margin is added if the work is known; if the length of the
-//! answer is a guess, the time is divided by [`GUESS_DIVISOR`], so that a wrong guess does not refuse a request that
-//! could be served.
+//! answer is a guess, the time is divided by [`GUESS_DIVISOR`]. So neither error refuses a request that could be
+//! served.
 //!
 //! Owns: nothing; these are methods of `PoolScheduler`. Relies on: `throughput` and `placement` for
 //! learned capacity and speeds.
@@ -19,7 +19,7 @@
 use curlewcleat_core::{PermitRequest, RequestRate, Uptime, WorkMicros};
 
 use super::account::AccountLimit;
-use crate::advice::capacity_advice;
+use crate::advice::capacity_retry_after;
 use crate::placement::target::TargetState;
 use crate::pool::{micros, with_margin, PoolScheduler};
 use crate::rollout::versions::VersionAccess;
@@ -64,12 +64,12 @@
             let micros = u128::from(ahead) * 1_000_000 / u128::from(capacity);
             return u64::try_from(micros).unwrap_or(u64::MAX);
         }
-        let slots = self.speed_slots(request.prompt_work + request.output_work);
+        let slots = self.effective_slots(request.prompt_work + request.output_work);
         self.wait_for_slots(ahead, slots)
     }
 
     /// Returns the shortest time until a target's reported limit admits the next request.
-    pub(super) fn limit_wait(&self, now: Uptime) -> WorkMicros {
+    pub(super) fn target_limit_wait(&self, now: Uptime) -> WorkMicros {
         // If there is none, only the queue determines the wait.
         let waits = self.open_targets().filter_map(|state| state.limit_wait(now));
         waits.min().map_or(0, micros)
@@ -86,14 +86,14 @@
 
     /// Returns the slots of the open targets, each weighted by its target's speed, in thousandths. A target that
     /// limits its rate has at most the slots that requests of this work keep busy at that rate.
-    fn speed_slots(&self, work: WorkMicros) -> u64 {
+    fn effective_slots(&self, work: WorkMicros) -> u64 {
         let slots = self.open_targets().map(|state| {
             let slots = u64::from(state.slots) * 1_000 / state.slowness().max(1) * 1_000;
-            let of_limit = |rate: RequestRate| {
+            let slots_of_rate = |rate: RequestRate| {
                 let slots = u128::from(rate.0) * u128::from(work) / 1_000_000;
                 u64::try_from(slots).unwrap_or(u64::MAX)
             };
-            state.rate().map_or(slots, |rate| slots.min(of_limit(rate)))
+            state.rate().map_or(slots, |rate| slots.min(slots_of_rate(rate)))
         });
         slots.fold(0, u64::saturating_add)
     }
@@ -106,9 +106,9 @@
 
     /// Returns the `Retry-After` advice for a refusal for lack of capacity: the time in which the pool serves all
     /// waiting requests, within bounds.
-    pub(crate) fn drain_time(&self) -> Duration {
+    pub(crate) fn queue_drain_time(&self) -> Duration {
         let work = self.queues.total_work();
-        let slots = self.speed_slots(work / (self.queues.len() as u64).max(1));
-        capacity_advice(Duration::from_micros(self.wait_for_slots(work, slots)))
+        let slots = self.effective_slots(work / (self.queues.len() as u64).max(1));
+        capacity_retry_after(Duration::from_micros(self.wait_for_slots(work, slots)))
     }
 }
--- a/crates/sched/src/admission/level_guard.rs
+++ b/crates/sched/src/admission/level_guard.rs
@@ -33,11 +33,8 @@
 struct ConfirmRound {
     tier: TierRank,
     number: u64,
-    /// When the level was first sent.
     first_sent: Uptime,
-    /// When the level was last sent.
     last_sent: Uptime,
-    /// Daemons that have not confirmed it yet.
     unconfirmed: BTreeSet<DaemonId>,
 }
 
@@ -48,6 +45,7 @@
     round: Option<ConfirmRound>,
     /// The tiers below this one are shed by all schedulers until this time.
     confirmed: Option<(TierRank, Uptime)>,
+    /// Refusals that wait for the round.
     held: Vec<SchedulerAction>,
 }
 
--- a/crates/sched/src/admission/replacement.rs
+++ b/crates/sched/src/admission/replacement.rs
@@ -46,10 +46,10 @@
         entry: &DaemonId,
         request: &PermitRequest,
     ) -> Option<Refusal> {
-        if !self.reachable(now, entry, request) {
-            return Some(self.no_target(now, entry, request));
+        if !self.has_usable_target(now, entry, request) {
+            return Some(self.no_target_refusal(now, entry, request));
         }
-        let account = self.limit_of(&request.account);
+        let account = self.account_limit(&request.account);
         let reason = if self.level.sheds(request.tier) {
             RefusalReason::TierShed
         } else if self.queues.len() >= self.options.queue_limit {
@@ -59,7 +59,7 @@
         } else {
             return None;
         };
-        Some(Refusal::not_run(reason, Some(self.drain_time())))
+        Some(Refusal::not_run(reason, Some(self.queue_drain_time())))
     }
 
     /// Counts a failure of the target of a request that requests another one. This happens now and not when the
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: the account's rate in units per second and its burst in units (configuration), the cost of the
 //! request in units, what the platform tolerates beyond them (settings `[bounds] rate_*`), the number of daemons that
-//! this one reaches, its role. The rule: a request passes while the bucket and the available burst together
+//! this one reaches, and its role. The rule: a request passes while the bucket and the available burst together
 //! ([`burst_window`](super::burst_window)) are above zero, and may take them below zero.
 //! Otherwise it is refused with the time until they are above zero again, after the units promised to requests that
 //! were refused before it.
@@ -21,7 +21,7 @@
 
 use super::burst_window::BurstWindow;
 use super::token_bucket::{TokenBucket, SCALE};
-use crate::advice::{LEAST_ADVICE, MOST_ADVICE};
+use crate::advice::{LEAST_ADVICE, MAX_RETRY_AFTER};
 
 /// Divides the units of one second into what a daemon that is not the leader may save. It may save little, since
 /// the leader may have granted the burst.
@@ -178,7 +178,7 @@
         let missing = 1 - bucket.level() + bucket.promised;
         bucket.promised += i128::from(cost) * SCALE;
         let wait = bucket.burst.wait_for(now, window, missing, limits.per_s);
-        Err((wait + Duration::from_millis(1)).clamp(LEAST_ADVICE, MOST_ADVICE))
+        Err((wait + Duration::from_millis(1)).clamp(LEAST_ADVICE, MAX_RETRY_AFTER))
     }
 
     /// Returns the refill rate and the limits of a bucket in a daemon with this share and role.
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -1,60 +1,59 @@
-//! When should a refused caller retry? The `Retry-After` of a refusal.
+//! Computes when a refused caller should retry: the `Retry-After` of a refusal.
 //!
-//! Inputs: the estimated wait and the time left until the deadline, both durations, and the permit,
-//! whose random id spreads the advice. The rule: not before the wait is over; spread over
-//! [`SPREAD_PERCENT`] of the time left, so that those who are refused together do not come back
-//! together; never later than
-//! [`ADVICE_PERCENT`] of the time left, after which coming back is no use. Where nothing is known of
-//! the cause, [`DEFAULT_ADVICE`].
+//! Inputs: the estimated wait and the time remaining until the deadline, both durations, and the permit,
+//! whose random id spreads the retries. The rule: not before the wait is over; spread over
+//! [`SPREAD_PERCENT`] of the remaining time, so that callers that are refused together do not retry
+//! together; never later than [`MAX_WAIT_PERCENT`] of the remaining time, after which a retry is of no use. If
+//! nothing is known of the cause, [`DEFAULT_ADVICE`].
 //!
-//! Owns: every bound of an advice in this crate; no state.
+//! Owns: every bound of a `Retry-After` in this crate; no state.
 
 use std::time::Duration;
 
 use curlewcleat_core::PermitId;
 
-/// Shortest advice: a few round trips.
+/// Shortest `Retry-After`: a few round trips.
 pub const LEAST_ADVICE: Duration = Duration::from_millis(100);
-/// Longest advice.
-pub const MOST_ADVICE: Duration = Duration::from_secs(60);
-/// Advice where nothing better is known, and the least for a pool without room.
+/// Longest `Retry-After`.
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// The `Retry-After` if no better one is known, and the shortest for a pool without capacity.
 pub const DEFAULT_ADVICE: Duration = Duration::from_secs(1);
-/// Part of the remaining time over which returns are spread, in percent.
+/// Percentage of the remaining time over which retries are spread.
 const SPREAD_PERCENT: u32 = 25;
-/// Part of the time left after which there is no use in coming back, in percent.
-const ADVICE_PERCENT: u32 = 30;
-/// Steps in which returns are spread: finer than a millisecond for the users' deadlines.
+/// Percentage of the remaining time after which a retry is of no use.
+const MAX_WAIT_PERCENT: u32 = 30;
+/// Number of steps over which retries are spread: finer than a millisecond at the callers' deadlines.
 const SPREAD_STEPS: u32 = 1_024;
 
-/// Advice when to come back: not before `wait`, and spread over a part of the time that is left.
+/// Returns when to retry: not before `wait`, spread over a fraction of the remaining time.
 pub fn spread_advice(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
-    let spread = time_left / 100 * SPREAD_PERCENT / SPREAD_STEPS * drawn(permit);
-    let most = (time_left / 100 * ADVICE_PERCENT).max(LEAST_ADVICE);
-    (wait + spread).clamp(LEAST_ADVICE, most)
+    let spread = time_left / 100 * SPREAD_PERCENT / SPREAD_STEPS * spread_step(permit);
+    let latest = (time_left / 100 * MAX_WAIT_PERCENT).max(LEAST_ADVICE);
+    (wait + spread).clamp(LEAST_ADVICE, latest)
 }
 
-/// A step of the spread, by the permit's random id.
-fn drawn(permit: PermitId) -> u32 {
+/// Returns a step of the spread, drawn from the permit's random id.
+fn spread_step(permit: PermitId) -> u32 {
     (permit.request.as_u128() % u128::from(SPREAD_STEPS)) as u32
 }
 
-/// Advice for a request for which its account has no room in its rate for `wait`: spread over as long again,
-/// so that a caller whose wait is short can still be in time. Load pattern: a fleet that begins anew with
-/// nothing saved, whose accounts have room after tens of milliseconds. With a spread over
-/// a quarter of the time left, the requests of a day that ends so earned .880 of their credit, in place of .885
-/// (mean of six seeds).
+/// Returns when to retry a request whose account has used up its rate for `wait`: spread over as long again,
+/// so that a caller whose wait is short can still be in time. Load pattern: a fleet that restarts with empty buckets,
+/// whose accounts may send again after tens of milliseconds. With a spread over a quarter of the remaining time, the
+/// requests of a day that ends in this way earned .880 of their credit instead of .885 (mean of six seeds).
 pub fn rate_advice(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
     spread_advice(permit, wait, time_left).clamp(wait, wait * 2)
 }
 
-/// Advice for a request all of whose targets have asked for rest, the shortest for `rest`: spread over a quarter of that, so
-/// that those who wait for the same target do not meet there. Load pattern: a pool all of whose targets turn requests away.
-pub fn rest_advice(permit: PermitId, rest: Duration) -> Duration {
-    let spread = rest / 100 * SPREAD_PERCENT / SPREAD_STEPS * drawn(permit);
-    (rest + spread).clamp(LEAST_ADVICE, MOST_ADVICE)
+/// Returns when to retry a request all of whose targets have requested a rest, the shortest for `rest`: spread over a
+/// quarter of that, so that callers that wait for the same target do not retry together. Load pattern: a pool all of
+/// whose targets decline requests.
+pub fn rest_retry_after(permit: PermitId, rest: Duration) -> Duration {
+    let spread = rest / 100 * SPREAD_PERCENT / SPREAD_STEPS * spread_step(permit);
+    (rest + spread).clamp(LEAST_ADVICE, MAX_RETRY_AFTER)
 }
 
-/// Advice for a pool that needs so long to take in what waits.
-pub fn capacity_advice(drain_time: Duration) -> Duration {
-    drain_time.clamp(DEFAULT_ADVICE, MOST_ADVICE)
+/// Returns when to retry at a pool that needs `drain_time` to serve its waiting requests.
+pub fn capacity_retry_after(drain_time: Duration) -> Duration {
+    drain_time.clamp(DEFAULT_ADVICE, MAX_RETRY_AFTER)
 }
--- a/crates/sched/src/decaying_ratio.rs
+++ b/crates/sched/src/decaying_ratio.rs
@@ -1,36 +1,36 @@
-//! An exponentially weighted mean of a ratio of two sums.
+//! An exponentially weighted mean of the ratio of two sums.
 
-/// Both sums decay alike, so their ratio follows what it is fed.
+/// A ratio of two sums that decay alike, so that it follows the recent samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DecayingRatio {
-    /// Sum above the line.
+    /// The numerator.
     pub above: u64,
-    /// Sum below the line.
+    /// The denominator.
     pub below: u64,
 }
 
 impl DecayingRatio {
-    /// Lets both sums lose one part in `parts`.
-    pub fn decay(&mut self, parts: u64) {
-        self.above -= self.above / parts;
-        self.below -= self.below / parts;
+    /// Reduces both sums by the fraction 1 / `divisor`.
+    pub fn decay(&mut self, divisor: u64) {
+        self.above -= self.above / divisor;
+        self.below -= self.below / divisor;
     }
 
-    /// Feeds a sample that weighs one part in `parts`.
-    pub fn feed(&mut self, above: u64, below: u64, parts: u64) {
-        self.decay(parts);
+    /// Adds a sample with the weight 1 / `divisor`.
+    pub fn feed(&mut self, above: u64, below: u64, divisor: u64) {
+        self.decay(divisor);
         self.above += above;
         self.below += below;
     }
 
-    /// Moves one part in `parts` of the way towards another ratio.
-    pub fn approach(&mut self, other: DecayingRatio, parts: u64) {
-        self.decay(parts);
-        self.above += other.above / parts;
-        self.below += other.below / parts;
+    /// Moves the ratio by the fraction 1 / `divisor` towards another one.
+    pub fn approach(&mut self, other: DecayingRatio, divisor: u64) {
+        self.decay(divisor);
+        self.above += other.above / divisor;
+        self.below += other.below / divisor;
     }
 
-    /// `amount` times the ratio, `None` where nothing was fed.
+    /// Returns `amount` times the ratio, or `None` if there is no sample.
     pub fn of(&self, amount: u64) -> Option<u64> {
         let scaled = u128::from(amount) * u128::from(self.above);
         let ratio = scaled.checked_div(u128::from(self.below))?;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,21 +1,20 @@
-//! The decisions of curlewcleat as state machines without input or output.
+//! The decisions of curlewcleat, as state machines without input or output.
 //!
-//! | question | module | state |
+//! | decision | module | state |
 //! |---|---|---|
-//! | Is it admitted? | [`admission`] | level, rates and queue of a pool |
-//! | What goes first? | [`order`] | the queue of a pool |
-//! | Which target? | [`placement`] | what is believed of each target, and what it says |
-//! | Is it tried again? | [`retry`] | the retry budget of an entry |
-//! | When is it given up, and when may it retry? | [`entry`], [`advice`] | the requests of an entry |
-//! | Is it the reason for which targets end? | [`lethal`] | the suspect requests |
-//! | Is a version taken or sent back? | [`rollout`] | the versions of a pool, an order and the answers of its targets |
-//! | Who decides? | [`election`] | the members |
+//! | whether a request is admitted | [`admission`] | overload level, rates and queue of a pool |
+//! | which request is served next | [`order`] | the queue of a pool |
+//! | which target serves it | [`placement`] | the learned state and the notices of each target |
+//! | whether it is attempted again | [`retry`] | the retry budget of an entry daemon |
+//! | when it is abandoned, and when its caller may retry | [`entry`], [`advice`] | the requests of an entry daemon |
+//! | whether it terminates its targets | [`lethal`] | the suspect requests |
+//! | whether a version is accepted or rolled back | [`rollout`] | the versions of a pool, a rollout and its answers |
+//! | which daemon decides | [`election`] | the members |
 //!
-//! [`scheduler`] is what happens at the scheduler of a pool ([`pool`] is its state, [`targets`] what it is
-//! known of its targets), [`entry`] what
-//! happens at the daemon that holds a caller's connection, [`drain`] the planned stop.
+//! [`scheduler`] handles the events at the scheduler of a pool ([`pool`] is its state, [`targets`] its view of the
+//! targets), [`entry`] the events at the daemon that holds a caller's connection, [`drain`] the planned stop.
 //!
-//! Time is passed in. The daemon, the tests, the slopes and the model checker run this code.
+//! The caller passes the time in. The daemon, the tests, the benchmarks and the model checker run this code.
 
 mod admission;
 mod advice;
--- a/crates/sched/src/order.rs
+++ b/crates/sched/src/order.rs
@@ -1,5 +1,6 @@
-//! What goes first? Tiers strictly by rank, shares of the urgencies inside a tier and of the accounts inside these ([`queue`]), and
-//! a place inside an account that weighs age against length ([`priority`]). [`waiting`] has the data.
+//! Decides the order in which waiting requests are served: tiers strictly by rank, inside a tier by the shares of its
+//! urgencies, inside an urgency by the shares of the accounts ([`queue`]), and inside an account by a position that
+//! weighs age against length ([`priority`]). [`waiting`] has the data types.
 
 pub mod flows;
 mod priority;
--- a/crates/sched/src/order/priority.rs
+++ b/crates/sched/src/order/priority.rs
@@ -1,12 +1,12 @@
-//! Where does a request stand among those of its account and tier?
+//! Computes the position of a request among those of its account, tier and urgency.
 //!
-//! Inputs: when it arrived, its work in microseconds, whether it comes back after
-//! an early refusal and can still be in time, and `age_per_work` from the settings (`[scheduling]`). The rule:
-//! its place is the time of its arrival, later by `age_per_work` for
-//! each microsecond of work, and earlier by [`HEAD_START`] where it has come back and can still be in
-//! time. Requests of other urgencies wait in queues of their own. The lowest place goes first. At 0 `age_per_work` serves the oldest first, at a large number the shortest.
+//! Inputs: the time of its arrival, its work in microseconds, whether it is a retry after an early refusal that can
+//! still be in time, and `age_per_work` from the settings (`[scheduling]`). The rule: the position is the time of
+//! arrival, plus `age_per_work` for each microsecond of work, minus [`RETRY_AGE_CREDIT`] for a retry that can still
+//! be in time. The lowest position is served first. With an `age_per_work` of 0 the oldest request is served first,
+//! with a large one the shortest. Requests of other urgencies wait in separate queues.
 //!
-//! Owns: nothing; these are methods of `PoolScheduler`. Relies on: the pace that was learned of the targets, for
+//! Owns: nothing; these are methods of `PoolScheduler`. Relies on: the learned pace of the targets, for
 //! whether a request can still be in time.
 
 use std::time::Duration;
@@ -16,11 +16,12 @@
 use super::waiting::WaitingRequest;
 use crate::pool::PoolScheduler;
 
-/// Age that a request is credited with that retries after an early refusal and can still be in time:
-/// longer than requests wait, so that it goes before new ones.
-const HEAD_START: Duration = Duration::from_secs(60);
+/// Age credited to a retry after an early refusal that can still be in time: longer than requests wait, so that it has
+/// priority over new requests.
+const RETRY_AGE_CREDIT: Duration = Duration::from_secs(60);
 
 impl PoolScheduler {
+    /// Builds the queue entry of a permit request, with its times and its position.
     pub(crate) fn waiting_request(
         &self,
         now: Uptime,
@@ -34,11 +35,11 @@
         let wait_until = now.saturating_add(request.objectives.wait_limit);
         let latest_start = deadline.saturating_sub(Duration::from_micros(estimate)).min(wait_until);
         let objectives = &request.objectives;
-        let head_start = match objectives.is_retry && in_time_until > now {
-            true => HEAD_START,
+        let age_credit = match objectives.is_retry && in_time_until > now {
+            true => RETRY_AGE_CREDIT,
             false => Duration::ZERO,
         };
-        let order = now.saturating_sub(head_start)
+        let order = now.saturating_sub(age_credit)
             + Duration::from_micros(work * self.options.age_per_work);
         let first_part_by = now.saturating_add(request.objectives.first_part_by);
         WaitingRequest {
@@ -54,11 +55,11 @@
         }
     }
 
-    /// Until when a request can be sent so that its answer begins in time on the fastest target.
+    /// Returns the time until which a request can start so that its answer begins in time on the fastest target.
     pub(crate) fn in_time_until(&self, now: Uptime, request: &PermitRequest) -> Uptime {
         let prompts =
             self.open_targets().filter_map(|state| state.pace.prompt_time(request.prompt_work));
-        // While nothing is known of the targets, the prompt counts nothing.
+        // While no pace is known, the time for the prompt is ignored.
         let prompt = Duration::from_micros(prompts.min().unwrap_or(0));
         now.saturating_add(request.objectives.first_part_by).saturating_sub(prompt)
     }
--- a/crates/sched/src/order/queue/ahead.rs
+++ b/crates/sched/src/order/queue/ahead.rs
@@ -1,47 +1,50 @@
-//! How much work goes before a new request?
+//! Computes the work that is served before a new request.
 //!
-//! Inputs: its tier, urgency, account and work in microseconds, and whether it can still begin in time. The rule: all of the
-//! tiers above; of its own urgency what its account's line and the turns of the other accounts let go first; beside that
-//! the other urgencies have their shares.
+//! Inputs: its tier, urgency, account and work in microseconds, and whether it can still begin in time. The rule: all
+//! work of the higher tiers; of its own urgency the work ahead of it in its account's queue and the work of other
+//! accounts that is served meanwhile; and the work that the other urgencies get by their shares during that time.
 //!
-//! Owns: nothing; these are methods of [`TierQueues`]. Relies on: the shares that were divided last.
+//! Owns: nothing; these are methods of [`TierQueues`]. Relies on: the current shares of the urgencies.
 
 use curlewcleat_core::{PermitRequest, WorkMicros};
 
 use super::TierQueues;
 use crate::order::rank::QueueRank;
-use crate::order::shares::ALL_PLACES;
+use crate::order::shares::FULL_SHARE;
 use crate::order::waiting::{class_of, AccountQueue};
 
 impl TierQueues {
-    /// Work that goes before a new request: higher tiers, and of its own tier what fair shares and its
-    /// account's line let go first.
+    /// Returns the work that is served before a new request: that of higher tiers, and that of its own tier by the
+    /// shares of the urgencies and accounts and by the order in its account's queue.
     pub fn work_ahead(&self, request: &PermitRequest, weight: u32, late: bool) -> WorkMicros {
         let rank = QueueRank { tier: request.tier, late, urgency: request.objectives.urgency };
         let first = QueueRank { urgency: 0, late: false, ..rank };
         let higher: WorkMicros = self.tiers.range(..first).map(|(_, queue)| queue.work).sum();
-        let in_time = self.tiers.get(&QueueRank { late: false, ..rank }).filter(|_| late);
-        let sooner = in_time.map_or(0, |queue| queue.work);
+        let in_time_queue = self.tiers.get(&QueueRank { late: false, ..rank }).filter(|_| late);
+        let in_time_work = in_time_queue.map_or(0, |queue| queue.work);
         let Some(queue) = self.tiers.get(&rank) else {
-            return higher + self.work_beside(rank, sooner);
+            return higher + self.work_of_all(rank, in_time_work);
         };
         let class = class_of(request.prompt_work + request.output_work);
-        let line = queue.lines.get(&request.account);
-        let own: WorkMicros =
-            line.map_or(0, |line| line.by_class.range(..=class).map(|(_, work)| *work).sum());
-        let waits = |line: &&AccountQueue| !line.waiting.is_empty();
-        let weights: u64 = queue.lines.values().filter(waits).map(|line| line.weight).sum();
-        // The accounts that wait are served in turn. One with nothing waiting still lets each other one go first once.
-        let turn = match request.objectives.length_guessed {
+        let account_queue = queue.accounts.get(&request.account);
+        let account_work: WorkMicros = account_queue
+            .map_or(0, |account| account.by_class.range(..=class).map(|(_, work)| *work).sum());
+        let waits = |account: &&AccountQueue| !account.waiting.is_empty();
+        let weights: u64 =
+            queue.accounts.values().filter(waits).map(|account| account.weight).sum();
+        // The waiting accounts are served alternately. Even an account with nothing waiting has to wait until each
+        // other account was served once.
+        let round_work = match request.objectives.length_guessed {
             true => request.prompt_work + request.output_work,
             false => 0,
         };
-        let share = (own + turn) * weights.max(1) / u64::from(weight.max(1));
-        higher + self.work_beside(rank, sooner + share.min(queue.work))
+        let fair_work = (account_work + round_work) * weights.max(1) / u64::from(weight.max(1));
+        higher + self.work_of_all(rank, in_time_work + fair_work.min(queue.work))
     }
 
-    /// Work that is served until so much of one urgency is, with that of the other urgencies, which go on asking.
-    fn work_beside(&self, rank: QueueRank, own: WorkMicros) -> WorkMicros {
-        own * ALL_PLACES / self.share_of(rank)
+    /// Returns the work of all urgencies that is served until `urgency_work` of one urgency is served, assuming that
+    /// the others keep requesting work.
+    fn work_of_all(&self, rank: QueueRank, urgency_work: WorkMicros) -> WorkMicros {
+        urgency_work * FULL_SHARE / self.share_of(rank)
     }
 }
--- a/crates/sched/src/order/rank.rs
+++ b/crates/sched/src/order/rank.rs
@@ -1,38 +1,39 @@
-//! Which queue goes first.
+//! Identifies the queues of a pool and their order.
 //!
-//! Owns: the order of queues. Relies on: nothing; [`queue`](super::queue) keeps what was served.
+//! Owns: the order of queues. Relies on: nothing; [`queue`](super::queue) keeps the work served to each.
 
 use std::ops::RangeInclusive;
 
 use curlewcleat_core::TierRank;
 
-/// A queue: the highest tier goes first; inside it the urgencies share the places, each with those that are not late first.
+/// A queue. The highest tier is served first; inside it the urgencies share the slots, and each serves the requests
+/// that are not late first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueRank {
     /// Rank of the tier.
     pub tier: TierRank,
-    /// Rank of the rules.
+    /// Urgency of the requests: the rank of their rules.
     pub urgency: TierRank,
-    /// Whether its requests can no longer begin in time.
+    /// Whether the requests can no longer begin in time.
     pub late: bool,
 }
 
-/// A tier and an urgency, whose queues have one share.
-pub type QueueShare = (TierRank, TierRank);
+/// A tier and an urgency. Their queues, late and in time, have one share of the slots.
+pub type UrgencyKey = (TierRank, TierRank);
 
 impl QueueRank {
-    /// All queues of a tier.
+    /// Returns the range of all queues of a tier.
     pub fn of_tier(tier: TierRank) -> RangeInclusive<QueueRank> {
         let first = QueueRank { tier, urgency: 0, late: false };
         first..=QueueRank { tier, urgency: TierRank::MAX, late: true }
     }
 
-    /// What it shares a part of the places with.
-    pub fn shared(self) -> QueueShare {
+    /// Returns the tier and urgency of the queue.
+    pub fn urgency_key(self) -> UrgencyKey {
         (self.tier, self.urgency)
     }
 
-    /// The first rank of the tiers below one.
+    /// Returns the first rank of the tiers below `tier`.
     pub fn below(tier: TierRank) -> QueueRank {
         QueueRank { tier: tier + 1, late: false, urgency: 0 }
     }
--- a/crates/sched/src/order/waiting.rs
+++ b/crates/sched/src/order/waiting.rs
@@ -1,6 +1,6 @@
-//! A permit request that waits, and the queue of one account and of one tier.
+//! Data types of a waiting permit request, the queue of one account and the queue of one urgency of a tier.
 //!
-//! Owns: the data; the moves are those of [`TierQueues`](super::queue::TierQueues). Relies on: estimates of
+//! Owns: the data; [`TierQueues`](super::queue::TierQueues) changes it. Relies on: estimates of
 //! work in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,62 +10,62 @@
 /// A permit request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct WaitingRequest {
-    /// The daemon that asked.
+    /// The entry daemon that requested the permit.
     pub entry: DaemonId,
     /// The permit request.
     pub request: PermitRequest,
-    /// When its caller's time ends.
+    /// The caller's deadline.
     pub deadline: Uptime,
-    /// When its answer has to begin to be in time.
+    /// Time by which the answer has to begin to be in time.
     pub first_part_by: Uptime,
-    /// Until when it may wait.
+    /// Time until which it may wait.
     pub wait_until: Uptime,
-    /// When it has to start at the latest.
+    /// Latest time at which it may start.
     pub latest_start: Uptime,
-    /// Until when it can begin in time; from then on it is late.
+    /// Time until which it can start and begin its answer in time; from then on it is late.
     pub in_time_until: Uptime,
-    /// Place in its account's queue: the lowest goes first.
+    /// Position in its account's queue: the lowest is served first.
     pub order: Uptime,
     /// Estimated work.
     pub work: WorkMicros,
 }
 
-/// Size classes of work in a line, one for each power of two of microseconds.
-const CLASSES: usize = 40;
+/// Number of size classes of work, one for each power of two of microseconds.
+const SIZE_CLASSES: usize = 40;
 
-/// Order inside an account's queue.
+/// Sort key inside an account's queue: position and permit.
 pub type QueueKey = (Uptime, PermitId);
 
-/// The waiting requests of one account in one tier.
+/// The waiting requests of one account in one queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AccountQueue {
-    /// Work served so far divided by the weight.
+    /// Work served so far, divided by the weight.
     pub served: u64,
-    /// Share of the account.
+    /// Weight of the account.
     pub weight: u64,
-    /// Waiting requests by their place.
+    /// Waiting requests by position.
     pub waiting: BTreeMap<QueueKey, WaitingRequest>,
-    /// Waiting work by size class; shorter classes go before longer ones.
+    /// Waiting work by size class; shorter classes are served before longer ones.
     pub by_class: BTreeMap<usize, WorkMicros>,
 }
 
-/// The accounts that wait in one tier.
+/// The waiting requests of one urgency of a tier, either late or in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TierQueue {
-    /// Queue of each account.
-    pub lines: BTreeMap<AccountId, AccountQueue>,
-    /// Accounts with waiting requests by their served work.
-    pub order: BTreeSet<(u64, AccountId)>,
-    /// Served work of the account that went last; newcomers begin here.
-    pub clock: u64,
+    /// The queue of each account.
+    pub accounts: BTreeMap<AccountId, AccountQueue>,
+    /// Accounts with waiting requests, by their served work.
+    pub by_served: BTreeSet<(u64, AccountId)>,
+    /// Virtual time: the served work of the account that was served last. Accounts that become active start here.
+    pub virtual_time: u64,
     /// Waiting work.
     pub work: WorkMicros,
     /// Number of waiting requests.
     pub length: usize,
 }
 
-/// Size class of so much work.
+/// Returns the size class of an amount of work.
 pub fn class_of(work: WorkMicros) -> usize {
-    // No work at all belongs to the lowest class.
-    (work.checked_ilog2().unwrap_or(0) as usize).min(CLASSES - 1)
+    // Work of zero belongs to the lowest class.
+    (work.checked_ilog2().unwrap_or(0) as usize).min(SIZE_CLASSES - 1)
 }
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -1,6 +1,6 @@
-//! The state of one pool's scheduler: its options, its memory and its answers.
+//! Holds the state of one pool's scheduler: its options, its queues and permits, and its answers.
 //!
-//! Owns: [`PoolScheduler`] and its parts. The events that change it are in `scheduler`, the rules in
+//! Owns: [`PoolScheduler`] and its types. The events that change it are in `scheduler`, the rules in
 //! `admission`, `order` and `placement`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,24 +21,24 @@
 use crate::placement::target::TargetState;
 use crate::rollout::exposure::TrialShare;
 
-/// Estimates are taken as this part, in percent, where a deadline depends on them.
-const MARGIN_PERCENT: u64 = 125;
+/// Percentage of an estimate that is compared with a deadline.
+const ESTIMATE_PERCENT: u64 = 125;
 
 /// Options of a pool's scheduler.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PoolOptions {
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue_limit: usize,
-    /// Slots in percent that only the top tier may use.
+    /// Percentage of the slots that only the top tier may use.
     pub reserve_percent: u32,
-    /// Prompt prefixes that a target is believed to cache.
+    /// Number of prompt prefixes that a target is assumed to cache.
     pub cached_prefixes: usize,
     /// Rank of the top tier.
     pub top: TierRank,
     /// Rank of the lowest tier.
     pub lowest: TierRank,
-    /// Age that makes up for a unit of work in the order of an account's queue. At 0 the oldest goes
-    /// first, at infinity the shortest.
+    /// Age that offsets a unit of work in the order of an account's queue. At 0 the oldest request is served
+    /// first, at a large value the shortest.
     pub age_per_work: u64,
     /// Limits of the accounts.
     pub accounts: BTreeMap<AccountId, AccountLimit>,
@@ -61,34 +61,34 @@
 /// A permit in use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitRecord {
-    /// Daemon that uses it.
+    /// The entry daemon that uses it.
     pub entry: DaemonId,
-    /// Target that it is for, in the life in which it was given.
+    /// The target instance for which it was granted.
     pub target: TargetLife,
-    /// Work as estimated at normal speed, without the prompt where its prefix was cached.
+    /// Estimated work at normal speed, without the prompt if its prefix was cached.
     pub expected: WorkMicros,
-    /// Prompt work as estimated by the entry.
+    /// Prompt work as estimated by the entry daemon.
     pub prompt_work: WorkMicros,
-    /// Other work as estimated by the entry.
+    /// Other work as estimated by the entry daemon.
     pub output_work: WorkMicros,
-    /// Time that the target needed for earlier prompts when the permit was given.
+    /// Time that the target needed for earlier prompts when the permit was granted.
     pub backlog: Duration,
-    /// When it was given, or last confirmed.
+    /// When it was granted or last confirmed.
     pub confirmed: Uptime,
-    /// Whether its target was stalled, so that its request asked for another one; that counts as a failure.
+    /// Whether its target stalled, so that its request requested another one; this was counted as a failure.
     pub stalled: bool,
 }
 
-/// What a scheduler wants sent.
+/// An answer that the scheduler requests to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SchedulerAction {
     /// The daemon to send to.
     pub entry: DaemonId,
     /// The answer.
     pub answer: PermitAnswer,
-    /// Tier that the answer refuses for want of capacity.
+    /// The tier that the answer refuses for lack of capacity.
     pub shed: Option<TierRank>,
-    /// Units of its account's rate that a refused request was charged and does not use.
+    /// Units of its account's rate that a refused request was charged and did not use.
     pub unused: Option<RateCharge>,
 }
 
@@ -97,12 +97,12 @@
 pub struct RateCharge {
     /// The account.
     pub account: AccountId,
-    /// Its units.
+    /// The number of units.
     pub cost: u64,
 }
 
 impl RateCharge {
-    /// What a request was charged. Only its first attempt was.
+    /// Returns the units that a request was charged. Only the first attempt is charged.
     pub(crate) fn of(request: &PermitRequest) -> Option<RateCharge> {
         let first = request.permit.attempt == 0;
         first.then(|| RateCharge { account: request.account.clone(), cost: request.cost })
@@ -119,25 +119,26 @@
     pub(crate) permits: BTreeMap<PermitId, PermitRecord>,
     pub(crate) buckets: BTreeMap<AccountId, RateBucket>,
     pub(crate) level: OverloadLevel,
+    /// VMs that are leaving.
     pub(crate) away: BTreeSet<VmId>,
-    /// Data centres of the entries, as far as they are known.
+    /// Data centres of the entry daemons' VMs, as far as they are known.
     pub(crate) places: BTreeMap<VmId, String>,
-    /// How fast its targets stream on the whole.
+    /// Learned pace of all its targets together.
     pub(crate) pace: StreamPace,
-    /// How much work it takes in.
+    /// Learned capacity.
     pub(crate) throughput: PoolThroughput,
-    /// How much work each urgency asks for and is granted.
+    /// Requested and granted work of each urgency.
     pub(crate) flows: UrgencyFlows,
-    /// When the targets' beliefs last faded.
-    pub(crate) faded: Uptime,
-    /// The part of the targets' limits, and of a trial, that it grants.
+    /// When the learned state of the targets last decayed.
+    pub(crate) last_decay: Uptime,
+    /// The share of the targets' limits, and of a trial, that it grants.
     pub(crate) part: RatePart,
-    /// What it has granted of a version on trial.
+    /// Requests that it has granted to a version on trial and to others.
     pub(crate) trial: Option<TrialShare>,
 }
 
 impl PoolScheduler {
-    /// A scheduler without targets.
+    /// Creates a scheduler without targets.
     pub fn new(pool: PoolId, options: PoolOptions) -> PoolScheduler {
         PoolScheduler {
             pool,
@@ -152,12 +153,13 @@
             pace: StreamPace::of_pool(),
             throughput: PoolThroughput::default(),
             flows: UrgencyFlows::default(),
-            faded: Duration::ZERO,
+            last_decay: Duration::ZERO,
             part: RatePart { reached: 1, all: 1, turn: RateTurn::Leader },
             trial: None,
         }
     }
 
+    /// Builds the action that sends a decision.
     pub(crate) fn answer(
         &self,
         entry: DaemonId,
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Refuses a permit request that ran nowhere.
+    /// Builds the refusal of a permit request that did not run.
     pub(crate) fn refuse(
         &self,
         entry: DaemonId,
@@ -184,12 +186,12 @@
     }
 }
 
-/// Microseconds of a time, at most what fits.
+/// Returns a duration in microseconds, saturating at the maximum.
 pub(crate) fn micros(time: Duration) -> WorkMicros {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// An estimate with room for its error.
+/// Returns an estimate with a margin for its error.
 pub(crate) fn with_margin(estimate: WorkMicros) -> WorkMicros {
-    estimate * MARGIN_PERCENT / 100
+    estimate * ESTIMATE_PERCENT / 100
 }
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -1,12 +1,11 @@
-//! What happens at the scheduler of a pool: it holds the queue, knows what is in flight, and binds
-//! late.
+//! Handles the events at the scheduler of a pool: permit requests, returned permits and the passing of time.
 //!
-//! A permit request waits until a target has room, and only then is the target picked. The role is
-//! soft: if two daemons act as scheduler for a moment, targets may get more than their slots, and no
-//! promise depends on it.
+//! A permit request waits until a target has capacity; its target is chosen only then. Only one daemon should act as
+//! scheduler of a pool, but this is not guaranteed: if two do so briefly, targets may get more requests than they
+//! have slots. No guarantee depends on it.
 //!
-//! Owns: queue, permits in use, what is learned of the targets. Relies on: the rules in `admission`,
-//! `order` and `placement`, which are methods of [`PoolScheduler`]; entries that give permits back.
+//! Owns: queue, permits in use, what is learned about the targets. Relies on: the rules in `admission`,
+//! `order` and `placement`, which are methods of [`PoolScheduler`]; entry daemons that return permits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,59 +18,60 @@
 use crate::admission::overload::OverloadLevel;
 use crate::admission::{is_for_capacity, wait_too_long};
 use crate::order::flows::UrgencyFlows;
-use crate::order::shares::divide;
+use crate::order::shares::divide_capacity;
 use crate::placement::ejection::may_eject_one_more;
 use crate::pool::{PermitRecord, PoolScheduler, RateCharge, SchedulerAction};
 use crate::targets::state_of;
 
-/// Permits older than this are confirmed with their entry.
+/// Age from which a permit is confirmed with its entry daemon.
 const CONFIRM_AFTER: Duration = Duration::from_secs(5);
-/// Of the time to the first part, at least one part in this many is for the own prompt.
-const OWN_PART: u32 = 4;
+/// At least the time to the first part divided by this is attributed to the request's own prompt.
+const OWN_PROMPT_DIVISOR: u32 = 4;
 
 impl PoolScheduler {
-    /// Number of waiting requests.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queues.len()
     }
 
-    /// Number of waiting requests that can no longer begin in time.
+    /// Returns the number of waiting requests that can no longer begin in time.
     pub fn waiting_late(&self) -> usize {
         self.queues.late_len()
     }
 
-    /// Number of permits in use.
+    /// Returns the number of permits in use.
     pub fn in_flight(&self) -> usize {
         self.permits.len()
     }
 
-    /// How much work each urgency asks for and is granted.
+    /// Returns the requested and granted work of each urgency.
     pub fn flows(&self) -> &UrgencyFlows {
         &self.flows
     }
 
-    /// Forgets how much work each urgency asks for. A model with one urgency, whose share is all, has fewer states so.
+    /// Clears the requested and granted work of the urgencies. A model with one urgency, which has all slots, uses
+    /// this to have fewer states.
     pub fn forget_flows(&mut self) {
         self.flows = UrgencyFlows::default();
-        self.queues.forget_shares();
+        self.queues.clear_shares();
     }
 
-    /// The overload level.
+    /// Returns the overload level.
     pub fn level(&self) -> &OverloadLevel {
         &self.level
     }
 
-    /// Permits in use.
+    /// Returns the permits in use.
     pub fn permits(&self) -> &BTreeMap<PermitId, PermitRecord> {
         &self.permits
     }
 
-    /// Whether a permit request waits here or has its permit.
+    /// Returns whether a permit request waits here or has its permit.
     pub fn knows(&self, permit: &PermitId) -> bool {
         self.permits.contains_key(permit) || self.queues.contains(permit)
     }
 
-    /// Takes a permit request. A repeated request gets the answer that it had.
+    /// Handles a permit request: grants, queues or refuses it. A repeated request gets the same answer again.
     pub fn request_permit(
         &mut self,
         now: Uptime,
@@ -105,7 +105,7 @@
         actions
     }
 
-    /// Lets a permit request wait, and grants what can be granted.
+    /// Adds a permit request to the queue, and grants permits.
     pub(crate) fn enqueue(
         &mut self,
         now: Uptime,
@@ -115,7 +115,7 @@
         actions: &mut Vec<SchedulerAction>,
     ) {
         let permit = request.permit;
-        let weight = self.limit_of(&request.account).weight;
+        let weight = self.account_limit(&request.account).weight;
         let waiting = self.waiting_request(now, entry.clone(), request, in_time_until);
         self.throughput.arrived(waiting.request.tier, waiting.work);
         self.queues.push(now, waiting, weight);
@@ -125,27 +125,27 @@
         }
     }
 
-    /// What a permit request that waits was charged.
+    /// Returns the units that a waiting permit request was charged.
     pub fn charge_of_waiting(&self, permit: &PermitId) -> Option<RateCharge> {
         self.queues.get(permit).and_then(|waiting| RateCharge::of(&waiting.request))
     }
 
-    /// Takes a permit or a permit request back.
-    pub fn give_back(&mut self, now: Uptime, back: &PermitReturn) -> Vec<SchedulerAction> {
-        self.queues.remove(&back.permit);
-        if let Some(record) = self.permits.remove(&back.permit) {
-            self.settle(now, &record, back.end);
+    /// Handles a returned permit or a withdrawn permit request.
+    pub fn give_back(&mut self, now: Uptime, returned: &PermitReturn) -> Vec<SchedulerAction> {
+        self.queues.remove(&returned.permit);
+        if let Some(record) = self.permits.remove(&returned.permit) {
+            self.record_end(now, &record, returned.end);
         }
         let mut actions = Vec::new();
         self.grant(now, &mut actions);
         actions
     }
 
-    /// Learns of a permit in use that another scheduler gave.
+    /// Records a permit in use that another scheduler granted.
     pub fn hold(&mut self, now: Uptime, entry: DaemonId, held: PermitHeld) {
         self.queues.remove(&held.request.permit);
         if let Some(earlier) = self.permits.remove(&held.request.permit) {
-            self.settle(now, &earlier, AttemptEnd::Unused);
+            self.record_end(now, &earlier, AttemptEnd::Unused);
         }
         let (prompt_work, output_work) = (held.request.prompt_work, held.request.output_work);
         let expected = prompt_work + output_work;
@@ -166,7 +166,7 @@
         self.permits.insert(held.request.permit, record);
     }
 
-    /// An entry is gone: its requests and permits go with it.
+    /// Removes the requests and permits of an entry daemon that has left.
     pub fn entry_gone(&mut self, now: Uptime, entry: &DaemonId) -> Vec<SchedulerAction> {
         for permit in self.queues.of_entry(entry) {
             self.queues.remove(&permit);
@@ -179,7 +179,7 @@
             .collect();
         for permit in held {
             if let Some(record) = self.permits.remove(&permit) {
-                self.settle(now, &record, AttemptEnd::Unused);
+                self.record_end(now, &record, AttemptEnd::Unused);
             }
         }
         let mut actions = Vec::new();
@@ -187,23 +187,24 @@
         actions
     }
 
-    /// Lets time pass: refuses what can no longer finish, confirms old permits, grants.
+    /// Advances the time: refuses requests whose latest start has passed, confirms old permits, and grants
+    /// permits.
     pub fn tick(&mut self, now: Uptime) -> Vec<SchedulerAction> {
         let mut actions = Vec::new();
         self.level.tick(self.options.lowest, now);
         self.throughput.tick(now, !self.queues.is_empty());
         if self.flows.tick(now) {
-            self.share_out();
+            self.update_shares();
         }
-        if now >= self.faded + Duration::from_secs(1) {
-            self.faded = now;
+        if now >= self.last_decay + Duration::from_secs(1) {
+            self.last_decay = now;
             let pace = self.pace;
             self.targets.values_mut().for_each(|target| target.second_passed(&pace));
         }
         for permit in self.queues.overdue(now) {
             if let Some(waiting) = self.queues.remove(&permit) {
                 if now > waiting.wait_until || self.is_at_target(&permit) {
-                    let refusal = wait_too_long(&waiting.request, self.drain_time());
+                    let refusal = wait_too_long(&waiting.request, self.queue_drain_time());
                     actions.push(self.refuse(waiting.entry, &waiting.request, refusal));
                     continue;
                 }
@@ -217,58 +218,63 @@
                 self.shed_below(now, tier, &mut actions);
             }
         }
-        self.refuse_unreachable(now, &mut actions);
-        self.confirm(now, &mut actions);
+        self.refuse_without_target(now, &mut actions);
+        self.confirm_permits(now, &mut actions);
         self.grant(now, &mut actions);
         actions
     }
 
-    /// Whether a permit request of a tier below this one waits.
+    /// Returns whether a permit request of a tier below this one waits.
     pub fn holds_below(&self, tier: TierRank) -> bool {
         !self.queues.below(tier).is_empty()
     }
 
-    /// Rank of the lowest tier.
+    /// Returns the rank of the lowest tier.
     pub fn lowest(&self) -> TierRank {
         self.options.lowest
     }
 
+    /// Returns whether one more target may be ejected.
     pub(crate) fn may_eject(&self) -> bool {
         let ejected = self.targets.values().filter(|target| target.ejected()).count();
         may_eject_one_more(ejected, self.targets.len())
     }
 
-    /// Divides the places of each tier among its urgencies, by what they ask for.
-    fn share_out(&mut self) {
-        for (tier, asked) in self.flows.asked_per_second() {
+    /// Divides the slots of each tier among its urgencies, by their requested work.
+    fn update_shares(&mut self) {
+        for (tier, requested) in self.flows.requested_per_second() {
             let capacity = self.throughput.capacity_for(tier);
-            self.queues.share_out(tier, divide(&asked, capacity));
+            self.queues.set_shares(tier, divide_capacity(&requested, capacity));
         }
     }
 
-    fn settle(&mut self, now: Uptime, record: &PermitRecord, end: AttemptEnd) {
+    /// Records the end of an attempt at its target, and learns the target's speed from it.
+    fn record_end(&mut self, now: Uptime, record: &PermitRecord, end: AttemptEnd) {
         let may_eject = self.may_eject();
         let Some(state) = state_of(&mut self.targets, &record.target) else { return };
         state.in_flight = state.in_flight.saturating_sub(1);
         match end {
             AttemptEnd::Unused => {}
             AttemptEnd::Whole(took) => state.succeeded(record.expected, took),
-            AttemptEnd::Streamed(seen) => {
-                state.succeeded(record.expected, seen.first + seen.rest);
-                // What it waited for earlier prompts says nothing of its own.
-                let own = seen.first.saturating_sub(record.backlog).max(seen.first / OWN_PART);
-                let seen = StreamTiming { first: own, ..seen };
-                state.pace.learn(now, record.prompt_work, record.output_work, &seen);
-                self.pace.learn(now, record.prompt_work, record.output_work, &seen);
+            AttemptEnd::Streamed(timing) => {
+                state.succeeded(record.expected, timing.first + timing.rest);
+                // The time spent waiting for earlier prompts is not that of its own prompt.
+                let own = timing
+                    .first
+                    .saturating_sub(record.backlog)
+                    .max(timing.first / OWN_PROMPT_DIVISOR);
+                let timing = StreamTiming { first: own, ..timing };
+                state.pace.learn(now, record.prompt_work, record.output_work, &timing);
+                self.pace.learn(now, record.prompt_work, record.output_work, &timing);
             }
-            // Counted when its request asked for another one.
+            // The failure was counted when its request requested another target.
             AttemptEnd::Failed if record.stalled => {}
             AttemptEnd::Failed => state.failed(now, may_eject),
         }
     }
 
-    /// Sends old permits again; an entry that does not know one any more gives it back.
-    fn confirm(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
+    /// Sends old permits again. An entry daemon that no longer knows a permit returns it.
+    fn confirm_permits(&mut self, now: Uptime, actions: &mut Vec<SchedulerAction>) {
         for (permit, record) in &mut self.permits {
             if now.saturating_sub(record.confirmed) < CONFIRM_AFTER {
                 continue;
--- a/crates/sched/tests/flows.rs
+++ b/crates/sched/tests/flows.rs
@@ -1,4 +1,4 @@
-//! What operators see of the urgencies of a pool: the part of the work asked for that was granted.
+//! The share of the requested work of each urgency that was granted, as operators see it.
 
 use std::time::Duration;
 
@@ -23,11 +23,11 @@
 
 fn granted_percent(flows: &UrgencyFlows, urgency: u8) -> Option<u64> {
     let mut all = flows.all();
-    all.find(|(share, _)| *share == (0, urgency)).map(|(_, flow)| flow.granted_percent())
+    all.find(|(key, _)| *key == (0, urgency)).map(|(_, flow)| flow.granted_percent())
 }
 
 #[test]
-fn granted_part_is_that_of_each_urgency() {
+fn granted_share_is_counted_for_each_urgency() {
     let mut flows = UrgencyFlows::default();
     for number in 0..4 {
         flows.asked(&request(number, 1, 1_000));
@@ -40,9 +40,9 @@
     assert_eq!(granted_percent(&flows, 2), None);
 }
 
-/// A request that comes back after a refusal is not asked for twice.
+/// A request that is retried after a refusal counts once as requested.
 #[test]
-fn retry_is_no_further_work() {
+fn retry_is_not_counted_as_further_work() {
     let mut flows = UrgencyFlows::default();
     let first = request(1, 0, 1_000);
     let mut retry = first.clone();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_is_long_past_is_forgotten() {
+fn old_requests_decay() {
     let mut flows = UrgencyFlows::default();
     flows.asked(&request(1, 0, 1_000));
     for second in 1..120 {
@@ -68,9 +68,10 @@
     assert!(granted_percent(&flows, 0) >= Some(99));
 }
 
-/// One caller that stated an absurd length took the places of the other urgencies for half a minute.
+/// Guards against one caller with an absurd stated length, which took the slots of the other urgencies for half a
+/// minute.
 #[test]
-fn absurd_length_counts_no_more_than_the_time_of_its_request() {
+fn absurd_length_is_capped_at_the_remaining_time_of_its_request() {
     let mut flows = UrgencyFlows::default();
     for second in 1..=4 {
         flows.tick(Duration::from_secs(second));
@@ -78,7 +79,7 @@
     }
     flows.asked(&request(10, 1, u64::MAX));
     flows.tick(Duration::from_secs(5));
-    let asked = flows.asked_per_second();
-    let of_urgency = |urgency: u8| asked[&0][&urgency];
-    assert!(of_urgency(1) <= 10 * of_urgency(0), "{asked:?}");
+    let requested = flows.requested_per_second();
+    let of_urgency = |urgency: u8| requested[&0][&urgency];
+    assert!(of_urgency(1) <= 10 * of_urgency(0), "{requested:?}");
 }
