--- a/crates/sched/tests/overload.rs
+++ b/crates/sched/tests/overload.rs
@@ -1,4 +1,4 @@
-//! A pool that gets more streams than it has slots for: who is served in time?
+//! A pool that gets more streams than it has slots for serves those that can begin in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,21 +15,21 @@
 /// Time to the first part, and from there to the end.
 const FIRST: Duration = Duration::from_millis(50);
 const REST: Duration = Duration::from_millis(750);
-/// Time from a caller's first attempt to the first part that is in time.
+/// Time from a caller's first attempt within which the first part is in time.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-/// Time that a caller gives.
+/// Time from a caller's first attempt to its deadline.
 const CALLER_TIME: Duration = Duration::from_secs(12);
 const STEP: Duration = Duration::from_millis(5);
 const TEN_SECONDS: Duration = Duration::from_secs(10);
 
-/// A caller's request, which comes back once after a refusal.
+/// A caller's request, which is retried once after a refusal.
 #[derive(Clone, Copy)]
 struct LoadCaller {
     first_attempt: Uptime,
-    has_returned: bool,
+    is_retry: bool,
 }
 
-/// What became of a load.
+/// Outcomes of the requests of a load.
 #[derive(Debug, Default)]
 struct LoadCount {
     in_time: u32,
@@ -38,17 +38,17 @@
 }
 
 /// A scheduler, callers, and a target that serves what is granted.
-struct LoadPlay {
+struct LoadRun {
     scheduler: PoolScheduler,
     now: Uptime,
     callers: BTreeMap<u128, LoadCaller>,
-    returns: BTreeMap<(Uptime, u128), LoadCaller>,
+    retries: BTreeMap<(Uptime, u128), LoadCaller>,
     ends: BTreeSet<(Uptime, u128)>,
     count: LoadCount,
 }
 
-impl LoadPlay {
-    fn new() -> LoadPlay {
+impl LoadRun {
+    fn new() -> LoadRun {
         let mut scheduler = PoolScheduler::new(POOL.to_string(), PoolOptions::default());
         let entry =
             TargetEntry { id: "t".into(), vm: "t".into(), slots: SLOTS, ..TargetEntry::default() };
@@ -58,28 +58,28 @@
             ..TargetPool::default()
         };
         scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &pool);
-        LoadPlay {
+        LoadRun {
             scheduler,
             now: Duration::from_secs(100),
             callers: BTreeMap::new(),
-            returns: BTreeMap::new(),
+            retries: BTreeMap::new(),
             ends: BTreeSet::new(),
             count: LoadCount::default(),
         }
     }
 
-    fn ask(&mut self, caller: LoadCaller) {
-        // Ids spread as drawn ones do, since they spread the returns.
+    fn send(&mut self, caller: LoadCaller) {
+        // Ids that are spread like random ones, since they spread the retries.
         let number = (self.callers.len() as u128 + 1) * 7_919;
         self.callers.insert(number, caller);
         let passed = self.now - caller.first_attempt;
         let objectives = LatencyObjectives {
             wait_limit: OBJECTIVE,
-            forecast_limit: if caller.has_returned { OBJECTIVE } else { OBJECTIVE * 60 / 100 },
+            forecast_limit: if caller.is_retry { OBJECTIVE } else { OBJECTIVE * 60 / 100 },
             first_part_by: OBJECTIVE.saturating_sub(passed),
             pause_limit: Duration::from_secs(1),
             length_guessed: true,
-            is_retry: caller.has_returned,
+            is_retry: caller.is_retry,
             ..LatencyObjectives::default()
         };
         let request = PermitRequest {
@@ -97,10 +97,10 @@
         };
         let entry = DaemonId { vm: "e".to_string(), incarnation: 1 };
         let actions = self.scheduler.request_permit(self.now, entry, request);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    fn take(&mut self, actions: Vec<SchedulerAction>) {
+    fn apply(&mut self, actions: Vec<SchedulerAction>) {
         for action in actions {
             let number = action.answer.permit.request.as_u128();
             let caller = self.callers[&number];
@@ -113,11 +113,11 @@
                     }
                     self.ends.insert((self.now + FIRST + REST, number));
                 }
-                PermitDecision::Refused(_) if caller.has_returned => self.count.refused += 1,
+                PermitDecision::Refused(_) if caller.is_retry => self.count.refused += 1,
                 PermitDecision::Refused(refusal) => {
-                    let back = self.now + refusal.retry_after.expect("an advice");
-                    let caller = LoadCaller { has_returned: true, ..caller };
-                    self.returns.insert((back, number), caller);
+                    let retry_at = self.now + refusal.retry_after.expect("an advice");
+                    let caller = LoadCaller { is_retry: true, ..caller };
+                    self.retries.insert((retry_at, number), caller);
                 }
                 _ => {}
             }
@@ -131,38 +131,38 @@
                 break;
             }
             self.ends.pop_first();
-            let seen = StreamTiming {
+            let timing = StreamTiming {
                 first: FIRST,
                 rest: REST,
                 parts: 40,
                 pause: Duration::from_millis(20),
             };
-            let back = PermitReturn {
+            let returned = PermitReturn {
                 permit: permit(number),
                 pool: POOL.to_string(),
-                end: AttemptEnd::Streamed(seen),
+                end: AttemptEnd::Streamed(timing),
             };
-            let actions = self.scheduler.give_back(self.now, &back);
-            self.take(actions);
+            let actions = self.scheduler.give_back(self.now, &returned);
+            self.apply(actions);
         }
-        while let Some(((due, _), caller)) = self.returns.first_key_value() {
+        while let Some(((due, _), caller)) = self.retries.first_key_value() {
             if *due > self.now {
                 break;
             }
             let caller = *caller;
-            self.returns.pop_first();
-            self.ask(caller);
+            self.retries.pop_first();
+            self.send(caller);
         }
         let actions = self.scheduler.tick(self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// A new caller each `gap`, for a time, and until all have their answer.
+    /// Sends a new caller each `gap` for `time`, and runs until all have their answer.
     fn run(mut self, gap: Duration, time: Duration) -> LoadCount {
         let (begin, mut next) = (self.now, self.now);
         while self.now < begin + time + CALLER_TIME {
             while next <= self.now && next < begin + time {
-                self.ask(LoadCaller { first_attempt: next, has_returned: false });
+                self.send(LoadCaller { first_attempt: next, is_retry: false });
                 next += gap;
             }
             self.step();
@@ -175,13 +175,13 @@
     PermitId { request: RequestId::from_u128(number), attempt: 0 }
 }
 
-/// The target serves ten requests a second; callers come twice, four times as often, for ten seconds. Where
-/// those that are late already wait among the others, 68 and 57 answers begin in time, and as many slots
-/// go to late ones.
+/// The target serves ten requests per second; callers arrive at two and four times that rate for ten seconds. If
+/// late requests waited among the others, 68 and 57 answers would begin in time, and as many slots would
+/// go to late requests.
 #[rstest]
 #[case::twice(Duration::from_millis(50))]
 #[case::four_times(Duration::from_millis(25))]
-fn slots_of_an_overloaded_pool_go_to_those_who_can_be_in_time(#[case] gap: Duration) {
-    let count = LoadPlay::new().run(gap, TEN_SECONDS);
+fn slots_of_an_overloaded_pool_go_to_requests_that_can_be_in_time(#[case] gap: Duration) {
+    let count = LoadRun::new().run(gap, TEN_SECONDS);
     assert!(count.in_time >= 95, "{count:?}");
 }
--- a/crates/sched/tests/streams.rs
+++ b/crates/sched/tests/streams.rs
@@ -1,5 +1,5 @@
-//! The scheduler of a pool of targets that stream: where prompts go, who goes first, who is refused at
-//! once, and what is learned.
+//! The scheduler of a pool of streaming targets: which target gets a prompt, the order of requests, early refusals,
+//! and the learned pace.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,35 +16,35 @@
 const FAST: &str = "fast";
 const SLOW: &str = "slow";
 
-/// A pool with one scheduler, its targets' true speeds, and a clock.
-struct Play {
+/// The scheduler of one pool, and a clock.
+struct PoolRun {
     scheduler: PoolScheduler,
     now: Duration,
     next: u128,
 }
 
-impl Play {
-    fn new(targets: &[&str], slots: u32) -> Play {
+impl PoolRun {
+    fn new(targets: &[&str], slots: u32) -> PoolRun {
         let options = PoolOptions { queue_limit: 1_000, age_per_work: 1, ..PoolOptions::default() };
         let mut scheduler = PoolScheduler::new(POOL.to_string(), options.clone());
         scheduler.configure(options, &pool(targets, slots));
-        Play { scheduler, now: Duration::from_secs(1), next: 0 }
+        PoolRun { scheduler, now: Duration::from_secs(1), next: 0 }
     }
 
-    fn request_permit(&mut self, ask: PermitRequest) -> (u128, Vec<SchedulerAction>) {
+    fn request_permit(&mut self, request: PermitRequest) -> (u128, Vec<SchedulerAction>) {
         self.next += 1;
         let permit = permit(self.next);
         let actions =
-            self.scheduler.request_permit(self.now, entry(), PermitRequest { permit, ..ask });
+            self.scheduler.request_permit(self.now, entry(), PermitRequest { permit, ..request });
         (self.next, actions)
     }
 
     fn end(&mut self, number: u128, end: AttemptEnd) -> Vec<SchedulerAction> {
-        let back = PermitReturn { permit: permit(number), pool: POOL.to_string(), end };
-        self.scheduler.give_back(self.now, &back)
+        let returned = PermitReturn { permit: permit(number), pool: POOL.to_string(), end };
+        self.scheduler.give_back(self.now, &returned)
     }
 
-    fn run(&mut self, time: Duration) -> Vec<SchedulerAction> {
+    fn advance(&mut self, time: Duration) -> Vec<SchedulerAction> {
         let end = self.now + time;
         let mut actions = Vec::new();
         while self.now < end {
@@ -54,14 +54,14 @@
         actions
     }
 
-    /// Lets a target serve streams of this kind one by one, so that its pace is learned.
-    fn teach(&mut self, target: &str, others: &[&str], seen: StreamTiming) {
+    /// Lets a target serve streams with this timing one by one, so that its pace is learned.
+    fn learn_pace(&mut self, target: &str, others: &[&str], timing: StreamTiming) {
         for _ in 0..20 {
             let avoid = others.iter().map(|other| other.to_string()).collect();
             let (number, actions) = self.request_permit(PermitRequest { avoid, ..prompt(5_000) });
             assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(target));
-            self.now += seen.first + seen.rest;
-            self.end(number, AttemptEnd::Streamed(seen));
+            self.now += timing.first + timing.rest;
+            self.end(number, AttemptEnd::Streamed(timing));
         }
     }
 }
@@ -94,7 +94,7 @@
     PermitId { request: RequestId::from_u128(number), attempt: 0 }
 }
 
-/// An ask with a prompt of so many tokens and an output of a hundred.
+/// A permit request with a prompt of `tokens` tokens and an output of a hundred.
 fn prompt(tokens: u64) -> PermitRequest {
     PermitRequest {
         permit: permit(0),
@@ -117,7 +117,8 @@
     }
 }
 
-/// A stream at a target that reads so many microseconds a token and pauses so long.
+/// A stream of 21 parts at a target that reads a token of the prompt in `read_us` and sends a part each `part_ms`,
+/// with a longest pause of `pause_ms`.
 fn timing(read_us: u64, part_ms: u64, pause_ms: u64) -> StreamTiming {
     StreamTiming {
         first: Duration::from_micros(5_000 * read_us),
@@ -147,19 +148,19 @@
     refusals.collect()
 }
 
-/// A pool in which both paces are known.
-fn taught(slots: u32) -> Play {
-    let mut play = Play::new(&[FAST, SLOW], slots);
-    play.teach(SLOW, &[FAST], timing(50, 70, 590));
-    play.teach(FAST, &[SLOW], timing(10, 16, 120));
-    play.run(Duration::from_millis(40));
-    play
+/// A pool of a fast and a slow target whose paces are learned.
+fn learned_pool(slots: u32) -> PoolRun {
+    let mut run = PoolRun::new(&[FAST, SLOW], slots);
+    run.learn_pace(SLOW, &[FAST], timing(50, 70, 590));
+    run.learn_pace(FAST, &[SLOW], timing(10, 16, 120));
+    run.advance(Duration::from_millis(40));
+    run
 }
 
 #[test]
 fn faster_target_gets_the_prompt() {
-    let mut play = taught(2);
-    let (number, actions) = play.request_permit(prompt(5_000));
+    let mut run = learned_pool(2);
+    let (number, actions) = run.request_permit(prompt(5_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(FAST));
 }
 
@@ -167,128 +168,129 @@
 #[case::as_fast(timing(10, 17, 120), SLOW)]
 #[case::half_as_fast(timing(20, 34, 120), SLOW)]
 #[case::many_times_slower(timing(60, 110, 120), FAST)]
-fn near_target_goes_first_unless_it_is_several_times_slower(
+fn target_of_the_same_data_centre_is_preferred_unless_it_is_several_times_slower(
     #[case] near: StreamTiming,
-    #[case] taken: &str,
+    #[case] expected: &str,
 ) {
-    let mut play = Play::new(&[FAST, SLOW], 8);
-    play.teach(SLOW, &[FAST], near);
-    play.teach(FAST, &[SLOW], timing(10, 16, 120));
-    let mut places = pool(&[FAST, SLOW], 8);
-    places.targets.get_mut(FAST).expect("a target").data_centre = "there".to_string();
-    places.targets.get_mut(SLOW).expect("a target").data_centre = "here".to_string();
-    play.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &places);
+    let mut run = PoolRun::new(&[FAST, SLOW], 8);
+    run.learn_pace(SLOW, &[FAST], near);
+    run.learn_pace(FAST, &[SLOW], timing(10, 16, 120));
+    let mut located = pool(&[FAST, SLOW], 8);
+    located.targets.get_mut(FAST).expect("a target").data_centre = "there".to_string();
+    located.targets.get_mut(SLOW).expect("a target").data_centre = "here".to_string();
+    run.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &located);
     let here = BTreeMap::from([("e".to_string(), "here".to_string())]);
-    play.scheduler.set_places(here);
-    play.run(Duration::from_millis(100));
-    let (number, actions) = play.request_permit(prompt(1_000));
-    assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(taken));
+    run.scheduler.set_places(here);
+    run.advance(Duration::from_millis(100));
+    let (number, actions) = run.request_permit(prompt(1_000));
+    assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(expected));
 }
 
 #[test]
-fn long_prompt_waits_rather_than_stall_the_streams_of_a_slow_target() {
-    let mut play = taught(1);
-    play.request_permit(prompt(1_000));
-    // The slow target has another slot and a stream in the first.
-    let mut options = pool(&[FAST, SLOW], 1);
-    options.targets.get_mut(SLOW).expect("the slow target").slots = 2;
-    let (short, actions) = play.request_permit(prompt(1_000));
+fn long_prompt_waits_instead_of_stalling_the_streams_of_a_slow_target() {
+    let mut run = learned_pool(1);
+    run.request_permit(prompt(1_000));
+    // The slow target gets a second slot, and has a stream in the first.
+    let mut wider = pool(&[FAST, SLOW], 1);
+    wider.targets.get_mut(SLOW).expect("the slow target").slots = 2;
+    let (short, actions) = run.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&short).map(String::as_str), Some(SLOW));
-    play.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &options);
-    let (long, actions) = play.request_permit(prompt(20_000));
+    run.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &wider);
+    let (long, actions) = run.request_permit(prompt(20_000));
     assert!(granted(&actions).is_empty() && refused(&actions).is_empty());
-    // Once its answer has to begin, a late start is better than none.
-    let later = play.run(Duration::from_millis(900));
+    // Once the objective of the first part has passed, the slow target is used.
+    let later = run.advance(Duration::from_millis(900));
     assert_eq!(granted(&later).get(&long).map(String::as_str), Some(SLOW));
 }
 
 #[test]
-fn wait_for_earlier_prompts_is_not_learned_as_the_prompts_own_time() {
-    let mut play = Play::new(&[FAST], 8);
-    play.teach(FAST, &[], timing(10, 16, 120));
-    // Eight prompts of 50 ms at once: the last one begins after 400 ms, over and over.
+fn wait_for_earlier_prompts_is_not_learned_as_time_of_the_prompt_itself() {
+    let mut run = PoolRun::new(&[FAST], 8);
+    run.learn_pace(FAST, &[], timing(10, 16, 120));
+    // Eight prompts of 50 ms at once, repeatedly: the answer to the last one begins after 400 ms.
     for _ in 0..40 {
-        let numbers: Vec<u128> = (0..8).map(|_| play.request_permit(prompt(5_000)).0).collect();
-        play.now += Duration::from_millis(800);
-        for (place, number) in numbers.iter().enumerate() {
-            let first = Duration::from_millis(50 * (place as u64 + 1));
-            let seen = StreamTiming { first, ..timing(10, 16, 120) };
-            play.end(*number, AttemptEnd::Streamed(seen));
+        let numbers: Vec<u128> = (0..8).map(|_| run.request_permit(prompt(5_000)).0).collect();
+        run.now += Duration::from_millis(800);
+        for (index, number) in numbers.iter().enumerate() {
+            let first = Duration::from_millis(50 * (index as u64 + 1));
+            let stream = StreamTiming { first, ..timing(10, 16, 120) };
+            run.end(*number, AttemptEnd::Streamed(stream));
         }
     }
-    let pace = play.scheduler.targets()[FAST].pace;
+    let pace = run.scheduler.targets()[FAST].pace;
     let learned = pace.prompt_time(500_000).expect("a pace");
     assert!((30_000..=80_000).contains(&learned), "{learned} us for a prompt of 50 ms");
 }
 
 #[test]
-fn targets_are_used_while_asks_wait() {
-    let mut play = taught(4);
-    // Everything that was learned says that nothing is in time; what waits is served all the same.
-    let asks: Vec<u128> = (0..8).map(|_| play.request_permit(prompt(60_000)).0).collect();
-    let later = play.run(Duration::from_millis(1_000));
+fn free_slots_are_used_while_requests_wait_that_cannot_be_in_time() {
+    let mut run = learned_pool(4);
+    // By the learned paces no request can be in time; the waiting ones are served all the same.
+    let waiting: Vec<u128> = (0..8).map(|_| run.request_permit(prompt(60_000)).0).collect();
+    let later = run.advance(Duration::from_millis(1_000));
     let served: BTreeSet<u128> = granted(&later).into_keys().collect();
-    assert!(play.scheduler.in_flight() >= 6, "{} of 8 slots", play.scheduler.in_flight());
-    assert!(asks.iter().filter(|ask| served.contains(ask)).count() >= 1);
+    assert!(run.scheduler.in_flight() >= 6, "{} of 8 slots", run.scheduler.in_flight());
+    assert!(waiting.iter().filter(|number| served.contains(number)).count() >= 1);
 }
 
 #[test]
-fn failing_target_is_passed_over() {
-    let mut play = taught(4);
+fn failing_target_is_not_chosen() {
+    let mut run = learned_pool(4);
     for _ in 0..2 {
-        let (number, _) = play.request_permit(prompt(1_000));
-        play.end(number, AttemptEnd::Failed);
+        let (number, _) = run.request_permit(prompt(1_000));
+        run.end(number, AttemptEnd::Failed);
         let (number, _) =
-            play.request_permit(PermitRequest { avoid: vec![SLOW.to_string()], ..prompt(1_000) });
-        play.end(number, AttemptEnd::Failed);
+            run.request_permit(PermitRequest { avoid: vec![SLOW.to_string()], ..prompt(1_000) });
+        run.end(number, AttemptEnd::Failed);
     }
-    let (number, actions) = play.request_permit(prompt(1_000));
+    let (number, actions) = run.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(SLOW));
 }
 
 #[test]
-fn new_ask_is_refused_at_once_where_it_would_wait_long_and_sheds_no_tier() {
-    let mut play = taught(1);
+fn request_that_would_wait_too_long_is_refused_at_once_and_sheds_no_tier() {
+    let mut run = learned_pool(1);
     let mut refusals = Vec::new();
     for _ in 0..40 {
-        let (_, actions) = play.request_permit(prompt(1_000));
+        let (_, actions) = run.request_permit(prompt(1_000));
         refusals.extend(refused(&actions).into_values());
     }
     assert!(!refusals.is_empty());
     let advice: BTreeSet<Duration> = refusals.iter().filter_map(|(_, advice)| *advice).collect();
     assert!(refusals.iter().all(|(reason, _)| *reason == RefusalReason::WaitTooLong));
     assert!(advice.iter().all(|advice| *advice <= Duration::from_millis(4_500)));
-    assert_eq!(play.scheduler.level().lowest_open(), None);
+    assert_eq!(run.scheduler.level().lowest_open(), None);
 }
 
-/// A rule has four times the share of the next one, so that the next one goes on; shorter requests of it do not change that.
+/// A rule has four times the share of the next one, so that the next one is still served. Shorter requests of the next
+/// rule do not change the shares, and a retry is served first.
 #[test]
-fn rank_of_the_rule_has_its_share_whatever_the_length_and_a_return_goes_first() {
-    let mut play = taught(1);
-    play.request_permit(prompt(1_000));
-    play.request_permit(prompt(1_000));
+fn urgency_keeps_its_share_whatever_the_length_and_a_retry_is_served_first() {
+    let mut run = learned_pool(1);
+    run.request_permit(prompt(1_000));
+    run.request_permit(prompt(1_000));
     let patient = |tokens: u64, urgency: u8, is_retry: bool| {
-        let ask = prompt(tokens);
+        let request = prompt(tokens);
         let objectives = LatencyObjectives { urgency, is_retry, ..LatencyObjectives::default() };
-        PermitRequest { objectives, time_left: Duration::from_secs(600), ..ask }
+        PermitRequest { objectives, time_left: Duration::from_secs(600), ..request }
     };
     let mut work = BTreeMap::new();
     for _ in 0..40 {
-        let (triage, _) = play.request_permit(patient(500, 1, false));
+        let (triage, _) = run.request_permit(patient(500, 1, false));
         work.insert(triage, (1, 500));
-        let (review, _) = play.request_permit(patient(6_000, 0, false));
+        let (review, _) = run.request_permit(patient(6_000, 0, false));
         work.insert(review, (0, 6_000));
     }
-    let (returned, _) = play.request_permit(patient(6_000, 0, true));
-    work.insert(returned, (0, 6_000));
+    let (retried, _) = run.request_permit(patient(6_000, 0, true));
+    work.insert(retried, (0, 6_000));
     let mut order = Vec::new();
-    while let Some(running) = play.scheduler.permits().keys().next().copied() {
-        let next = play.end(running.request.as_u128(), AttemptEnd::Unused);
+    while let Some(running) = run.scheduler.permits().keys().next().copied() {
+        let next = run.end(running.request.as_u128(), AttemptEnd::Unused);
         order.extend(granted(&next).into_keys().filter(|number| work.contains_key(number)));
     }
     let reviews: Vec<u128> = order.iter().copied().filter(|number| work[number].0 == 0).collect();
-    assert_eq!(reviews.first(), Some(&returned), "{order:?}");
-    // While both wait, triages have a fifth of the work, and no more than one of them more.
+    assert_eq!(reviews.first(), Some(&retried), "{order:?}");
+    // While both wait, triages get a fifth of the work, and at most one request more.
     let last_triage = order.iter().rposition(|number| work[number].0 == 1).expect("triages");
     let shared = &order[..=last_triage];
     let of = |urgency: u8| -> u64 {
@@ -303,50 +305,50 @@
     assert_eq!(order.len(), work.len(), "all are served");
 }
 
-/// A return goes first for the sake of its objective; one that is late already, or will be once its prompt
-/// of 60 ms is read, takes no other's.
+/// A retry has priority so that it meets its objective. One that is already late, or will be once its prompt
+/// of 60 ms is read, has none.
 #[test]
-fn return_that_is_late_already_goes_by_its_age() {
-    let mut play = taught(1);
-    play.request_permit(prompt(1_000));
-    play.request_permit(prompt(1_000));
-    let returned = |first_part_by: Duration| {
+fn retry_that_cannot_be_in_time_has_no_priority() {
+    let mut run = learned_pool(1);
+    run.request_permit(prompt(1_000));
+    run.request_permit(prompt(1_000));
+    let retried = |first_part_by: Duration| {
         let objectives =
             LatencyObjectives { is_retry: true, first_part_by, ..LatencyObjectives::default() };
         PermitRequest { objectives, time_left: Duration::from_secs(600), ..prompt(6_000) }
     };
     let new = PermitRequest { time_left: Duration::from_secs(600), ..prompt(6_000) };
-    let (new, _) = play.request_permit(new);
-    let (late, _) = play.request_permit(returned(Duration::ZERO));
-    let (hopeless, _) = play.request_permit(returned(Duration::from_millis(1)));
-    let (in_time, _) = play.request_permit(returned(Duration::from_millis(400)));
+    let (new, _) = run.request_permit(new);
+    let (late, _) = run.request_permit(retried(Duration::ZERO));
+    let (hopeless, _) = run.request_permit(retried(Duration::from_millis(1)));
+    let (in_time, _) = run.request_permit(retried(Duration::from_millis(400)));
     let mut order = Vec::new();
-    while let Some(running) = play.scheduler.permits().keys().next().copied() {
-        let next = play.end(running.request.as_u128(), AttemptEnd::Unused);
+    while let Some(running) = run.scheduler.permits().keys().next().copied() {
+        let next = run.end(running.request.as_u128(), AttemptEnd::Unused);
         order.extend(granted(&next).into_keys());
     }
-    let place = |number: u128| order.iter().position(|other| *other == number);
-    assert!(place(in_time) < place(new) && place(new) < place(late), "{order:?}");
-    assert!(place(late) < place(hopeless) && place(in_time).is_some(), "{order:?}");
+    let position = |number: u128| order.iter().position(|other| *other == number);
+    assert!(position(in_time) < position(new) && position(new) < position(late), "{order:?}");
+    assert!(position(late) < position(hopeless) && position(in_time).is_some(), "{order:?}");
 }
 
 #[test]
-fn long_answer_by_guess_is_tried_where_it_may_well_end_in_time() {
-    // Nothing is known of the targets yet, and the operator's numbers would say forty seconds.
-    let mut play = Play::new(&[FAST], 2);
+fn answer_of_guessed_length_is_granted_if_it_may_end_in_time() {
+    // No pace is known yet, and by the operator's estimates the answer would take forty seconds.
+    let mut run = PoolRun::new(&[FAST], 2);
     let guessed = |output: u64| {
-        let ask = prompt(5_000);
-        let objectives = LatencyObjectives { length_guessed: true, ..ask.objectives };
-        PermitRequest { objectives, output_work: output, ..ask }
+        let request = prompt(5_000);
+        let objectives = LatencyObjectives { length_guessed: true, ..request.objectives };
+        PermitRequest { objectives, output_work: output, ..request }
     };
-    let (first, actions) = play.request_permit(guessed(40_000_000));
+    let (first, actions) = run.request_permit(guessed(40_000_000));
     assert!(granted(&actions).contains_key(&first));
-    play.end(first, AttemptEnd::Unused);
-    // Known: 20 parts of 16 ms for a second of work, so that forty seconds of it take 13 s.
-    play.teach(FAST, &[], timing(10, 16, 120));
-    let (long, actions) = play.request_permit(guessed(40_000_000));
+    run.end(first, AttemptEnd::Unused);
+    // Learned: 20 parts of 16 ms for a second of work, so that forty seconds of work take 13 s.
+    run.learn_pace(FAST, &[], timing(10, 16, 120));
+    let (long, actions) = run.request_permit(guessed(40_000_000));
     assert!(granted(&actions).contains_key(&long));
-    play.end(long, AttemptEnd::Unused);
-    let (endless, actions) = play.request_permit(guessed(400_000_000));
+    run.end(long, AttemptEnd::Unused);
+    let (endless, actions) = run.request_permit(guessed(400_000_000));
     assert_eq!(refused(&actions)[&endless].0, RefusalReason::DeadlineUnreachable);
 }
--- a/crates/sched/tests/urgencies.rs
+++ b/crates/sched/tests/urgencies.rs
@@ -1,8 +1,8 @@
-//! A pool that gets more streams than it has places for, of rules of three urgencies, from accounts of one tier.
+//! A pool that gets more streams than it has slots for, of rules of three urgencies, from accounts of one tier.
 //!
-//! The most urgent ones would all have fit, and were 0.63 of what they could earn, beside 0.93 of the least urgent: fair shares
-//! of the accounts went before the urgency of the rules, so that one account's least urgent request passed another's most
-//! urgent one, and refusals by forecast counted the same way.
+//! Guards against serving by the accounts' shares before the urgency of the rules: one account's least urgent request
+//! overtook another's most urgent one, and forecasts had the same fault. The most urgent requests would all have fit,
+//! but earned 0.63 of what they could, beside 0.93 for the least urgent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,82 +17,84 @@
 const SLOTS: u32 = 32;
 const ACCOUNTS: u64 = 16;
 const STEP: Duration = Duration::from_millis(5);
-const LASTS: Duration = Duration::from_secs(20);
+const RUN_TIME: Duration = Duration::from_secs(20);
 const OBJECTIVE: Duration = Duration::from_millis(800);
 const CALLER_TIME: Duration = Duration::from_secs(12);
-/// Of each urgency: requests a second, and the time that one keeps a place.
+/// Of each urgency: requests per second, and the time for which one occupies a slot.
 type UrgencyMix = [(u64, Duration); 3];
-/// All together want 1.6 times the places, the first ones half of them.
+/// All together need 1.6 times the slots, the most urgent ones half of the slots.
 const URGENT_HALF: UrgencyMix = [
     (13, Duration::from_millis(1_250)),
     (50, Duration::from_millis(600)),
     (40, Duration::from_millis(125)),
 ];
-/// All together want 1.9 times the places, the first ones alone all of them.
+/// All together need 1.9 times the slots, the most urgent ones alone all of them.
 const URGENT_WHOLE: UrgencyMix = [
     (26, Duration::from_millis(1_250)),
     (41, Duration::from_millis(600)),
     (30, Duration::from_millis(125)),
 ];
-/// The least part of its worth that each kind of request has to earn on days of high load, as the deployments state it.
+/// Minimum share of its worth that each kind of request has to earn on days of high load, as the deployments state it.
 const STATED_FLOOR: f64 = 0.36;
 
-/// Requests of one urgency, those that began in time, and those of an account that sends as much as usual.
+/// Counts of the requests of one urgency. The `usual` ones are from accounts that send as much as usual.
 #[derive(Clone, Copy, Debug, Default)]
 struct UrgencyCount {
-    asked: u64,
+    sent: u64,
     granted: u64,
     in_time: u64,
-    usual_asked: u64,
+    usual_sent: u64,
     usual_in_time: u64,
 }
 
 impl UrgencyCount {
     fn share(&self) -> f64 {
-        self.in_time as f64 / self.asked as f64
+        self.in_time as f64 / self.sent as f64
     }
 
     fn usual_share(&self) -> f64 {
-        self.usual_in_time as f64 / self.usual_asked as f64
+        self.usual_in_time as f64 / self.usual_sent as f64
     }
 }
 
-struct UrgencyPlay {
+/// A scheduler, callers of three urgencies, and a target that serves what is granted.
+struct UrgencyRun {
     scheduler: PoolScheduler,
     now: Duration,
-    asked: BTreeMap<u128, (usize, bool, Duration)>,
+    /// Sent requests: urgency, whether from a usual account, and when sent.
+    sent: BTreeMap<u128, (usize, bool, Duration)>,
     ends: BTreeSet<(Duration, u128)>,
     counts: [UrgencyCount; 3],
     mix: UrgencyMix,
-    /// Times as many requests as usual that the first account sends.
-    hot: u64,
+    /// Factor by which the first account sends more requests than usual.
+    flood_factor: u64,
 }
 
-impl UrgencyPlay {
-    fn new(mix: UrgencyMix, hot: u64) -> UrgencyPlay {
+impl UrgencyRun {
+    fn new(mix: UrgencyMix, flood_factor: u64) -> UrgencyRun {
         let mut scheduler = PoolScheduler::new(POOL.to_string(), PoolOptions::default());
         let entry =
             TargetEntry { id: "t".into(), vm: "t".into(), slots: SLOTS, ..TargetEntry::default() };
         let targets = BTreeMap::from([("t".to_string(), entry)]);
         let pool = TargetPool { id: POOL.to_string(), targets, ..TargetPool::default() };
         scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &pool);
-        UrgencyPlay {
+        UrgencyRun {
             scheduler,
             now: Duration::from_secs(100),
-            asked: BTreeMap::new(),
+            sent: BTreeMap::new(),
             ends: BTreeSet::new(),
             counts: [UrgencyCount::default(); 3],
             mix,
-            hot,
+            flood_factor,
         }
     }
 
-    fn ask(&mut self, urgency: usize, account: u64) {
-        let number = (self.asked.len() as u128 + 1) * 7_919;
-        let is_usual = self.hot == 1 || account > 0;
-        self.asked.insert(number, (urgency, is_usual, self.now));
-        self.counts[urgency].asked += 1;
-        self.counts[urgency].usual_asked += u64::from(is_usual);
+    fn send(&mut self, urgency: usize, account: u64) {
+        let number = (self.sent.len() as u128 + 1) * 7_919;
+        let is_usual = self.flood_factor == 1 || account > 0;
+        self.sent.insert(number, (urgency, is_usual, self.now));
+        self.counts[urgency].sent += 1;
+        self.counts[urgency].usual_sent += u64::from(is_usual);
         let objectives = LatencyObjectives {
             wait_limit: OBJECTIVE,
             forecast_limit: OBJECTIVE * 60 / 100,
@@ -118,19 +120,19 @@
         };
         let entry = DaemonId { vm: "e".to_string(), incarnation: 1 };
         let actions = self.scheduler.request_permit(self.now, entry, request);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    fn take(&mut self, actions: Vec<SchedulerAction>) {
+    fn apply(&mut self, actions: Vec<SchedulerAction>) {
         for action in actions {
             if !matches!(action.answer.decision, PermitDecision::Granted(_)) {
                 continue;
             }
             let number = action.answer.permit.request.as_u128();
-            let (urgency, is_usual, asked) = self.asked[&number];
+            let (urgency, is_usual, sent) = self.sent[&number];
             let time = self.mix[urgency].1;
             self.counts[urgency].granted += 1;
-            let in_time = self.now + time / 10 <= asked + OBJECTIVE;
+            let in_time = self.now + time / 10 <= sent + OBJECTIVE;
             self.counts[urgency].in_time += u64::from(in_time);
             self.counts[urgency].usual_in_time += u64::from(in_time && is_usual);
             self.ends.insert((self.now + time, number));
@@ -143,32 +145,32 @@
             self.ends.first().copied().filter(|(due, _)| *due <= self.now)
         {
             self.ends.remove(&(due, number));
-            let time = self.mix[self.asked[&number].0].1;
-            let seen =
+            let time = self.mix[self.sent[&number].0].1;
+            let timing =
                 StreamTiming { first: time / 10, rest: time * 9 / 10, parts: 10, pause: time / 10 };
-            let back = PermitReturn {
+            let returned = PermitReturn {
                 permit: permit(number),
                 pool: POOL.to_string(),
-                end: AttemptEnd::Streamed(seen),
+                end: AttemptEnd::Streamed(timing),
             };
-            let actions = self.scheduler.give_back(self.now, &back);
-            self.take(actions);
+            let actions = self.scheduler.give_back(self.now, &returned);
+            self.apply(actions);
         }
         let actions = self.scheduler.tick(self.now);
-        self.take(actions);
+        self.apply(actions);
     }
 
     fn run(mut self) -> [UrgencyCount; 3] {
         let begin = self.now;
         let mut sent = [0u64; 3];
-        while self.now < begin + LASTS {
+        while self.now < begin + RUN_TIME {
             let passed = (self.now - begin).as_millis() as u64;
             for (urgency, (rate, _)) in self.mix.into_iter().enumerate() {
                 while sent[urgency] * 1_000 < passed * rate {
                     let account = sent[urgency] % ACCOUNTS;
-                    let times = if account == 0 { self.hot } else { 1 };
+                    let times = if account == 0 { self.flood_factor } else { 1 };
                     for _ in 0..times {
-                        self.ask(urgency, account);
+                        self.send(urgency, account);
                     }
                     sent[urgency] += 1;
                 }
@@ -185,32 +187,34 @@
 
 #[test]
 fn most_urgent_requests_are_served_and_none_starves() {
-    let counts = UrgencyPlay::new(URGENT_HALF, 1).run();
+    let counts = UrgencyRun::new(URGENT_HALF, 1).run();
     let shares = counts.map(|count| count.share());
     assert!(shares[0] >= 0.95, "{shares:?} {counts:?}");
     assert!(shares[1] >= 0.3 && shares[2] >= 0.3, "{shares:?} {counts:?}");
 }
 
-/// One of sixteen accounts sends seven and a half times its usual (seven here): the most urgent requests of the others are
-/// served as before.
+/// One of sixteen accounts sends seven and a half times its usual load (seven here): the most urgent requests of the
+/// others are served as before.
 #[test]
-fn accounts_keep_their_shares_beside_one_that_sends_much() {
-    let counts = UrgencyPlay::new(URGENT_HALF, 7).run();
+fn accounts_keep_their_shares_beside_one_that_floods() {
+    let counts = UrgencyRun::new(URGENT_HALF, 7).run();
     assert!(counts[0].usual_share() >= 0.9, "{counts:?}");
 }
 
-/// The first urgency wants all places and the second one nearly as many: the second one was left with a fifth of the places.
+/// The most urgent requests need all slots and the next urgency nearly as many: guards against leaving it only a fifth
+/// of the slots.
 #[test]
-fn middle_urgency_does_not_fall_short_beside_urgent_ones_that_fill_all_places() {
-    let counts = UrgencyPlay::new(URGENT_WHOLE, 1).run();
+fn middle_urgency_is_not_starved_by_urgent_requests_that_fill_all_slots() {
+    let counts = UrgencyRun::new(URGENT_WHOLE, 1).run();
     let shares = counts.map(|count| count.share());
     assert!(shares.iter().all(|share| *share >= STATED_FLOOR), "{shares:?} {counts:?}");
 }
 
-/// Accounts that had nothing waiting were told no wait, so that too many waited and began late.
+/// Guards against forecasting no wait to accounts with nothing waiting, by which too many requests waited and began
+/// late.
 #[test]
-fn wait_behind_other_accounts_is_forecast_to_one_that_has_nothing_waiting() {
-    let counts = UrgencyPlay::new(URGENT_WHOLE, 1).run();
+fn wait_behind_other_accounts_is_forecast_for_an_account_with_nothing_waiting() {
+    let counts = UrgencyRun::new(URGENT_WHOLE, 1).run();
     for count in counts {
         assert!(count.in_time * 100 >= count.granted * 90, "{counts:?}");
     }
