--- a/crates/sched/src/drain.rs
+++ b/crates/sched/src/drain.rs
@@ -1,25 +1,25 @@
-//! The planned stop of a daemon, step by step.
+//! The phases of the planned stop of a daemon.
 //!
-//! Owns: the phase of the stop. Relies on: the node for what is left to do.
+//! Owns: the phase of the stop. Relies on: the node for the requests in progress and the key slots held.
 
 use std::time::Duration;
 
 use curlewcleat_core::Uptime;
 
-/// Where a planned stop stands.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DrainPhase {
-    /// Serves.
+    /// The daemon serves requests.
     Serving,
-    /// The health check fails; new requests are still served until the balancer has noticed.
+    /// The health check fails; new requests are still served until the load balancer has noticed.
     Unready,
     /// New requests are refused; roles are handed over and requests in progress finish.
     Closing,
-    /// Nothing is left to do.
+    /// No work remains.
     Ended,
 }
 
-/// What the daemon still has, as input of a step.
+/// Remaining work of the daemon, as input of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DrainInput {
     /// Requests in progress.
@@ -38,13 +38,13 @@
 }
 
 impl DrainState {
-    /// A daemon that serves. `grace` is the time the balancer needs to notice, `hand_over_limit`
-    /// the time for which an unreachable platform may delay the stop.
+    /// Returns the state of a daemon that serves. `grace` is the time the load balancer needs to notice,
+    /// `hand_over_limit` the time for which an unreachable platform may delay the stop.
     pub fn new(grace: Duration, hand_over_limit: Duration) -> DrainState {
         DrainState { phase: DrainPhase::Serving, since: Duration::ZERO, grace, hand_over_limit }
     }
 
-    /// Where the stop stands.
+    /// Returns the phase of the stop.
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
@@ -56,30 +56,30 @@
         }
     }
 
-    /// Whether new requests are taken in.
+    /// Returns whether new requests are accepted.
     pub fn admits(&self) -> bool {
         self.phase <= DrainPhase::Unready
     }
 
-    /// Whether the health check succeeds.
+    /// Returns whether the health check succeeds.
     pub fn ready(&self) -> bool {
         self.phase == DrainPhase::Serving
     }
 
-    /// Lets time pass.
+    /// Advances the clock and the phase.
     pub fn tick(&mut self, now: Uptime, input: DrainInput) {
-        let waited = now.saturating_sub(self.since);
+        let elapsed = now.saturating_sub(self.since);
         match self.phase {
-            DrainPhase::Unready if waited >= self.grace => self.enter(DrainPhase::Closing, now),
-            DrainPhase::Closing if input.requests == 0 && self.handed_over(waited, input) => {
+            DrainPhase::Unready if elapsed >= self.grace => self.enter(DrainPhase::Closing, now),
+            DrainPhase::Closing if input.requests == 0 && self.has_handed_over(elapsed, input) => {
                 self.enter(DrainPhase::Ended, now);
             }
             _ => {}
         }
     }
 
-    fn handed_over(&self, waited: Duration, input: DrainInput) -> bool {
-        input.slots_held == 0 || waited >= self.hand_over_limit
+    fn has_handed_over(&self, elapsed: Duration, input: DrainInput) -> bool {
+        input.slots_held == 0 || elapsed >= self.hand_over_limit
     }
 
     fn enter(&mut self, phase: DrainPhase, now: Uptime) {
--- a/crates/sched/src/election.rs
+++ b/crates/sched/src/election.rs
@@ -1,11 +1,10 @@
-//! Who decides? Which daemons are reachable, and in which order they are asked to schedule a pool.
+//! Decides which daemons are reachable and in which order they are asked to schedule a pool.
 //!
-//! [`membership`] holds what is known of the peers, [`addresses`] where daemons may live,
-//! [`candidates`] which of them may schedule,
-//! [`heartbeats`] who gets a heartbeat when, [`failure`] when a peer counts as unreachable, [`order`]
-//! which daemon schedules, [`unresponsive`] which one is asked where some do not answer.
+//! [`membership`] holds the state of the peers, [`addresses`] the addresses of possible daemons, [`candidates`] decides
+//! which daemons may schedule, [`heartbeats`] who receives heartbeats, [`failure`] when a peer counts as unreachable,
+//! [`order`] which daemon schedules, [`unresponsive`] which one is asked where some do not answer.
 //!
-//! Liveness decides only where to ask first; no promise depends on it.
+//! Liveness decides only which daemon is asked first; no guarantee depends on it.
 
 pub mod addresses;
 pub mod candidates;
--- a/crates/sched/src/election/addresses.rs
+++ b/crates/sched/src/election/addresses.rs
@@ -1,10 +1,9 @@
-//! Where do daemons live? Addresses from the settings, the platform's records and peers.
+//! Collects the addresses of daemons from the settings, the platform's records and peers.
 //!
-//! Inputs: the seeds of the settings, recorded daemons, addresses that heartbeats name. The rule: in a
-//! small fleet every address that was ever named gets heartbeats until its daemon has sent none for ten
-//! minutes; in a larger one ([`candidates`](super::candidates)) only the daemons that may schedule do.
-//! Until the platform has named its records, the fleet is taken to have at least [`UNKNOWN_FLEET`]
-//! daemons.
+//! Inputs: the seeds of the settings, recorded daemons, the addresses in heartbeats. The rule: in a small fleet every
+//! address that was ever reported gets heartbeats until its daemon has sent none for ten minutes; in a larger one
+//! ([`candidates`](super::candidates)) only the daemons that may schedule get them. Until the platform has listed its
+//! records, the fleet is assumed to have at least [`UNKNOWN_FLEET`] daemons.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -15,23 +14,23 @@
 use super::candidates::CANDIDATES;
 use super::membership::MemberView;
 
-/// Daemons that there may be where none has been listed yet: more than the users' small deployments have, so that a
-/// new daemon claims too small a part of the rates rather than too large.
+/// Assumed minimum size of the fleet until the platform has listed its records: more than the users' small deployments
+/// have, so that a new daemon claims too small a share of the rates rather than too large a one.
 const UNKNOWN_FLEET: usize = 16;
 
 impl MemberView {
-    /// Addresses at which daemons may live, from the settings.
+    /// Adds the addresses from the settings.
     pub fn add_seeds(&mut self, addresses: Vec<String>) {
         for address in addresses {
             self.add_address(&address, true);
         }
     }
 
-    /// The daemons that the platform has recorded; they may have ended. A record that has gone since the
-    /// last list is dropped, so that a fleet whose VMs are replaced does not seem to grow.
+    /// Replaces the list of daemons that the platform has recorded; they may have ended. An address whose record is
+    /// missing from the new list is dropped, so that a fleet whose VMs are replaced does not seem to grow.
     pub fn records_listed(&mut self, records: Vec<DaemonRecord>) {
-        let gone = std::mem::take(&mut self.records);
-        for record in gone.values() {
+        let previous = std::mem::take(&mut self.records);
+        for record in previous.values() {
             self.known_addresses.remove(&record.address);
         }
         for record in records.into_iter().filter(|record| record.daemon.vm != self.me.vm) {
@@ -44,30 +43,30 @@
         self.announce();
     }
 
-    /// A peer has named addresses, those of the daemons that it would ask first before all others.
-    pub(super) fn addresses_named(&mut self, addresses: &[String]) {
+    /// Adds the addresses in a heartbeat; those of the daemons that its sender asks first come before all others.
+    pub(super) fn add_reported_addresses(&mut self, addresses: &[String]) {
         let mesh = self.is_mesh();
-        for (place, address) in addresses.iter().enumerate() {
-            self.add_address(address, mesh || place < CANDIDATES);
+        for (index, address) in addresses.iter().enumerate() {
+            self.add_address(address, mesh || index < CANDIDATES);
         }
     }
 
-    /// Adds an address; `greet` where its daemon is to be heard of soon.
+    /// Adds an address; with `greet` its daemon gets the next heartbeat unless it is already reachable.
     fn add_address(&mut self, address: &str, greet: bool) {
         if address == self.options.address {
             return;
         }
         self.known_addresses.insert(address.to_string());
-        if greet && !self.is_heard(address) {
+        if greet && !self.is_reachable_at(address) {
             self.reply_due.insert(address.to_string());
         }
     }
 
-    fn is_heard(&self, address: &str) -> bool {
+    fn is_reachable_at(&self, address: &str) -> bool {
         self.peers.values().any(|peer| peer.live && peer.address == address)
     }
 
-    /// Addresses of daemons that are known.
+    /// Returns the known addresses of other daemons.
     pub fn addresses(&self) -> BTreeSet<String> {
         let mut addresses = self.known_addresses.clone();
         addresses.extend(self.options.seeds.iter().cloned());
@@ -75,14 +74,14 @@
         addresses
     }
 
-    /// Daemons that there may be, this one among them. Until the recorded ones are known there may be
-    /// more than have been heard of.
+    /// Returns the assumed number of daemons, including this one. Until the records are known there may be more daemons
+    /// than are known.
     pub fn fleet_size(&self) -> usize {
-        let own = &self.options.address;
-        let seeds = self.options.seeds.iter().filter(|seed| *seed != own);
-        let unnamed: BTreeSet<&String> =
+        let own_address = &self.options.address;
+        let seeds = self.options.seeds.iter().filter(|seed| *seed != own_address);
+        let unlisted: BTreeSet<&String> =
             seeds.filter(|seed| !self.known_addresses.contains(*seed)).collect();
-        let known = self.known_addresses.len() + unnamed.len() + 1;
+        let known = self.known_addresses.len() + unlisted.len() + 1;
         match self.records_known {
             true => known,
             false => known.max(UNKNOWN_FLEET),
--- a/crates/sched/src/election/failure.rs
+++ b/crates/sched/src/election/failure.rs
@@ -1,11 +1,11 @@
-//! When does a peer count as unreachable?
+//! Decides when a peer counts as unreachable.
 //!
-//! Inputs: when it was heard of last, whether every heartbeat is exchanged with it and since when, the
-//! suspicion time-out of the settings (`[peers] suspect_after`). The rule: a peer with which every
-//! heartbeat is exchanged is unreachable after the time-out, counted from its last heartbeat or from
-//! when the exchange began. Of another peer no heartbeats are expected; the exchange
-//! begins when it comes to be asked. Where no peer at all was heard of within the time-out, this daemon
-//! itself is cut off, and all of them are unreachable for it.
+//! Inputs: when its last frame arrived, whether every heartbeat is exchanged with it and since when, the suspicion
+//! timeout of the settings (`[peers] suspect_after`). The rule: a peer with which every heartbeat is exchanged is
+//! unreachable after the timeout, counted from its last frame or from the start of the exchange, whichever is later. No
+//! heartbeats are expected of other peers; the exchange begins when such a peer becomes one of those that are asked. If
+//! no peer at all has sent anything within the timeout, this daemon itself is cut off, and all peers are unreachable
+//! for it.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -15,24 +15,25 @@
 
 use super::membership::{MemberView, PeerState};
 
-/// Time without heartbeats after which an unreachable peer is forgotten altogether: longer than a restart takes.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Time without frames after which an unreachable peer is removed: longer than a restart takes.
+const REMOVE_AFTER: Duration = Duration::from_secs(600);
 
 impl MemberView {
-    /// Lets time pass. Returns the daemons that became unreachable.
+    /// Advances the clock. Returns the daemons that became unreachable.
     pub fn tick(&mut self, now: Uptime) -> Vec<DaemonId> {
         let lost = self.mark_unreachable(now);
         self.review_probes(now);
-        self.forget_silent(now);
+        self.remove_expired(now);
         lost
     }
 
     fn mark_unreachable(&mut self, now: Uptime) -> Vec<DaemonId> {
         let limit = self.options.suspect_after;
         let mesh = self.is_mesh();
-        let alone = !self.peers.values().any(|peer| peer.heard_within(now, limit));
+        let is_cut_off = !self.peers.values().any(|peer| peer.active_within(now, limit));
         let suspects = self.peers.iter().filter(|(_, peer)| peer.live);
-        let suspects = suspects.filter(|(_, peer)| self.has_timed_out(now, peer, mesh || alone));
+        let suspects =
+            suspects.filter(|(_, peer)| self.has_timed_out(now, peer, mesh || is_cut_off));
         let suspects: Vec<VmId> = suspects.map(|(vm, _)| vm.clone()).collect();
         let mut lost = Vec::new();
         for vm in suspects {
@@ -44,21 +45,21 @@
         lost
     }
 
-    fn has_timed_out(&self, now: Uptime, peer: &PeerState, all_near: bool) -> bool {
+    fn has_timed_out(&self, now: Uptime, peer: &PeerState, expects_all: bool) -> bool {
         let limit = self.options.suspect_after;
-        match peer.near_since {
-            _ if all_near => !peer.heard_within(now, limit),
-            Some(since) => now.saturating_sub(peer.last_heard.max(since)) >= limit,
+        match peer.exchange_since {
+            _ if expects_all => !peer.active_within(now, limit),
+            Some(since) => now.saturating_sub(peer.last_received.max(since)) >= limit,
             None => false,
         }
     }
 
-    fn forget_silent(&mut self, now: Uptime) {
-        let forgotten =
-            |peer: &PeerState| !peer.live && now.saturating_sub(peer.last_heard) >= FORGET_AFTER;
-        for peer in self.peers.values().filter(|peer| forgotten(peer)) {
+    fn remove_expired(&mut self, now: Uptime) {
+        let is_expired =
+            |peer: &PeerState| !peer.live && now.saturating_sub(peer.last_received) >= REMOVE_AFTER;
+        for peer in self.peers.values().filter(|peer| is_expired(peer)) {
             self.known_addresses.remove(&peer.address);
         }
-        self.peers.retain(|_, peer| !forgotten(peer));
+        self.peers.retain(|_, peer| !is_expired(peer));
     }
 }
--- a/crates/sched/src/election/heartbeats.rs
+++ b/crates/sched/src/election/heartbeats.rs
@@ -1,11 +1,10 @@
-//! Who gets a heartbeat, and what does it say?
+//! Decides which daemons get a heartbeat, and which addresses it contains.
 //!
-//! Inputs: the addresses, the order of schedulers, the number of heartbeats sent. The rule: up to
-//! `mesh_limit` daemons, every heartbeat goes to all. In a larger fleet it goes to the candidates
-//! ([`candidates`](super::candidates)) and to whoever waits for a reply, so that what an ordinary daemon
-//! sends does not grow with the fleet; a daemon that hears no other tries the seeds and some known
-//! addresses besides. After a start and after a change of role the next ones go to everyone heard of
-//! ([`MemberView::is_announcing`]), which for a candidate is everyone.
+//! Inputs: the addresses, the order of schedulers, the number of heartbeats sent. The rule: up to `mesh_limit` daemons,
+//! every heartbeat goes to all. In a larger fleet it goes to the candidates ([`candidates`](super::candidates)) and to
+//! each daemon that waits for a reply, so that the traffic of an ordinary daemon does not grow with the fleet; a daemon
+//! that receives no heartbeats also tries the seeds and some known addresses. After a start and after a change of role
+//! the next ones go to all reachable peers ([`MemberView::is_announcing`]), which for a candidate are all daemons.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -16,61 +15,64 @@
 use super::candidates::{ALL_POOLS, CANDIDATES};
 use super::membership::MemberView;
 
-/// Known addresses that a heartbeat names, so that its length does not grow with the fleet.
-const KNOWN_EACH: usize = 4;
-/// One heartbeat in this many names addresses.
-const KNOWN_EVERY: u32 = 4;
-/// Known addresses that a daemon that hears no other tries with a heartbeat: few, since they may all be cut off.
-const TRIED_EACH: usize = 2;
+/// Number of known addresses in a heartbeat, so that its length does not grow with the fleet.
+const ADDRESSES_PER_HEARTBEAT: usize = 4;
+/// One heartbeat in this many contains addresses.
+const ADDRESSES_INTERVAL: u32 = 4;
+/// Number of known addresses that a daemon that reaches no other tries with each heartbeat: few, since they may all be
+/// cut off.
+const TRIED_ADDRESSES: usize = 2;
 
-/// A heartbeat's receiver.
+/// A receiver of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeartbeatReceiver {
     /// Its `ip:port`.
     pub address: String,
-    /// Whether it is to send a heartbeat back.
+    /// Whether it is requested to send a heartbeat back.
     pub answer_wanted: bool,
 }
 
 impl MemberView {
-    /// Whether every heartbeat goes to all others.
+    /// Returns whether every heartbeat goes to all other daemons.
     pub(super) fn is_mesh(&self) -> bool {
         self.fleet_size() <= self.options.mesh_limit
     }
 
-    /// The heartbeat to send. Now and then it names a few known addresses: in a small fleet others each
-    /// time, in a large one those of the daemons that are asked first, and at once where these change.
+    /// Returns the heartbeat to send. Some contain known addresses: in a small fleet different ones each time; in a
+    /// large one those of the daemons that are asked first, and at once when these change.
     pub fn heartbeat(&mut self, generation: Generation, table: ObjectVersion) -> Heartbeat {
-        let due = self.is_announcing() || self.beats.is_multiple_of(KNOWN_EVERY);
+        let due =
+            self.is_announcing() || self.heartbeats_planned.is_multiple_of(ADDRESSES_INTERVAL);
         let known = match (due, self.is_mesh()) {
             (true, true) => self.next_addresses(),
             (false, true) => Vec::new(),
-            (due, false) => self.first_addresses_if(due),
+            (due, false) => self.first_addresses_to_send(due),
         };
-        self.heartbeat_naming(known, generation, table)
+        self.heartbeat_with_addresses(known, generation, table)
     }
 
-    /// The first addresses, where they are due or others than were named last.
-    fn first_addresses_if(&mut self, due: bool) -> Vec<String> {
+    /// Returns the addresses of the daemons that are asked first, if they are due or have changed since they were last
+    /// sent.
+    fn first_addresses_to_send(&mut self, due: bool) -> Vec<String> {
         let first = self.first_addresses();
-        if !due && first == self.first_named {
+        if !due && first == self.first_sent {
             return Vec::new();
         }
-        self.first_named.clone_from(&first);
+        self.first_sent.clone_from(&first);
         first
     }
 
-    /// The answer to a daemon that was not known: it names all known addresses, those of the daemons that
-    /// are asked first before the others.
+    /// Returns the heartbeat that answers an unknown daemon. It contains all known addresses, starting with those of
+    /// the daemons that are asked first.
     pub fn greeting(&self, generation: Generation, table: ObjectVersion) -> Heartbeat {
         let mut known = self.first_addresses();
         let others = self.known_addresses.iter().filter(|address| !known.contains(address));
         let others: Vec<String> = others.cloned().collect();
         known.extend(others);
-        self.heartbeat_naming(known, generation, table)
+        self.heartbeat_with_addresses(known, generation, table)
     }
 
-    fn heartbeat_naming(
+    fn heartbeat_with_addresses(
         &self,
         known: Vec<String>,
         generation: Generation,
@@ -93,44 +95,44 @@
     fn next_addresses(&mut self) -> Vec<String> {
         let live: Vec<&String> =
             self.peers.values().filter(|peer| peer.live).map(|peer| &peer.address).collect();
-        let begin = if live.is_empty() { 0 } else { self.named % live.len() };
-        let named = live.len().min(KNOWN_EACH);
-        let known = live.iter().cycle().skip(begin).take(named);
+        let begin = if live.is_empty() { 0 } else { self.next_address % live.len() };
+        let count = live.len().min(ADDRESSES_PER_HEARTBEAT);
+        let known = live.iter().cycle().skip(begin).take(count);
         let known = known.map(|address| address.to_string()).collect();
-        self.named = begin + named;
+        self.next_address = begin + count;
         known
     }
 
-    /// Addresses of the daemons that this one would ask first, as far as it has heard of them.
+    /// Returns the addresses of the daemons that this one asks first, as far as they are peers.
     fn first_addresses(&self) -> Vec<String> {
         let order = self.candidate_order(ALL_POOLS);
-        let heard = order.iter().filter_map(|daemon| self.peers.get(&daemon.vm));
-        heard.take(CANDIDATES).map(|peer| peer.address.clone()).collect()
+        let known_peers = order.iter().filter_map(|daemon| self.peers.get(&daemon.vm));
+        known_peers.take(CANDIDATES).map(|peer| peer.address.clone()).collect()
     }
 
-    /// Who gets the heartbeat that is sent now.
+    /// Returns the receivers of the heartbeat that is sent now.
     pub fn heartbeat_receivers(&mut self, now: Uptime) -> BTreeSet<HeartbeatReceiver> {
-        self.beats = self.beats.wrapping_add(1);
+        self.heartbeats_planned = self.heartbeats_planned.wrapping_add(1);
         let reply_due = std::mem::take(&mut self.reply_due);
-        let announced = self.is_announcing();
-        self.announced = self.announced.saturating_sub(1);
+        let announcing = self.is_announcing();
+        self.announcements_due = self.announcements_due.saturating_sub(1);
         if self.is_mesh() {
             let receiver = |address| HeartbeatReceiver { address, answer_wanted: false };
             return self.addresses().into_iter().map(receiver).collect();
         }
         let partners = self.exchange_partners();
-        self.probe(now, &partners);
-        self.renew_near(now, &partners);
+        self.start_probes(now, &partners);
+        self.update_exchanges(now, &partners);
         let mut wanted: BTreeSet<String> =
             partners.iter().filter_map(|vm| self.address_of(vm)).map(str::to_string).collect();
         if wanted.is_empty() || self.is_cut_off() {
-            wanted.extend(self.tried_addresses());
+            wanted.extend(self.addresses_to_try());
         }
         let mut receivers = reply_due;
-        // A former partner learns that nothing more is expected of it, and expects nothing more.
+        // A former partner learns that its answers are no longer required, and no longer expects heartbeats.
         let former = self.partners.difference(&partners).filter_map(|vm| self.address_of(vm));
         receivers.extend(former.map(str::to_string));
-        if announced {
+        if announcing {
             let live = self.peers.values().filter(|peer| peer.live);
             receivers.extend(live.map(|peer| peer.address.clone()));
         }
@@ -138,28 +140,29 @@
         receivers.remove(&self.options.address);
         self.partners = partners;
         let live = self.peers.values().filter(|peer| peer.live);
-        let heard: BTreeSet<&String> = live.map(|peer| &peer.address).collect();
+        let known_peers: BTreeSet<&String> = live.map(|peer| &peer.address).collect();
         let receiver = |address: String| {
-            let answer_wanted = wanted.contains(&address) || !heard.contains(&address);
+            let answer_wanted = wanted.contains(&address) || !known_peers.contains(&address);
             HeartbeatReceiver { address, answer_wanted }
         };
         receivers.into_iter().map(receiver).collect()
     }
 
-    /// Peers with which every heartbeat is exchanged: the partners, and those that want answers.
-    fn renew_near(&mut self, now: Uptime, partners: &BTreeSet<VmId>) {
+    /// Updates which peers exchange every heartbeat with this daemon: the partners, and those that require answers.
+    fn update_exchanges(&mut self, now: Uptime, partners: &BTreeSet<VmId>) {
         for (vm, peer) in &mut self.peers {
-            let near = peer.wants_answers || partners.contains(vm);
-            peer.near_since = near.then(|| peer.near_since.unwrap_or(now));
+            let exchanges_all = peer.requires_answers || partners.contains(vm);
+            peer.exchange_since = exchanges_all.then(|| peer.exchange_since.unwrap_or(now));
         }
     }
 
-    /// Addresses that a daemon tries that hears no other: the seeds and some known ones in turn.
-    fn tried_addresses(&mut self) -> Vec<String> {
-        let known = self.known_addresses.iter().cycle().skip(self.named);
-        let tried = known.take(TRIED_EACH.min(self.known_addresses.len()));
+    /// Returns the addresses that a daemon tries that reaches no other: the seeds and the next of the known ones.
+    fn addresses_to_try(&mut self) -> Vec<String> {
+        let known = self.known_addresses.iter().cycle().skip(self.next_address);
+        let tried = known.take(TRIED_ADDRESSES.min(self.known_addresses.len()));
         let tried: Vec<String> = tried.chain(&self.options.seeds).cloned().collect();
-        self.named = (self.named + TRIED_EACH) % self.known_addresses.len().max(1);
+        self.next_address =
+            (self.next_address + TRIED_ADDRESSES) % self.known_addresses.len().max(1);
         tried
     }
 }
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -1,7 +1,7 @@
-//! What a daemon knows of its peers, from their heartbeats.
+//! Keeps the state of the peers, as their heartbeats report it.
 //!
-//! Owns: [`MemberView`], which the other modules here read and change. Relies on: heartbeats that may
-//! be lost, repeated or late.
+//! Owns: [`MemberView`], which the other modules here read and change. Relies on: heartbeats, which may be lost,
+//! repeated or late.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,87 +12,87 @@
 
 use crate::admission::shared_rate::{RatePart, RateTurn};
 
-/// Heartbeats that go to everyone heard of after a daemon's start and after a change of what it can do.
-/// The first one only opens connections.
-const ANNOUNCED_BEATS: u32 = 4;
+/// Number of heartbeats that go to all reachable peers after the start of a daemon and after a change of its roles. The
+/// first one only opens connections.
+const ANNOUNCEMENT_HEARTBEATS: u32 = 4;
 
 /// Times and addresses of a member view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberOptions {
-    /// Own peer address.
+    /// Peer address of this daemon.
     pub address: String,
-    /// Own data centre.
+    /// Data centre of this daemon.
     pub data_centre: String,
-    /// Addresses to begin with.
+    /// Addresses that are known at the start.
     pub seeds: Vec<String>,
-    /// Suspicion time-out: a peer without heartbeats for so long counts as unreachable.
+    /// Suspicion timeout: a peer without heartbeats for this long counts as unreachable.
     pub suspect_after: Duration,
-    /// Daemons up to which each sends every heartbeat to all others.
+    /// Fleet size up to which each daemon sends every heartbeat to all others.
     pub mesh_limit: usize,
-    /// Processor of this VM, in percent of a core; the strongest VMs schedule.
+    /// Processor capacity of this VM, in percent of a core; the strongest VMs schedule.
     pub capacity: u32,
-    /// When this process started, by its own wall clock in some unit; among equals the longest running
-    /// schedules, so that a daemon that comes back takes no role away. 0 where that does not count.
+    /// When this process started, by its own wall clock in any unit; among equals the longest running schedules, so
+    /// that a restarted daemon takes no role away. 0 if the start is not to count.
     pub started: u64,
 }
 
-/// What is known of a peer.
+/// State of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerState {
-    /// Start of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Where it receives frames.
+    /// Address at which it receives frames.
     pub address: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Configuration in force there.
+    /// Generation of the configuration in force there.
     pub generation: Generation,
-    /// Key table known there.
+    /// Version of the key table known there.
     pub table: ObjectVersion,
     /// Whether it takes no role.
     pub draining: bool,
-    /// Whether its view of the platform is old.
+    /// Whether its view of the platform is stale.
     pub stale: bool,
-    /// Processor of its VM, in percent of a core.
+    /// Processor capacity of its VM, in percent of a core.
     pub capacity: u32,
     /// When its process started, by its own clock.
     pub started: u64,
     /// Whether it is reachable.
     pub live: bool,
-    /// Whether it wants an answer to each of its heartbeats.
-    pub(super) wants_answers: bool,
-    pub(super) last_heard: Uptime,
-    /// Since when this daemon exchanges every heartbeat with it, `None` where it does not.
-    pub(super) near_since: Option<Uptime>,
+    /// Whether it requires an answer to each of its heartbeats.
+    pub(super) requires_answers: bool,
+    pub(super) last_received: Uptime,
+    /// Since when this daemon exchanges every heartbeat with it, `None` if it does not.
+    pub(super) exchange_since: Option<Uptime>,
 }
 
 impl PeerState {
-    /// What a heartbeat says of its sender.
-    fn from_heartbeat(now: Uptime, from: &DaemonId, beat: &Heartbeat) -> PeerState {
+    /// Returns the state that a heartbeat reports of its sender.
+    fn from_heartbeat(now: Uptime, from: &DaemonId, heartbeat: &Heartbeat) -> PeerState {
         PeerState {
             incarnation: from.incarnation,
-            address: beat.address.clone(),
-            data_centre: beat.data_centre.clone(),
-            generation: beat.generation,
-            table: beat.table,
-            draining: beat.draining,
-            stale: beat.stale,
-            capacity: beat.capacity,
-            started: beat.started,
+            address: heartbeat.address.clone(),
+            data_centre: heartbeat.data_centre.clone(),
+            generation: heartbeat.generation,
+            table: heartbeat.table,
+            draining: heartbeat.draining,
+            stale: heartbeat.stale,
+            capacity: heartbeat.capacity,
+            started: heartbeat.started,
             live: true,
-            wants_answers: beat.answer_wanted,
-            last_heard: now,
-            near_since: None,
+            requires_answers: heartbeat.answer_wanted,
+            last_received: now,
+            exchange_since: None,
         }
     }
 
-    /// Whether it was heard of within a time.
-    pub(super) fn heard_within(&self, now: Uptime, limit: Duration) -> bool {
-        now.saturating_sub(self.last_heard) < limit
+    /// Returns whether a frame of it arrived within this time.
+    pub(super) fn active_within(&self, now: Uptime, limit: Duration) -> bool {
+        now.saturating_sub(self.last_received) < limit
     }
 
-    /// Whether the peer can take the same roles as in another state.
-    fn has_roles_of(&self, other: &PeerState) -> bool {
+    /// Returns whether the peer can take the same roles as in another state.
+    fn has_same_roles(&self, other: &PeerState) -> bool {
         self.incarnation == other.incarnation
             && self.live == other.live
             && self.draining == other.draining
@@ -101,12 +101,12 @@
     }
 }
 
-/// What a heartbeat tells beside what its sender is.
+/// What a heartbeat changes besides the state of its sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatNews {
-    /// The earlier daemon of its VM, which has ended.
+    /// The previous daemon on its VM, which has ended.
     pub ended: Option<DaemonId>,
-    /// Whether its sender was not known and wants to be answered; it gets a greeting at once.
+    /// Whether its sender was not known and requires an answer; it gets a greeting at once.
     pub newcomer: bool,
 }
 
@@ -116,37 +116,37 @@
     pub(super) me: DaemonId,
     pub(super) options: MemberOptions,
     pub(super) draining: bool,
-    /// Whether this daemon's view of the platform is old.
+    /// Whether this daemon's view of the platform is stale.
     pub(super) stale: bool,
     pub(super) peers: BTreeMap<VmId, PeerState>,
     /// Daemons that the platform has recorded.
     pub(super) records: BTreeMap<VmId, DaemonRecord>,
     /// VMs whose daemons get each heartbeat and are to answer it.
     pub(super) partners: BTreeSet<VmId>,
-    /// Recorded daemons that get heartbeats and were never heard of, and since when.
+    /// Recorded daemons that get heartbeats and have sent none yet, and since when.
     pub(super) probes: BTreeMap<VmId, Uptime>,
-    /// Those that did not answer, and since when they are passed over.
+    /// Recorded daemons that did not answer, and since when they are skipped.
     pub(super) unanswered: BTreeMap<VmId, Uptime>,
-    /// Addresses that the platform or peers have named.
+    /// Addresses that the platform or peers have reported.
     pub(super) known_addresses: BTreeSet<String>,
-    /// Place in the peers from which the next heartbeat names addresses.
-    pub(super) named: usize,
-    /// Addresses that the latest heartbeat that named any named first.
-    pub(super) first_named: Vec<String>,
-    /// Whether the set of eligible daemons may have changed since it was last asked for.
+    /// Position in the addresses from which the next heartbeat continues.
+    pub(super) next_address: usize,
+    /// Addresses of the daemons asked first, as sent in the latest heartbeat that contained them.
+    pub(super) first_sent: Vec<String>,
+    /// Whether the set of eligible daemons may have changed since it was last read.
     pub(super) changed: bool,
-    /// Whether the platform has named the daemons that it knows.
+    /// Whether the platform has listed its records.
     pub(super) records_known: bool,
     /// Addresses that get the next heartbeat in any case.
     pub(super) reply_due: BTreeSet<String>,
-    /// Heartbeats that still go to everyone.
-    pub(super) announced: u32,
-    /// Heartbeats planned so far.
-    pub(super) beats: u32,
+    /// Number of heartbeats that still go to all reachable peers.
+    pub(super) announcements_due: u32,
+    /// Number of heartbeats planned so far.
+    pub(super) heartbeats_planned: u32,
 }
 
 impl MemberView {
-    /// A view without peers.
+    /// Returns a view without peers.
     pub fn new(me: DaemonId, options: MemberOptions) -> MemberView {
         MemberView {
             me,
@@ -159,109 +159,109 @@
             probes: BTreeMap::new(),
             unanswered: BTreeMap::new(),
             known_addresses: BTreeSet::new(),
-            named: 0,
-            first_named: Vec::new(),
+            next_address: 0,
+            first_sent: Vec::new(),
             changed: true,
             records_known: false,
             reply_due: BTreeSet::new(),
-            announced: ANNOUNCED_BEATS,
-            beats: 0,
+            announcements_due: ANNOUNCEMENT_HEARTBEATS,
+            heartbeats_planned: 0,
         }
     }
 
-    /// This daemon.
+    /// Returns the id of this daemon.
     pub fn me(&self) -> &DaemonId {
         &self.me
     }
 
-    /// This daemon takes no role from now on.
+    /// Records that this daemon takes no role from now on.
     pub fn set_draining(&mut self) {
         self.draining = true;
         self.changed = true;
         self.announce();
     }
 
-    /// This daemon's view of the platform has become old or fresh. Returns whether that is a change.
+    /// Records whether this daemon's view of the platform is stale. Returns whether the state changed.
     pub fn set_stale(&mut self, stale: bool) -> bool {
-        let news = stale != self.stale;
+        let changed = stale != self.stale;
         self.stale = stale;
-        self.changed |= news;
-        if news {
+        self.changed |= changed;
+        if changed {
             self.announce();
         }
-        news
+        changed
     }
 
-    /// Whether the next heartbeat goes to everyone heard of, and soon.
+    /// Returns whether the next heartbeat goes to all reachable peers, without delay.
     pub fn is_announcing(&self) -> bool {
-        self.announced > 0
+        self.announcements_due > 0
     }
 
-    /// The next heartbeats go to everyone heard of.
+    /// Makes the next heartbeats go to all reachable peers.
     pub(super) fn announce(&mut self) {
-        self.announced = ANNOUNCED_BEATS;
+        self.announcements_due = ANNOUNCEMENT_HEARTBEATS;
     }
 
-    /// Takes a heartbeat.
+    /// Records a heartbeat.
     pub fn heartbeat_received(
         &mut self,
         now: Uptime,
         from: &DaemonId,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> HeartbeatNews {
         if from.vm == self.me.vm {
             return HeartbeatNews::default();
         }
-        self.addresses_named(&beat.known);
+        self.add_reported_addresses(&heartbeat.known);
         self.probes.remove(&from.vm);
         self.unanswered.remove(&from.vm);
-        let mut peer = PeerState::from_heartbeat(now, from, beat);
+        let mut peer = PeerState::from_heartbeat(now, from, heartbeat);
         let earlier = self.peers.get(&from.vm);
-        if let Some(moved) = earlier.filter(|earlier| earlier.address != beat.address) {
+        if let Some(moved) = earlier.filter(|earlier| earlier.address != heartbeat.address) {
             self.known_addresses.remove(&moved.address);
         }
-        peer.near_since = earlier.and_then(|earlier| earlier.near_since);
+        peer.exchange_since = earlier.and_then(|earlier| earlier.exchange_since);
         let same_process = earlier.is_some_and(|earlier| earlier.incarnation == from.incarnation);
-        let same_roles = earlier.is_some_and(|earlier| earlier.has_roles_of(&peer));
+        let same_roles = earlier.is_some_and(|earlier| earlier.has_same_roles(&peer));
         let ended = earlier
             .filter(|_| !same_process)
             .map(|earlier| DaemonId { vm: from.vm.clone(), incarnation: earlier.incarnation });
-        if beat.answer_wanted || !same_process {
-            self.reply_due.insert(beat.address.clone());
+        if heartbeat.answer_wanted || !same_process {
+            self.reply_due.insert(heartbeat.address.clone());
         }
         self.changed |= !same_roles;
         self.peers.insert(from.vm.clone(), peer);
-        self.known_addresses.insert(beat.address.clone());
-        HeartbeatNews { ended, newcomer: !same_process && beat.answer_wanted }
+        self.known_addresses.insert(heartbeat.address.clone());
+        HeartbeatNews { ended, newcomer: !same_process && heartbeat.answer_wanted }
     }
 
-    /// A frame has arrived, whatever it holds: its sender lives.
+    /// Records that a frame of any kind has arrived, so that its sender counts as reachable.
     pub fn frame_received(&mut self, now: Uptime, from: &DaemonId) {
         let sender = self.peers.get_mut(&from.vm);
         if let Some(peer) = sender.filter(|peer| peer.incarnation == from.incarnation) {
-            peer.last_heard = now;
+            peer.last_received = now;
         }
     }
 
-    /// The part of what all daemons share that falls to those that this one reaches.
+    /// Returns the share of the fleet-wide limits that belongs to the daemons that this one reaches.
     pub fn reached_part(&self, now: Uptime) -> RatePart {
         let limit = self.options.suspect_after;
-        let reached = self.peers.values().filter(|peer| peer.heard_within(now, limit)).count() + 1;
+        let reached = self.peers.values().filter(|peer| peer.active_within(now, limit)).count() + 1;
         RatePart { reached, all: self.fleet_size(), turn: RateTurn::Leader }
     }
 
-    /// Known peers.
+    /// Returns the known peers.
     pub fn peers(&self) -> &BTreeMap<VmId, PeerState> {
         &self.peers
     }
 
-    /// Address of a peer, or of a recorded daemon that was not heard of.
+    /// Returns the address of a peer, or of a recorded daemon that is not a peer yet.
     pub fn address_of(&self, vm: &VmId) -> Option<&str> {
-        let heard = self.peers.get(vm).map(|peer| peer.address.as_str());
-        heard.or_else(|| self.records.get(vm).map(|record| record.address.as_str()))
+        let peer = self.peers.get(vm).map(|peer| peer.address.as_str());
+        peer.or_else(|| self.records.get(vm).map(|record| record.address.as_str()))
     }
 
-    /// Whether the set of eligible daemons may have changed since the last call.
+    /// Returns whether the set of eligible daemons may have changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/sched/src/election/order.rs
+++ b/crates/sched/src/election/order.rs
@@ -1,11 +1,10 @@
-//! Which daemon schedules a pool, and who follows it?
+//! Decides which daemon schedules a pool, and which ones follow it in the order.
 //!
-//! Inputs: the reachable daemons that are not draining, and of each whether its view of the platform is
-//! stale, the processor of its VM in percent of a core, when it started. The rule: the first of the
-//! daemons with a fresh view, then on the strongest VM, since whoever schedules has a part in every
-//! request, then the longest running, so that a daemon that comes back takes no role away, then by
-//! rendezvous hashing. Every daemon works the order out for itself. In a large fleet only some are asked
-//! ([`candidates`](super::candidates)).
+//! Inputs: the reachable daemons that are not draining, and of each whether its view of the platform is stale, the
+//! processor capacity of its VM in percent of a core, when it started. The rule: daemons with a fresh view first, then
+//! those on the strongest VM, since the scheduler takes part in every request, then the longest running, so that a
+//! restarted daemon takes no role away, then by rendezvous hashing. Every daemon computes the order itself. In a large
+//! fleet only some daemons are asked ([`candidates`](super::candidates)).
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -17,31 +16,31 @@
 
 use super::membership::{MemberView, PeerState};
 
-/// Place of a daemon in the order; the least goes first.
+/// Rank of a daemon in the order; the least is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CandidateRank {
-    /// What it knows of the platform is old.
+    /// Whether its view of the platform is stale.
     stale: bool,
-    /// Processor of its VM.
+    /// Processor capacity of its VM.
     capacity: Reverse<u32>,
     /// When its process started.
     started: u64,
-    /// Draws among equals.
+    /// Rendezvous hash, which decides among equals.
     weight: Reverse<u64>,
 }
 
 impl CandidateRank {
-    /// The rank that it would have if its view of the platform were fresh.
+    /// Returns the rank that the daemon would have if its view of the platform were fresh.
     pub(super) fn if_fresh(self) -> CandidateRank {
         CandidateRank { stale: false, ..self }
     }
 }
 
-/// Start of a daemon that was not heard of, so that those heard of go first among equally strong ones.
+/// Start of a recorded daemon that is not a peer yet, so that peers rank before it among equally strong ones.
 const UNKNOWN_START: u64 = u64::MAX;
 
 impl MemberView {
-    /// Reachable daemons that take roles, this one among them.
+    /// Returns the reachable daemons that take roles, this one included.
     pub fn eligible_daemons(&self) -> Vec<DaemonId> {
         let peers = self.peers.iter().filter(|(_, peer)| peer.live && !peer.draining);
         let mut eligible: Vec<DaemonId> = peers
@@ -54,7 +53,7 @@
         eligible
     }
 
-    /// Daemons to ask for permits of a pool, best first; this one alone if no daemon takes roles.
+    /// Returns the daemons to ask for permits of a pool, best first; this one alone if no daemon takes roles.
     pub fn scheduler_order(&self, pool: &str) -> Vec<DaemonId> {
         if !self.is_mesh() {
             return self.candidate_order(pool);
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Rank of this daemon.
+    /// Returns the rank of this daemon.
     pub(super) fn own_rank(&self, pool: &str) -> CandidateRank {
         CandidateRank {
             stale: self.stale,
@@ -85,7 +84,7 @@
     }
 }
 
-/// Rank of a daemon that was heard of.
+/// Returns the rank of a peer.
 pub(super) fn rank_of_peer(pool: &str, vm: &str, peer: &PeerState) -> CandidateRank {
     CandidateRank {
         stale: peer.stale,
@@ -95,7 +94,7 @@
     }
 }
 
-/// Rank of a daemon of which only the record is known.
+/// Returns the rank of a daemon of which only the record is known.
 pub(super) fn rank_of_record(pool: &str, record: &DaemonRecord) -> CandidateRank {
     CandidateRank {
         stale: false,
@@ -105,7 +104,7 @@
     }
 }
 
-/// Hash of two texts; the same on every daemon.
+/// Returns a hash of two texts that is the same on every daemon.
 fn hash_of_pair(first: &str, second: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(first.as_bytes());
--- a/crates/sched/src/election/unresponsive.rs
+++ b/crates/sched/src/election/unresponsive.rs
@@ -1,62 +1,62 @@
-//! Which scheduler is asked, where some do not answer?
+//! Decides which scheduler is asked if some do not answer, and how long each is waited for.
 //!
-//! Inputs: the order of schedulers, those that did not answer lately and since when, those that did not
-//! answer this very request. The rule: the first in the order that answered lately and was not asked
-//! for this request; else the first that answered lately; else the first. One that did not answer is
-//! passed over for `pass_over_for`, or, once a heartbeat of it arrives, for [`TIMEOUT_FACTOR`] times
-//! the time that was waited for it: it may not have answered because nothing had reached it yet, but it
-//! may be that nothing reaches it still. One whose answers come late is waited for longer, [`ANSWER_FACTOR`] times what
-//! the slowest of them took, until none has taken more than half the limit for [`PATIENT_FOR`].
+//! Inputs: the order of schedulers, those that did not answer recently and since when, those that did not answer this
+//! very request. The rule: the first in the order that is responsive and was not asked for this request; else the first
+//! responsive one; else the first. A scheduler that did not answer is skipped for `skip_for`. Once a heartbeat of
+//! it arrives it is skipped only for [`TIMEOUT_FACTOR`] times the time that was waited for it: frames to it may have
+//! been lost until then, but they may still be. A scheduler whose answers are late is waited for longer:
+//! [`ANSWER_FACTOR`] times its slowest answer, until no answer has taken more than half the limit for [`PATIENCE_DURATION`].
 //!
-//! Load pattern: a burst at which the scheduler of a large fleet answers each ask, some ten milliseconds too late. Passed
-//! over by all, it was sent each ask, its withdrawal and the state of what is in flight, which kept it late
-//! for good, while the next daemon refused nearly everything.
+//! Load pattern: a burst at which the scheduler of a large fleet answers every permit request, some ten milliseconds
+//! too late. All daemons skipped it, but sent it every permit request, its withdrawal and the state of what is in
+//! flight. That kept it late permanently, while the next daemon refused nearly everything.
 //!
-//! Owns: when each scheduler timed out, and how long each is waited for. Relies on: its user for the clock.
+//! Owns: when each scheduler timed out, and how long each is waited for. Relies on: the caller for the clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use curlewcleat_core::{DaemonId, PermitId, Uptime, VmId};
 
-/// A scheduler of which a heartbeat arrives is passed over for this many times the time that was waited for it.
+/// A scheduler whose heartbeats arrive is skipped for this many times the time that was waited for it.
 const TIMEOUT_FACTOR: u32 = 4;
-/// A scheduler is waited for this many times what its slowest answer took.
+/// A scheduler is waited for this many times as long as its slowest answer took.
 const ANSWER_FACTOR: u32 = 2;
-/// It is waited for at most this many times as long as without late answers.
+/// Limit of that wait, as a multiple of the wait without late answers.
 const PATIENCE_LIMIT: u32 = 10;
-/// Time without late answers after which a scheduler is waited for as before.
-const PATIENT_FOR: Duration = Duration::from_secs(5);
+/// Time without late answers after which the longer wait ends.
+const PATIENCE_DURATION: Duration = Duration::from_secs(5);
 
-/// How long a scheduler is waited for.
+/// The longer wait for a scheduler whose answers are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AnswerPatience {
     limit: Duration,
-    /// When its latest late answer came.
+    /// When its latest late answer arrived.
     latest: Uptime,
 }
 
-/// Schedulers that did not answer.
+/// The schedulers that did not answer in time, and how long each is waited for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UnresponsiveSchedulers {
-    /// Time for which one is passed over.
-    pass_over_for: Duration,
-    /// The same at least, where heartbeats of it arrive.
-    at_least: Duration,
+    /// Time for which an unresponsive scheduler is skipped.
+    skip_for: Duration,
+    /// Minimum time for which it is skipped although its heartbeats arrive.
+    skip_with_heartbeats_for: Duration,
     since: BTreeMap<VmId, Uptime>,
-    /// Time for which one is waited for whose answers come in time.
+    /// Time for which a scheduler without late answers is waited for.
     limit: Duration,
-    /// The latest ask that each of them did not answer in time.
+    /// The first permit request, and when it was sent, that each scheduler has not answered in time.
     unanswered: BTreeMap<VmId, (PermitId, Uptime)>,
     patience: BTreeMap<VmId, AnswerPatience>,
 }
 
 impl UnresponsiveSchedulers {
-    /// No scheduler is unresponsive yet; each is asked `tries` times, and waited for `limit` each time, before it becomes so.
-    pub fn new(pass_over_for: Duration, limit: Duration, tries: u32) -> UnresponsiveSchedulers {
+    /// Returns a state without unresponsive schedulers; each is asked `tries` times, and waited for `limit` each time,
+    /// before it counts as unresponsive.
+    pub fn new(skip_for: Duration, limit: Duration, tries: u32) -> UnresponsiveSchedulers {
         UnresponsiveSchedulers {
-            pass_over_for,
-            at_least: limit * tries * TIMEOUT_FACTOR,
+            skip_for,
+            skip_with_heartbeats_for: limit * tries * TIMEOUT_FACTOR,
             since: BTreeMap::new(),
             limit,
             unanswered: BTreeMap::new(),
@@ -64,13 +64,13 @@
         }
     }
 
-    /// A scheduler did not answer an ask in time that was sent then.
+    /// Records that a scheduler did not answer a permit request, sent at `sent`, in time.
     pub fn timed_out(&mut self, now: Uptime, scheduler: VmId, permit: PermitId, sent: Uptime) {
         self.unanswered.entry(scheduler.clone()).or_insert((permit, sent));
         self.since.insert(scheduler, now);
     }
 
-    /// A scheduler has answered an ask, sent then where it is known.
+    /// Records that a scheduler has answered a permit request, sent at `sent` if that is previous.
     pub fn answered(
         &mut self,
         now: Uptime,
@@ -89,40 +89,42 @@
         if took <= self.limit / ANSWER_FACTOR {
             return;
         }
-        let known = self.patience.get(scheduler).map_or(Duration::ZERO, |known| known.limit);
+        let previous =
+            self.patience.get(scheduler).map_or(Duration::ZERO, |previous| previous.limit);
         let limit = (took * ANSWER_FACTOR).clamp(self.limit, self.limit * PATIENCE_LIMIT);
-        let patience = AnswerPatience { limit: limit.max(known), latest: now };
+        let patience = AnswerPatience { limit: limit.max(previous), latest: now };
         self.patience.insert(scheduler.clone(), patience);
     }
 
-    /// Time for which a scheduler is waited for.
+    /// Returns the time for which a scheduler is waited for.
     pub fn answer_limit(&self, scheduler: &VmId) -> Duration {
         self.patience.get(scheduler).map_or(self.limit, |patience| patience.limit)
     }
 
-    /// A heartbeat of a daemon has arrived.
+    /// Records a heartbeat of a daemon.
     pub fn heartbeat_received(&mut self, now: Uptime, vm: &VmId) {
-        if self.since.get(vm).is_some_and(|since| now >= *since + self.at_least) {
+        if self.since.get(vm).is_some_and(|since| now >= *since + self.skip_with_heartbeats_for) {
             self.since.remove(vm);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub fn tick(&mut self, now: Uptime) {
-        let pass_over_for = self.pass_over_for;
-        self.since.retain(|_, since| now < *since + pass_over_for);
-        self.unanswered.retain(|_, (_, sent)| now < *sent + pass_over_for);
-        self.patience.retain(|_, patience| now < patience.latest + PATIENT_FOR);
+        let skip_for = self.skip_for;
+        self.since.retain(|_, since| now < *since + skip_for);
+        self.unanswered.retain(|_, (_, sent)| now < *sent + skip_for);
+        self.patience.retain(|_, patience| now < patience.latest + PATIENCE_DURATION);
     }
 
-    /// The scheduler to ask, of candidates best first; `asked` did not answer for this request.
+    /// Returns the scheduler to ask, of candidates best first; those in `asked` did not answer for this request.
     pub fn choose(&self, now: Uptime, candidates: &[DaemonId], asked: &[VmId]) -> Option<VmId> {
         let responsive = |daemon: &&DaemonId| {
             let since = self.since.get(&daemon.vm);
-            since.is_none_or(|since| now >= *since + self.pass_over_for)
+            since.is_none_or(|since| now >= *since + self.skip_for)
         };
-        let fresh = |daemon: &&DaemonId| responsive(daemon) && !asked.contains(&daemon.vm);
-        let best = candidates.iter().find(fresh);
+        let responsive_and_unasked =
+            |daemon: &&DaemonId| responsive(daemon) && !asked.contains(&daemon.vm);
+        let best = candidates.iter().find(responsive_and_unasked);
         let best = best.or(candidates.iter().find(responsive)).or(candidates.first());
         best.map(|daemon| daemon.vm.clone())
     }
--- a/crates/sched/tests/members.rs
+++ b/crates/sched/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who is reachable, who is asked first, and who gets heartbeats.
+//! Reachability of peers, the order of schedulers, and the receivers of heartbeats.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     format!("127.0.0.1:{}", 1_000 + index)
 }
 
-fn beat(index: usize, capacity: u32, started: u64) -> Heartbeat {
+fn heartbeat(index: usize, capacity: u32, started: u64) -> Heartbeat {
     Heartbeat {
         address: address(index),
         data_centre: "d".to_string(),
@@ -50,65 +50,65 @@
 }
 
 #[test]
-fn strongest_vm_schedules_and_among_equals_the_oldest() {
+fn strongest_vm_schedules_and_among_equals_the_longest_running() {
     let now = Duration::from_secs(1);
     let mut view = view(12, 12, 5);
     for index in 1..6 {
-        view.heartbeat_received(now, &daemon(index), &beat(index, 12, 5));
+        view.heartbeat_received(now, &daemon(index), &heartbeat(index, 12, 5));
     }
-    view.heartbeat_received(now, &daemon(6), &beat(6, 50, 9));
+    view.heartbeat_received(now, &daemon(6), &heartbeat(6, 50, 9));
     assert_eq!(first(&view), "vm-6");
-    view.heartbeat_received(now, &daemon(7), &beat(7, 50, 8));
+    view.heartbeat_received(now, &daemon(7), &heartbeat(7, 50, 8));
     assert_eq!(first(&view), "vm-7");
-    // It starts again and is the youngest now.
+    // It restarts and is now the youngest.
     let again = DaemonId { incarnation: 2, ..daemon(7) };
-    view.heartbeat_received(now, &again, &beat(7, 50, 20));
+    view.heartbeat_received(now, &again, &heartbeat(7, 50, 20));
     assert_eq!(first(&view), "vm-6");
 }
 
 #[test]
-fn daemon_with_an_old_view_is_asked_last_however_strong() {
+fn daemon_with_a_stale_view_ranks_last_however_strong() {
     let now = Duration::from_secs(1);
     let mut view = view(12, 12, 5);
-    view.heartbeat_received(now, &daemon(1), &Heartbeat { stale: true, ..beat(1, 50, 1) });
+    view.heartbeat_received(now, &daemon(1), &Heartbeat { stale: true, ..heartbeat(1, 50, 1) });
     assert_eq!(first(&view), "vm-0");
 }
 
 #[rstest]
 #[case::candidate(true, Duration::from_millis(2_100), true)]
-#[case::far(false, Duration::from_millis(2_100), false)]
-#[case::far_for_long(false, Duration::from_secs(21), false)]
-fn far_peer_may_be_silent_for_longer_than_a_candidate(
+#[case::no_exchange(false, Duration::from_millis(2_100), false)]
+#[case::no_exchange_for_long(false, Duration::from_secs(21), false)]
+fn only_peers_that_exchange_heartbeats_time_out(
     #[case] strong: bool,
-    #[case] silence: Duration,
+    #[case] elapsed: Duration,
     #[case] lost: bool,
 ) {
     let mut view = view(12, 12, 5);
     let begin = Duration::from_secs(1);
     for index in 1..30 {
         let capacity = if index <= 4 { 50 } else { 12 };
-        view.heartbeat_received(begin, &daemon(index), &beat(index, capacity, 5));
+        view.heartbeat_received(begin, &daemon(index), &heartbeat(index, capacity, 5));
     }
-    let silent = if strong { 2 } else { 20 };
+    let unresponsive = if strong { 2 } else { 20 };
     view.heartbeat_receivers(begin);
-    let now = begin + silence;
-    for index in (1..30).filter(|index| *index != silent) {
+    let now = begin + elapsed;
+    for index in (1..30).filter(|index| *index != unresponsive) {
         let capacity = if index <= 4 { 50 } else { 12 };
-        view.heartbeat_received(now, &daemon(index), &beat(index, capacity, 5));
+        view.heartbeat_received(now, &daemon(index), &heartbeat(index, capacity, 5));
     }
-    assert_eq!(view.tick(now).contains(&daemon(silent)), lost);
+    assert_eq!(view.tick(now).contains(&daemon(unresponsive)), lost);
 }
 
-/// Nobody exchanges heartbeats with a daemon that is not asked, so its silence says nothing; once those
-/// before it have ended it is asked, and then its silence is noticed as fast as that of any other.
+/// No heartbeats are exchanged with a daemon that is not asked, so their absence must not count. Once the daemons
+/// before it have ended it is asked, and must then be detected as unreachable as fast as any other.
 #[test]
-fn silent_peer_is_noticed_within_the_time_out_once_it_comes_to_be_asked() {
+fn unresponsive_peer_is_detected_within_the_timeout_once_it_is_asked() {
     let mut view = view(12, 12, 5);
     let capacity = |index: usize| 60 - index as u32;
     let mut now = Duration::from_secs(1);
     let ended = 5;
     for index in 1..30 {
-        view.heartbeat_received(now, &daemon(index), &beat(index, capacity(index), 5));
+        view.heartbeat_received(now, &daemon(index), &heartbeat(index, capacity(index), 5));
     }
     let step = Duration::from_millis(500);
     let mut lost = Vec::new();
@@ -117,7 +117,11 @@
             *now += step;
             view.heartbeat_receivers(*now);
             for index in alive {
-                view.heartbeat_received(*now, &daemon(*index), &beat(*index, capacity(*index), 5));
+                view.heartbeat_received(
+                    *now,
+                    &daemon(*index),
+                    &heartbeat(*index, capacity(*index), 5),
+                );
             }
             lost.extend(view.tick(*now).into_iter().map(|daemon| daemon.vm));
         }
@@ -134,14 +138,14 @@
     assert_eq!(first(&view), "vm-6");
 }
 
-/// Daemons that had stopped to exchange heartbeats with one that was no candidate any more counted as ended
-/// there, 50 of them in a moment.
+/// Daemons that had stopped exchanging heartbeats with a former candidate counted as unreachable there, 50 of them at
+/// once.
 #[test]
-fn former_candidate_is_told_that_nothing_more_is_expected_of_it() {
+fn former_partner_gets_one_heartbeat_that_requires_no_answer() {
     let mut view = view(12, 12, 5);
     let now = Duration::from_secs(1);
     for index in 1..30 {
-        view.heartbeat_received(now, &daemon(index), &beat(index, 20 + index as u32, 5));
+        view.heartbeat_received(now, &daemon(index), &heartbeat(index, 20 + index as u32, 5));
     }
     for _ in 0..5 {
         receivers(&mut view, now);
@@ -151,10 +155,10 @@
         sent.into_iter().find(|to| to.address == address(index)).map(|to| to.answer_wanted)
     };
     assert_eq!(wants_answer(&mut view, 26), Some(true));
-    view.heartbeat_received(now, &daemon(30), &beat(30, 90, 5));
+    view.heartbeat_received(now, &daemon(30), &heartbeat(30, 90, 5));
     receivers(&mut view, now);
-    view.heartbeat_received(now, &daemon(31), &beat(31, 91, 5));
-    // The fourth one is a candidate no more.
+    view.heartbeat_received(now, &daemon(31), &heartbeat(31, 91, 5));
+    // The fourth one is no longer a candidate.
     assert_eq!(wants_answer(&mut view, 27), Some(false));
     assert_eq!(wants_answer(&mut view, 27), None);
 }
@@ -163,19 +167,19 @@
     DaemonRecord { daemon: daemon(index), address: address(index), capacity }
 }
 
-/// Addresses that get the next heartbeat.
+/// Returns the addresses that get the next heartbeat.
 fn receivers(view: &mut MemberView, now: Duration) -> Vec<String> {
     let receivers = view.heartbeat_receivers(now);
     receivers.into_iter().map(|receiver| receiver.address).collect()
 }
 
-/// Where 295 daemons that began together greeted all others, each dialled 294 connections and served as
+/// Where 295 daemons that started together sent greetings to all others, each opened 294 connections and served as
 /// many.
 #[rstest]
 #[case(30)]
 #[case(295)]
 #[case(1_000)]
-fn newborn_daemon_greets_the_strongest_and_no_others(#[case] fleet: usize) {
+fn new_daemon_sends_heartbeats_to_the_strongest_only(#[case] fleet: usize) {
     let mut view = view(12, 12, 5);
     let strong = |index: usize| if index.is_multiple_of(7) { 50 } else { 12 };
     view.records_listed((1..fleet).map(|index| record(index, strong(index))).collect());
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn daemon_is_asked_by_its_record_until_it_has_not_answered_in_time() {
+fn recorded_daemon_is_asked_until_it_has_not_answered_in_time() {
     let mut view = view(12, 12, 5);
     let records: Vec<_> = (1..40)
         .map(|index| record(index, if index <= 5 { 50 + index as u32 } else { 12 }))
@@ -204,19 +208,19 @@
     for _ in 0..5 {
         receivers(&mut view, now);
         for index in [2, 3, 4] {
-            view.heartbeat_received(now, &daemon(index), &beat(index, 50 + index as u32, 5));
+            view.heartbeat_received(now, &daemon(index), &heartbeat(index, 50 + index as u32, 5));
         }
         view.tick(now);
         now += Duration::from_millis(500);
     }
     assert_eq!(first(&view), "vm-4");
-    // It is back, and says so.
-    view.heartbeat_received(now, &daemon(5), &beat(5, 55, 9));
+    // It has restarted and sends heartbeats.
+    view.heartbeat_received(now, &daemon(5), &heartbeat(5, 55, 9));
     assert_eq!(first(&view), "vm-5");
 }
 
 #[test]
-fn daemon_that_does_not_know_the_records_joins_by_way_of_a_seed() {
+fn daemon_without_records_joins_through_a_seed() {
     let mut joining = view(12, 12, 9);
     joining.add_seeds(vec![address(20)]);
     let now = Duration::from_millis(5);
@@ -235,13 +239,13 @@
     );
     seed.records_listed((1..100).map(|index| record(index, 12)).collect());
     for index in 1..5 {
-        seed.heartbeat_received(now, &daemon(index), &beat(index, 50, 5));
+        seed.heartbeat_received(now, &daemon(index), &heartbeat(index, 50, 5));
     }
-    let asking = Heartbeat { answer_wanted: true, ..beat(0, 12, 9) };
+    let asking = Heartbeat { answer_wanted: true, ..heartbeat(0, 12, 9) };
     assert!(seed.heartbeat_received(now, &daemon(0), &asking).newcomer);
     let greeting = seed.greeting(1, 0);
     joining.heartbeat_received(now, &daemon(20), &greeting);
-    // It knows how many there are, and tries those that are asked first.
+    // It knows the size of the fleet, and tries the daemons that are asked first.
     assert!(joining.fleet_size() >= 100, "{}", joining.fleet_size());
     let next = receivers(&mut joining, now);
     assert!((1..5).all(|index| next.contains(&address(index))), "{next:?}");
@@ -249,25 +253,25 @@
 }
 
 #[test]
-fn daemon_that_hears_nobody_waits_for_no_far_peer() {
+fn daemon_that_is_cut_off_marks_all_peers_unreachable() {
     let mut view = view(12, 12, 5);
     let begin = Duration::from_secs(1);
     for index in 1..30 {
-        view.heartbeat_received(begin, &daemon(index), &beat(index, 12, 5));
+        view.heartbeat_received(begin, &daemon(index), &heartbeat(index, 12, 5));
     }
     assert_eq!(view.tick(begin + SUSPECT_AFTER).len(), 29);
     assert_eq!(view.scheduler_order(SUBJECT), [daemon(0)]);
 }
 
 #[test]
-fn wanted_answer_goes_out_with_the_next_heartbeat() {
+fn requested_answer_is_sent_with_the_next_heartbeat() {
     let mut view = view(12, 12, 5);
     let now = Duration::from_secs(1);
     for index in 1..30 {
-        view.heartbeat_received(now, &daemon(index), &beat(index, 50, 5));
+        view.heartbeat_received(now, &daemon(index), &heartbeat(index, 50, 5));
     }
     let order = view.scheduler_order(SUBJECT);
-    // The first heartbeats of a process go to everyone.
+    // The first heartbeats of a process go to all reachable peers.
     for _ in 0..10 {
         view.heartbeat_receivers(now);
     }
@@ -277,8 +281,8 @@
         receivers.iter().any(|receiver| receiver.address == address(asker))
     };
     let unasked = (0..10).filter(|_| sent(&mut view)).count();
-    assert!(unasked <= 1 || order.iter().take(4).any(|taker| *taker == daemon(asker)));
-    let wanted = Heartbeat { answer_wanted: true, ..beat(asker, 50, 5) };
+    assert!(unasked <= 1 || order.iter().take(4).any(|candidate| *candidate == daemon(asker)));
+    let wanted = Heartbeat { answer_wanted: true, ..heartbeat(asker, 50, 5) };
     view.heartbeat_received(now, &daemon(asker), &wanted);
     assert!(sent(&mut view));
 }
