--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -6,10 +6,10 @@
 //!
 //! The rule: a request is refused permanently once [`LethalOptions::limit`] instances have terminated while running it.
 //! Until it is known whether they terminated, the request is held once that many instances have closed their
-//! connections while running it. An instance that is still listed [`LethalOptions::shown_for`] after the interruption
-//! has not terminated, so a cut link, a reset connection or an invalid answer is ignored. Terminations before the
-//! request was served whole are ignored too, and so are those explained by another refused request ([`blame`]): a
-//! target runs several requests at once, and its termination makes all of them suspect.
+//! connections while running it. An instance that is still listed [`LethalOptions::listing_expiry`] after the
+//! interruption has not terminated, so a cut link, a reset connection or an invalid answer is ignored. Terminations
+//! before the request was served whole are ignored too, and so are those explained by another refused request
+//! ([`blame`]): a target runs several requests at once, and its termination makes all of them suspect.
 //!
 //! The limit is one higher where targets often terminate for other reasons ([`terminations`]), and one higher where an
 //! answer had begun at any of the instances: a request that terminates its target does so as it begins to run. Of
--- a/crates/sched/src/lethal/options.rs
+++ b/crates/sched/src/lethal/options.rs
@@ -10,10 +10,10 @@
     /// Number of terminated instances from which a request is refused.
     pub limit: usize,
     /// Time after an interruption within which the list entry of a terminated target expires.
-    pub shown_for: Duration,
+    pub listing_expiry: Duration,
     /// Time after an interruption from which a daemon that did not observe it itself treats a list entry it does not
     /// know as expired: by then it has read every list entry of that time.
-    pub known_for: Duration,
+    pub listing_propagation: Duration,
     /// Time after the latest interruption for which a request stays suspect.
     pub suspect_for: Duration,
     /// Time after the latest interruption or repeat for which a refused request stays refused.
@@ -21,15 +21,15 @@
 }
 
 /// The limit is the users' bound. List entries expire after three heartbeats of about a second, which was seen up to
-/// 3.6 s after a termination; `shown_for` is twice that, and the views of the list are up to two seconds old. A caller
-/// that is told that a retry does not help waits for longer than minutes before it tries again. A request that a new
-/// release can run is accepted again within the hour.
+/// 3.6 s after a termination; `listing_expiry` is twice that, and the views of the list are up to two seconds old. A
+/// caller that is told that a retry does not help waits for longer than minutes before it tries again. A request that a
+/// new release can run is accepted again within the hour.
 impl Default for LethalOptions {
     fn default() -> LethalOptions {
         LethalOptions {
             limit: 3,
-            shown_for: Duration::from_secs(8),
-            known_for: Duration::from_secs(3),
+            listing_expiry: Duration::from_secs(8),
+            listing_propagation: Duration::from_secs(3),
             suspect_for: Duration::from_secs(600),
             refused_for: Duration::from_secs(3_600),
         }
--- a/crates/sched/src/lethal/suspect.rs
+++ b/crates/sched/src/lethal/suspect.rs
@@ -150,13 +150,15 @@
             }
             let age = now.saturating_sub(interruption.at);
             match presence_of(life) {
-                LifeSight::Gone if interruption.observed_here || age >= options.known_for => {
+                LifeSight::Gone
+                    if interruption.observed_here || age >= options.listing_propagation =>
+                {
                     interruption.ended = true;
                     findings.ended.push(life.clone());
                     true
                 }
                 LifeSight::Gone | LifeSight::Unknown => true,
-                LifeSight::Shown => age < options.shown_for,
+                LifeSight::Shown => age < options.listing_expiry,
             }
         });
         findings.dropped = before != self.interruptions.len();
@@ -186,7 +188,7 @@
     pub fn time_until_known(&self, now: Uptime, options: &LethalOptions) -> Duration {
         let undecided = self.interruptions.values().filter(|interruption| !interruption.ended);
         let oldest = undecided.map(|interruption| interruption.at).min().unwrap_or(now);
-        (oldest + options.shown_for).saturating_sub(now)
+        (oldest + options.listing_expiry).saturating_sub(now)
     }
 
     /// Returns whether nothing is recorded.
--- a/crates/sched/src/rollout.rs
+++ b/crates/sched/src/rollout.rs
@@ -55,14 +55,14 @@
 
 impl PoolRollout {
     /// Returns the state of an order that the platform lists.
-    pub fn of_record(now: Uptime, record: RolloutRecord) -> PoolRollout {
+    pub fn from_record(now: Uptime, record: RolloutRecord) -> PoolRollout {
         let RolloutRecord { name, order, ended, noted, revision } = record;
         let stage = ended.unwrap_or_default();
         PoolRollout { ended, noted, ..PoolRollout::new(now, now, name, order, stage, revision) }
     }
 
     /// Returns the state of an order that a peer reports.
-    pub fn of_news(now: Uptime, news: RolloutNews) -> PoolRollout {
+    pub fn from_report(now: Uptime, news: RolloutNews) -> PoolRollout {
         let begun = now.saturating_sub(news.age);
         PoolRollout::new(now, begun, news.name, news.order, news.stage, news.revision)
     }
--- a/crates/sched/src/rollout/evidence.rs
+++ b/crates/sched/src/rollout/evidence.rs
@@ -95,7 +95,7 @@
     /// They are enough, and show no fault.
     Sound,
     /// They are too few.
-    Unproved,
+    Inconclusive,
 }
 
 /// Returns the fault of a version whose answers take longer by a measure.
@@ -193,7 +193,7 @@
         }
         match self.has_enough_answers() {
             true => VersionVerdict::Sound,
-            false => VersionVerdict::Unproved,
+            false => VersionVerdict::Inconclusive,
         }
     }
 
--- a/crates/sched/src/rollout/plan.rs
+++ b/crates/sched/src/rollout/plan.rs
@@ -41,7 +41,7 @@
     /// Its answers show this fault.
     Faulty(VersionFault),
     /// Its answers were too few for a verdict.
-    Unproved,
+    Inconclusive,
     /// The order contains no usable time.
     NoTime,
 }
@@ -53,7 +53,7 @@
             RolloutReason::Sound => "sound",
             RolloutReason::NoOthers => "no_others",
             RolloutReason::Faulty(fault) => fault.code(),
-            RolloutReason::Unproved => "unproved",
+            RolloutReason::Inconclusive => "unproved",
             RolloutReason::NoTime => "no_time",
         }
     }
@@ -136,7 +136,7 @@
             _ if has_few_requests && view.targets > 0 => {
                 Some((RolloutStage::Move, RolloutReason::Sound))
             }
-            _ => Some((RolloutStage::RolledBack, RolloutReason::Unproved)),
+            _ => Some((RolloutStage::RolledBack, RolloutReason::Inconclusive)),
         }
     }
 
--- a/crates/sched/src/rollout/versions.rs
+++ b/crates/sched/src/rollout/versions.rs
@@ -166,7 +166,7 @@
     pub fn order_shown(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
         let changed = match self.known_order(&record.order.version) {
             Some(known) => known.shown(now, record),
-            None => self.replace(PoolRollout::of_record(now, record.clone())),
+            None => self.replace(PoolRollout::from_record(now, record.clone())),
         };
         self.settle_stage(changed)
     }
@@ -175,7 +175,7 @@
     pub fn order_told(&mut self, now: Uptime, news: &RolloutNews) -> bool {
         let changed = match self.known_order(&news.order.version) {
             Some(known) => known.told(now, news),
-            None => self.replace(PoolRollout::of_news(now, news.clone())),
+            None => self.replace(PoolRollout::from_report(now, news.clone())),
         };
         self.settle_stage(changed)
     }
--- a/crates/sched/tests/rollout_crowds.rs
+++ b/crates/sched/tests/rollout_crowds.rs
@@ -223,7 +223,7 @@
         };
         let record =
             RolloutRecord { name: "p".to_string(), order, ended: None, noted: true, revision: 1 };
-        let mut rollout = PoolRollout::of_record(WARM_UP, record);
+        let mut rollout = PoolRollout::from_record(WARM_UP, record);
         let from = DaemonId { vm: "d".to_string(), incarnation: 1 };
         let mut reported = 0;
         let mut now = WARM_UP;
