--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -4,16 +4,17 @@
 //! at which it was interrupted; whether the platform still lists those instances; whether the request has been served
 //! whole since.
 //!
-//! The rule: a request is refused permanently once [`LethalOptions::limit`] instances have terminated while running it.
-//! Until it is known whether they terminated, the request is held once that many instances have closed their
-//! connections while running it. An instance that is still listed [`LethalOptions::listing_expiry`] after the
-//! interruption has not terminated, so a cut link, a reset connection or an invalid answer is ignored. Terminations
-//! before the request was served whole are ignored too, and so are those explained by another refused request
-//! ([`blame`]): a target runs several requests at once, and its termination makes all of them suspect.
+//! The rule: a request is refused once [`LethalOptions::limit`] instances have terminated while running it, until
+//! [`LethalOptions::refused_for`] after its latest repeat. Until it is known whether they terminated, the request is
+//! held once that many instances have closed their connections while running it. An instance that is still listed
+//! [`LethalOptions::listing_expiry`] after the interruption has not terminated, so a cut link, a reset connection or an
+//! invalid answer is ignored. Terminations before the request was served whole are ignored too, and so are those
+//! explained by another refused request ([`blame`]): a target runs several requests at once, and its termination makes
+//! all of them suspect.
 //!
-//! The limit is one higher where targets often terminate for other reasons ([`terminations`]), and one higher where an
-//! answer had begun at any of the instances: a request that terminates its target does so as it begins to run. Of
-//! 132,000 harmless requests beside eighteen targets of which two terminated each second, 122 were refused without
+//! The limit is one higher where targets often terminate for other reasons ([`terminations`]), and one higher still
+//! where an answer had begun at any of the instances: a request that terminates its target does so as it begins to run.
+//! Of 132,000 harmless requests beside eighteen targets of which two terminated each second, 122 were refused without
 //! these two exceptions, 22 with the second alone and 3 with both; with one termination in two seconds 5, 1 and 1; with
 //! one in ten seconds none (ten seeded crowds of two minutes).
 //!
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Returns the requests that are refused permanently.
+    /// Returns the requests that are refused.
     pub fn refused(&self) -> impl Iterator<Item = &RequestDigest> {
         self.refused.iter()
     }
--- a/crates/sched/src/lethal/options.rs
+++ b/crates/sched/src/lethal/options.rs
@@ -22,8 +22,8 @@
 
 /// The limit is the users' bound. List entries expire after three heartbeats of about a second, which was seen up to
 /// 3.6 s after a termination; `listing_expiry` is twice that, and the views of the list are up to two seconds old. A
-/// caller that is told that a retry does not help waits for longer than minutes before it tries again. A request that a
-/// new release can run is accepted again within the hour.
+/// caller that is told that a retry does not help does not retry within minutes. A request that a new release can run
+/// is accepted again within the hour.
 impl Default for LethalOptions {
     fn default() -> LethalOptions {
         LethalOptions {
