--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -12,15 +12,16 @@
 use curlewcleat_acceptance::ready_fleet;
 use curlewcleat_config::{ApplyRecord, ConfigManifest, MANIFEST_KEY};
 use curlewcleat_core::{
-    AnswerSample, AnswerSight, ArchiveId, AttemptEnd, BreakKind, BreakReport, ConfigBundle,
-    ConfigPart, ConfigPartPull, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessQuery,
-    Heartbeat, KeptAnswer, KeyAnswer, KeyClaim, KeyDecision, KeyHandOver, KeyOutcome, KeyRecord,
-    LatencyObjectives, LimitReport, NoticeReport, PeerFrame, PeerMessage, PermitAnswer,
-    PermitDecision, PermitHeld, PermitId, PermitRequest, PermitReturn, PoolNotice, Refusal,
-    RefusalReason, RequestBreak, RequestDigest, RequestRate, RetryReason, RolloutAnswers,
-    RolloutNews, RolloutOrder, RolloutStage, ShedRequest, SlotHolder, StatePull, StreamTiming,
-    SuspectReport, SuspectsPull, SuspectsPush, TablePush, TargetChange, TargetEntry, TargetLife,
-    TargetLivesPush, TargetStart, TargetVersionsPush, TargetsContent, TargetsPush, Verdict,
+    AnswerObservation, AnswerSample, ArchiveId, AttemptEnd, ConfigBundle, ConfigPart,
+    ConfigPartPull, DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessQuery, Heartbeat,
+    InterruptionKind, InterruptionReport, KeptAnswer, KeyAnswer, KeyClaim, KeyDecision,
+    KeyHandOver, KeyOutcome, KeyRecord, LatencyObjectives, LimitReport, NoticeReport, PeerFrame,
+    PeerMessage, PermitAnswer, PermitDecision, PermitHeld, PermitId, PermitRequest, PermitReturn,
+    PoolNotice, Refusal, RefusalReason, RequestDigest, RequestInterruption, RequestRate,
+    RetryReason, RolloutAnswers, RolloutOrder, RolloutReport, RolloutStage, ShedRequest,
+    SlotHolder, StatePull, StreamTiming, SuspectReport, SuspectsPull, SuspectsPush, TablePush,
+    TargetChange, TargetEntry, TargetInstance, TargetInstancesPush, TargetStart,
+    TargetVersionsPush, TargetsContent, TargetsPush, Verdict,
 };
 use curlewcleat_keys::{KeyTable, TABLE_KEY};
 use curlewcleat_platform::format::{Daemon, EndedTarget, Metadata, Object, RefusedRequest};
@@ -230,15 +231,15 @@
 fn target_life_messages() -> Vec<NamedMessage> {
     let mut started = target();
     started.entry.start = Some(TargetStart(1_764_720_000_123));
-    let lives = |content| {
-        PeerMessage::TargetLivesPush(TargetLivesPush::new(TargetsPush { content, at: 9 }))
+    let instances = |content| {
+        PeerMessage::TargetInstancesPush(TargetInstancesPush::new(TargetsPush { content, at: 9 }))
     };
     vec![
-        ("target lives pull", PeerMessage::TargetLivesPull(9)),
-        ("all target lives", lives(TargetsContent::All(vec![target(), started.clone()]))),
+        ("target lives pull", PeerMessage::TargetInstancesPull(9)),
+        ("all target lives", instances(TargetsContent::All(vec![target(), started.clone()]))),
         (
             "changed target lives",
-            lives(TargetsContent::Since(
+            instances(TargetsContent::Since(
                 8,
                 vec![TargetChange::Gone("e-2".to_string()), TargetChange::Present(started)],
             )),
@@ -358,25 +359,25 @@
 
 /// Each kind of break, and what does not count.
 fn suspect_messages() -> Vec<NamedMessage> {
-    let life = |id: &str| TargetLife { id: id.to_string(), start: Some(TargetStart(9)) };
-    let told = |id, kind, begun, ended| BreakReport {
-        broke: RequestBreak { life: life(id), kind, begun },
+    let instance = |id: &str| TargetInstance { id: id.to_string(), start: Some(TargetStart(9)) };
+    let told = |id, kind, begun, ended| InterruptionReport {
+        interruption: RequestInterruption { instance: instance(id), kind, begun },
         ended,
         age: Duration::from_millis(1_500),
     };
     let report = SuspectReport {
         digest: RequestDigest::new([7; 32]),
-        breaks: vec![
-            told("e-1", BreakKind::Closed, false, true),
-            told("e-2", BreakKind::Stalled, true, false),
+        interruptions: vec![
+            told("e-1", InterruptionKind::Closed, false, true),
+            told("e-2", InterruptionKind::Stalled, true, false),
         ],
-        cleared: vec![life("e-3")],
+        cleared: vec![instance("e-3")],
         stored: true,
     };
     let push = SuspectsPush { at: 4, requests: vec![report] };
     let limit = LimitReport { rate: Some(RequestRate(1_700)), age: Duration::from_millis(20) };
     let report = NoticeReport {
-        life: life("e-4"),
+        instance: instance("e-4"),
         leaving: true,
         rest: Some(Duration::from_secs(3)),
         limit: Some(limit),
@@ -398,36 +399,36 @@
         version: "v2".to_string(),
         time: Some(Duration::from_secs(12)),
     };
-    let news = RolloutNews {
+    let news = RolloutReport {
         name: "engines".to_string(),
         order,
         stage: RolloutStage::Move,
         revision: 11,
         age: Duration::from_millis(1_500),
     };
-    let sample = |sight| AnswerSample {
+    let sample = |observation| AnswerSample {
         rule: "disputes".to_string(),
         target: "e-1".to_string(),
         version: Some("v2".to_string()),
         work: 130_000,
-        sight,
+        observation,
     };
     let answers = RolloutAnswers {
         pool: "engines".to_string(),
         version: "v2".to_string(),
         first: 3,
         samples: vec![
-            sample(AnswerSight::Begun(Duration::from_millis(120))),
-            sample(AnswerSight::Paced(Duration::from_millis(28))),
-            sample(AnswerSight::Whole(Duration::from_millis(900))),
-            sample(AnswerSight::Failed),
-            sample(AnswerSight::Broken),
+            sample(AnswerObservation::Begun(Duration::from_millis(120))),
+            sample(AnswerObservation::Paced(Duration::from_millis(28))),
+            sample(AnswerObservation::Whole(Duration::from_millis(900))),
+            sample(AnswerObservation::Failed),
+            sample(AnswerObservation::Broken),
         ],
     };
     vec![
         ("target versions pull", PeerMessage::TargetVersionsPull(9)),
         ("target versions", PeerMessage::TargetVersionsPush(versions)),
-        ("rollout news", PeerMessage::RolloutNews(news)),
+        ("rollout news", PeerMessage::RolloutReport(news)),
         ("rollout answers", PeerMessage::RolloutAnswers(answers)),
     ]
 }
--- a/crates/bench/src/lethal.rs
+++ b/crates/bench/src/lethal.rs
@@ -4,9 +4,10 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, RequestBreak, RequestDigest, RequestIdentity, TargetLife, TargetStart,
+    InterruptionKind, RequestDigest, RequestIdentity, RequestInterruption, TargetInstance,
+    TargetStart,
 };
-use curlewcleat_sched::{LethalOptions, LethalRequests, LifeSight};
+use curlewcleat_sched::{InstancePresence, LethalOptions, LethalRequests};
 
 use crate::support::{resident, time_each};
 
@@ -33,16 +34,17 @@
         let mut requests = LethalRequests::new(LethalOptions::default());
         let now = Duration::from_secs(10);
         for number in 0..suspects {
-            broken_off(&mut requests, now, number);
+            record_interruption(&mut requests, now, number);
         }
         let bytes = resident().saturating_sub(before);
         let asked = digest(b"asked");
         let verdict = time_each(10_000, |_| {
             black_box(requests.verdict(now, &asked));
         });
-        let added = time_each(50, |number| broken_off(&mut requests, now, suspects + number));
+        let added =
+            time_each(50, |number| record_interruption(&mut requests, now, suspects + number));
         let review = time_each(100, |_| {
-            black_box(requests.review(now, TARGETS, &|_| LifeSight::Shown));
+            black_box(requests.review(now, TARGETS, &|_| InstancePresence::Listed));
         });
         let micros = |time: Duration| time.as_secs_f64() * 1e6;
         println!(
@@ -54,12 +56,13 @@
     }
 }
 
-fn broken_off(requests: &mut LethalRequests, now: Duration, number: u32) {
+fn record_interruption(requests: &mut LethalRequests, now: Duration, number: u32) {
     // Eight requests run at a target.
-    let life = TargetLife {
+    let instance = TargetInstance {
         id: format!("target-{}", number / 8),
         start: Some(TargetStart(1_764_720_000_000)),
     };
-    let broke = RequestBreak { life, kind: BreakKind::Closed, begun: false };
-    requests.broken_off(now, digest(&number.to_be_bytes()), broke);
+    let interruption =
+        RequestInterruption { instance, kind: InterruptionKind::Closed, begun: false };
+    requests.record_interruption(now, digest(&number.to_be_bytes()), interruption);
 }
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -6,7 +6,7 @@
 use anyhow::{ensure, Context, Result};
 use curlewcleat_config::{check_files, ConfigArchive, ConfigStore, StoreChange};
 use curlewcleat_core::{hash_token, ConfigBundle, KeyClaim, KeyDecision, RequestId};
-use curlewcleat_keys::{KeyHome, KeyHomeOptions, KeyTable};
+use curlewcleat_keys::{KeyHolder, KeyHolderOptions, KeyTable};
 
 use crate::support::{configuration, configured, daemon, resident, time_each};
 
@@ -104,11 +104,11 @@
 pub fn keys() {
     println!("keys held | one claim (ns) | resident bytes per key");
     for count in [10_000u32, 100_000, 400_000] {
-        let mut home = KeyHome::new(
+        let mut home = KeyHolder::new(
             daemon(0),
-            KeyHomeOptions { key_limit: 10_000_000, ..KeyHomeOptions::default() },
+            KeyHolderOptions { key_limit: 10_000_000, ..KeyHolderOptions::default() },
         );
-        home.table_read(1, KeyTable::deal(64, &[daemon(0)]));
+        home.apply_table(1, KeyTable::distribute(64, &[daemon(0)]));
         let before = resident();
         let wall = Duration::from_secs(1_000_000);
         let claim = |number: u32| KeyClaim {
--- a/crates/bench/src/support.rs
+++ b/crates/bench/src/support.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use curlewcleat_core::{hash_token, ConfigBundle, DaemonId, PermitId, PermitRequest, RequestId};
-use curlewcleat_keys::KeyHomeOptions;
+use curlewcleat_keys::KeyHolderOptions;
 use curlewcleat_node::{Node, NodeEvent, NodeOptions};
 use curlewcleat_sched::{EntryOptions, MemberOptions};
 
@@ -85,7 +85,7 @@
             capacity: 100,
             started: 0,
         },
-        keys: KeyHomeOptions::default(),
+        keys: KeyHolderOptions::default(),
         key_slots: 64,
         entry: EntryOptions::default(),
         rate_margin: curlewcleat_sched::RateMargin::default(),
--- a/crates/config/src/check/file.rs
+++ b/crates/config/src/check/file.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AdmissionRule, ClientAccount, PoolId, PoolShare, RateUnit, ServiceTerms, SharedRate,
+    AdmissionRule, ClientAccount, PoolId, PoolShare, RateUnit, ServiceLimits, SharedRate,
     TargetEntry, TargetPool, TierRule, TokenHash,
 };
 
@@ -223,8 +223,8 @@
     shares
 }
 
-fn service_terms(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceTerms {
-    let defaults = ServiceTerms::default();
+fn service_terms(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceLimits {
+    let defaults = ServiceLimits::default();
     let mut time = |key: &'static str| {
         section.text(key).map(|_| section.duration(key, Duration::from_secs(30), report))
     };
@@ -232,7 +232,7 @@
     let objective = time("objective");
     let pause_limit = time("pause_limit");
     let attempts = section.number("attempt_limit", defaults.attempt_limit.into(), 1..=100, report);
-    ServiceTerms {
+    ServiceLimits {
         timeout,
         objective,
         pause_limit,
--- a/crates/config/src/check/pool.rs
+++ b/crates/config/src/check/pool.rs
@@ -43,7 +43,7 @@
         connection_limit: connection_limit(section, report),
         report_path: report_path(section, report),
         targets: BTreeMap::new(),
-        is_rolled_out: false,
+        has_rollout: false,
     }
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,8 +7,8 @@
 mod model;
 mod request_digest;
 mod rollout;
-mod store_place;
-mod target_life;
+mod store_position;
+mod target_instance;
 mod target_notice;
 mod verdict;
 
@@ -18,10 +18,10 @@
 pub use model::*;
 pub use request_digest::{RequestDigest, RequestIdentity};
 pub use rollout::{
-    AnswerSample, AnswerSight, RolloutAnswers, RolloutNews, RolloutOrder, RolloutRecord,
+    AnswerObservation, AnswerSample, RolloutAnswers, RolloutOrder, RolloutRecord, RolloutReport,
     RolloutStage, RolloutWrite,
 };
-pub use store_place::{StoreEra, StorePlace};
-pub use target_life::{LifeOrder, TargetLife, TargetStart};
+pub use store_position::{StoreEra, StorePosition};
+pub use target_instance::{InstanceOrder, TargetInstance, TargetStart};
 pub use target_notice::{LimitNotice, LimitReport, NoticeReport, RequestRate, TargetNotice};
 pub use verdict::{Refusal, RefusalReason, RetryReason, Verdict};
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -6,9 +6,9 @@
 //! Owns: the format of peer frames. Relies on: nothing.
 
 mod archive;
+mod instances;
 mod keys;
 mod lethal;
-mod lives;
 mod notices;
 mod permits;
 mod versions;
@@ -20,13 +20,13 @@
 
 use crate::{
     DiscoveredTarget, Generation, Incarnation, KeySlot, ObjectVersion, PoolId, RolloutAnswers,
-    RolloutNews, TargetChange, Uptime, VmId,
+    RolloutReport, TargetChange, Uptime, VmId,
 };
 
 pub use archive::*;
+pub use instances::*;
 pub use keys::*;
 pub use lethal::*;
-pub use lives::*;
 pub use notices::*;
 pub use permits::*;
 pub use versions::*;
@@ -97,22 +97,22 @@
     ConfigPart(ConfigPart),
     /// Like [`TargetsPull`](PeerMessage::TargetsPull), but requests the starts of the targets as well. A daemon of an
     /// earlier version drops the frame.
-    TargetLivesPull(ObjectVersion),
-    /// Answers a [`TargetLivesPull`](PeerMessage::TargetLivesPull).
-    TargetLivesPush(TargetLivesPush),
+    TargetInstancesPull(ObjectVersion),
+    /// Answers a [`TargetInstancesPull`](PeerMessage::TargetInstancesPull).
+    TargetInstancesPush(TargetInstancesPush),
     /// Requests the reports on requests under which targets terminated. A daemon of an earlier version drops the frame.
     SuspectsPull(SuspectsPull),
     /// Answers a [`SuspectsPull`](PeerMessage::SuspectsPull), or sends an update without being asked.
     SuspectsPush(SuspectsPush),
     /// The notices that a target has sent to the sender. A daemon of an earlier version drops the frame.
     TargetNotice(PoolNotice),
-    /// Like [`TargetLivesPull`](PeerMessage::TargetLivesPull), but requests the versions of the targets as well. A
-    /// daemon of an earlier version drops the frame; the same holds for all messages below.
+    /// Like [`TargetInstancesPull`](PeerMessage::TargetInstancesPull), but requests the versions of the targets as
+    /// well. A daemon of an earlier version drops the frame; the same holds for all messages below.
     TargetVersionsPull(ObjectVersion),
     /// Answers a [`TargetVersionsPull`](PeerMessage::TargetVersionsPull).
     TargetVersionsPush(TargetVersionsPush),
     /// The state of a rollout as the sender knows it.
-    RolloutNews(RolloutNews),
+    RolloutReport(RolloutReport),
     /// Observations of target answers that the sender made during a rollout.
     RolloutAnswers(RolloutAnswers),
 }
@@ -120,15 +120,15 @@
 impl PeerMessage {
     /// Returns whether the message needs a frame of its own, because a daemon of an earlier version cannot decode it
     /// and drops the whole frame.
-    pub fn stands_alone(&self) -> bool {
+    pub fn needs_own_frame(&self) -> bool {
         match self {
-            PeerMessage::TargetLivesPull(_)
-            | PeerMessage::TargetLivesPush(_)
+            PeerMessage::TargetInstancesPull(_)
+            | PeerMessage::TargetInstancesPush(_)
             | PeerMessage::SuspectsPush(_)
             | PeerMessage::TargetNotice(_)
             | PeerMessage::TargetVersionsPull(_)
             | PeerMessage::TargetVersionsPush(_)
-            | PeerMessage::RolloutNews(_)
+            | PeerMessage::RolloutReport(_)
             | PeerMessage::RolloutAnswers(_) => true,
             // A receiver that has answered a pull before can decode this one.
             PeerMessage::SuspectsPull(pull) => pull.known == 0,
--- a/crates/core/src/message/lives.rs
+++ b/crates/core/src/message/instances.rs
@@ -12,18 +12,18 @@
 
 /// A [`TargetsPush`] with the starts of its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TargetLivesPush {
+pub struct TargetInstancesPush {
     /// The targets, without their starts.
     push: TargetsPush,
     /// Start of each listed target, in the order of the push; `None` where a target reports none.
     starts: Vec<Option<TargetStart>>,
 }
 
-impl TargetLivesPush {
+impl TargetInstancesPush {
     /// Splits a push into the targets and their starts for sending.
-    pub fn new(mut push: TargetsPush) -> TargetLivesPush {
+    pub fn new(mut push: TargetsPush) -> TargetInstancesPush {
         let starts = listed_targets(&mut push).map(|target| target.entry.start.take()).collect();
-        TargetLivesPush { push, starts }
+        TargetInstancesPush { push, starts }
     }
 
     /// Returns the push with the starts restored. Targets beyond the end of the list of starts get none.
--- a/crates/core/src/message/lethal.rs
+++ b/crates/core/src/message/lethal.rs
@@ -8,11 +8,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{RequestDigest, TargetLife};
+use crate::{RequestDigest, TargetInstance};
 
 /// How a request was interrupted at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum BreakKind {
+pub enum InterruptionKind {
     /// The target closed the connection.
     Closed,
     /// The target sent nothing for longer than the limit.
@@ -21,20 +21,20 @@
 
 /// The interruption of a request at a target instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RequestBreak {
+pub struct RequestInterruption {
     /// The target instance.
-    pub life: TargetLife,
+    pub instance: TargetInstance,
     /// How the request was interrupted.
-    pub kind: BreakKind,
+    pub kind: InterruptionKind,
     /// Whether a part of the answer had arrived from this instance.
     pub begun: bool,
 }
 
 /// State of one interruption.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BreakReport {
+pub struct InterruptionReport {
     /// The instance, and how the request was interrupted there.
-    pub broke: RequestBreak,
+    pub interruption: RequestInterruption,
     /// Whether the instance is known to have terminated.
     pub ended: bool,
     /// Time since the interruption.
@@ -47,10 +47,10 @@
     /// Digest of the request.
     pub digest: RequestDigest,
     /// The interruptions of the request, each at a target instance.
-    pub breaks: Vec<BreakReport>,
+    pub interruptions: Vec<InterruptionReport>,
     /// Instances whose interruptions are ignored, because the request was served completely afterwards or an operator
     /// cleared it.
-    pub cleared: Vec<TargetLife>,
+    pub cleared: Vec<TargetInstance>,
     /// Whether the platform stores that the request is refused.
     pub stored: bool,
 }
--- a/crates/core/src/message/versions.rs
+++ b/crates/core/src/message/versions.rs
@@ -1,20 +1,20 @@
 //! Target lists with the start and the software version of each target instance.
 //!
-//! The codec is positional, so [`TargetLivesPush`] cannot gain a field and the versions are sent as a separate list. A
-//! fleet has few versions, so each is sent once and the targets refer to it by number.
+//! The codec is positional, so [`TargetInstancesPush`] cannot gain a field and the versions are sent as a separate list.
+//! A fleet has few versions, so each is sent once and the targets refer to it by number.
 //!
-//! Owns: the format of these messages. Relies on: [`TargetLivesPush`].
+//! Owns: the format of these messages. Relies on: [`TargetInstancesPush`].
 
 use serde::{Deserialize, Serialize};
 
-use super::lives::listed_targets;
-use super::{TargetLivesPush, TargetsPush};
+use super::instances::listed_targets;
+use super::{TargetInstancesPush, TargetsPush};
 use crate::TargetVersion;
 
 /// A [`TargetsPush`] with the starts and versions of its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetVersionsPush {
-    lives: TargetLivesPush,
+    instances: TargetInstancesPush,
     /// The distinct versions of the targets.
     versions: Vec<TargetVersion>,
     /// For each listed target the number of its version in `versions`, from 1; 0 where the target reports none.
@@ -34,14 +34,14 @@
                 .map_or(0, |version| intern_version(&mut versions, version));
             version_numbers.push(number);
         }
-        TargetVersionsPush { lives: TargetLivesPush::new(push), versions, version_numbers }
+        TargetVersionsPush { instances: TargetInstancesPush::new(push), versions, version_numbers }
     }
 
     /// Returns the push with starts and versions restored. Targets beyond the end of the list of numbers get no
     /// version.
     pub fn into_push(self) -> TargetsPush {
-        let TargetVersionsPush { lives, versions, version_numbers } = self;
-        let mut push = lives.into_push();
+        let TargetVersionsPush { instances, versions, version_numbers } = self;
+        let mut push = instances.into_push();
         for (target, number) in listed_targets(&mut push).zip(version_numbers) {
             let index = (number as usize).checked_sub(1);
             target.entry.version = index.and_then(|index| versions.get(index)).cloned();
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -13,7 +13,7 @@
 pub use rule::*;
 
 use crate::{
-    AccountId, DaemonId, Generation, PoolId, TargetId, TargetLife, TargetStart, TargetVersion,
+    AccountId, DaemonId, Generation, PoolId, TargetId, TargetInstance, TargetStart, TargetVersion,
     TierId, TierRank, TokenHash, VmId,
 };
 
@@ -132,7 +132,7 @@
     /// Targets of the pool by name.
     pub targets: BTreeMap<TargetId, TargetEntry>,
     /// Whether answers of the pool's targets are recorded because a rollout is running.
-    pub is_rolled_out: bool,
+    pub has_rollout: bool,
 }
 
 /// One target as configured.
@@ -149,8 +149,8 @@
     /// Number of requests that the target serves at the same time.
     pub slots: u32,
     /// When the target's process started, `None` where the target does not report it. Between daemons it is sent
-    /// separately ([`TargetLivesPush`](crate::TargetLivesPush)), because the wire format of this type has no field for
-    /// it.
+    /// separately ([`TargetInstancesPush`](crate::TargetInstancesPush)), because the wire format of this type has no
+    /// field for it.
     #[serde(skip)]
     pub start: Option<TargetStart>,
     /// Version of the target's software, `None` where the target does not report it. It is sent separately as well
@@ -161,8 +161,8 @@
 
 impl TargetEntry {
     /// Returns the target instance that this entry describes.
-    pub fn life(&self) -> TargetLife {
-        TargetLife { id: self.id.clone(), start: self.start }
+    pub fn instance(&self) -> TargetInstance {
+        TargetInstance { id: self.id.clone(), start: self.start }
     }
 }
 
@@ -200,7 +200,7 @@
 
 impl DaemonRecord {
     /// Returns whether both records are of the same VM and equal except for the incarnation.
-    pub fn is_as_useful_as(&self, other: &DaemonRecord) -> bool {
+    pub fn is_equal_except_incarnation(&self, other: &DaemonRecord) -> bool {
         let same_vm = self.daemon.vm == other.daemon.vm;
         same_vm && self.address == other.address && self.capacity == other.capacity
     }
--- a/crates/core/src/model/rule.rs
+++ b/crates/core/src/model/rule.rs
@@ -36,7 +36,7 @@
     /// Whether requests need no account.
     pub public: bool,
     /// Time limits and attempts of the requests.
-    pub service: ServiceTerms,
+    pub service: ServiceLimits,
 }
 
 /// A pool's share of a rule's requests.
@@ -50,7 +50,7 @@
 
 /// Time limits, attempts and streaming behaviour of a rule's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct ServiceTerms {
+pub struct ServiceLimits {
     /// Longest time from the request to the end of its answer, `None` where only the deadline applies.
     pub timeout: Option<Duration>,
     /// Longest time to the first part of the answer that still meets the latency objective.
@@ -65,9 +65,9 @@
     pub resumable: bool,
 }
 
-impl Default for ServiceTerms {
-    fn default() -> ServiceTerms {
-        ServiceTerms {
+impl Default for ServiceLimits {
+    fn default() -> ServiceLimits {
+        ServiceLimits {
             timeout: None,
             objective: None,
             pause_limit: None,
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -63,7 +63,7 @@
     /// The final stage in the stored status, `None` where there is no status or it says that the rollout runs.
     pub ended: Option<RolloutStage>,
     /// Whether the object has a status for this version.
-    pub noted: bool,
+    pub has_status: bool,
     /// Revision of the object.
     pub revision: ObjectVersion,
 }
@@ -84,7 +84,7 @@
 
 /// State of a rollout as one daemon knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutReport {
     /// Name of the platform's object.
     pub name: String,
     /// The order.
@@ -100,7 +100,7 @@
 /// An observation of a target's answer. It is reported at once and not at the end of the answer, because slow answers
 /// would otherwise be observed last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum AnswerSight {
+pub enum AnswerObservation {
     /// The target answered that it failed.
     Failed,
     /// The answer was interrupted, could not be read, or did not arrive in time.
@@ -125,7 +125,7 @@
     /// Estimated work until the first part, in microseconds of a slot.
     pub work: WorkMicros,
     /// The observation.
-    pub sight: AnswerSight,
+    pub observation: AnswerObservation,
 }
 
 /// Consecutive observations of one daemon, in order.
--- a/crates/core/src/store_place.rs
+++ b/crates/core/src/store_position.rs
@@ -17,18 +17,18 @@
 
 /// A position in the history of a store: an era and a revision within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StorePlace {
+pub struct StorePosition {
     /// The era.
     pub era: StoreEra,
     /// The revision as reported by the store.
     pub revision: u64,
 }
 
-impl StorePlace {
+impl StorePosition {
     /// Decodes the position from a version.
-    pub fn of(version: ObjectVersion) -> StorePlace {
+    pub fn of(version: ObjectVersion) -> StorePosition {
         let revision = version & ((1 << REVISION_BITS) - 1);
-        StorePlace { era: (version >> REVISION_BITS) as StoreEra, revision }
+        StorePosition { era: (version >> REVISION_BITS) as StoreEra, revision }
     }
 
     /// Encodes the position as a version; versions have the same order as positions. Returns `None` where the revision
--- a/crates/core/src/target_life.rs
+++ b/crates/core/src/target_instance.rs
@@ -18,7 +18,7 @@
 
 /// One run of a target's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetInstance {
     /// The target.
     pub id: TargetId,
     /// Start of the process, `None` where the target does not report it; then the id alone identifies the instance.
@@ -27,7 +27,7 @@
 
 /// Order of a stated target instance relative to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeOrder {
+pub enum InstanceOrder {
     /// The stated instance is older than the known one and has terminated.
     Earlier,
     /// Both are the same instance, or a start is missing and they cannot be distinguished.
@@ -36,13 +36,13 @@
     Later,
 }
 
-impl LifeOrder {
+impl InstanceOrder {
     /// Compares the stated start with the known one. Where either is missing, the instances count as the same.
-    pub fn of(stated: Option<TargetStart>, known: Option<TargetStart>) -> LifeOrder {
+    pub fn of(stated: Option<TargetStart>, known: Option<TargetStart>) -> InstanceOrder {
         match stated.zip(known).map(|(stated, known)| stated.cmp(&known)) {
-            Some(Ordering::Less) => LifeOrder::Earlier,
-            Some(Ordering::Greater) => LifeOrder::Later,
-            Some(Ordering::Equal) | None => LifeOrder::Same,
+            Some(Ordering::Less) => InstanceOrder::Earlier,
+            Some(Ordering::Greater) => InstanceOrder::Later,
+            Some(Ordering::Equal) | None => InstanceOrder::Same,
         }
     }
 }
--- a/crates/core/src/target_notice.rs
+++ b/crates/core/src/target_notice.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::TargetLife;
+use crate::TargetInstance;
 
 /// A rate in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -15,23 +15,24 @@
 
 impl RequestRate {
     /// One request per second, in thousandths.
-    pub const SECOND: u64 = 1_000;
+    pub const ONE_PER_SECOND: u64 = 1_000;
     /// Highest rate that `per_second` returns: one million requests per second, more than any target accepts.
-    pub const MOST: RequestRate = RequestRate(1_000_000 * RequestRate::SECOND);
+    pub const MAX: RequestRate = RequestRate(1_000_000 * RequestRate::ONE_PER_SECOND);
 
-    /// Converts requests per second to a rate, capped at [`MOST`](RequestRate::MOST). Returns `None` for a value that
+    /// Converts requests per second to a rate, capped at [`MAX`](RequestRate::MAX). Returns `None` for a value that
     /// is no rate: not a number, infinite or negative.
     pub fn per_second(rate: f64) -> Option<RequestRate> {
         if !rate.is_finite() || rate < 0.0 {
             return None;
         }
-        let thousandths = (rate * RequestRate::SECOND as f64).min(RequestRate::MOST.0 as f64);
+        let thousandths =
+            (rate * RequestRate::ONE_PER_SECOND as f64).min(RequestRate::MAX.0 as f64);
         Some(RequestRate(thousandths as u64))
     }
 
     /// Returns the rate in requests per second.
     pub fn as_per_second(self) -> f64 {
-        self.0 as f64 / RequestRate::SECOND as f64
+        self.0 as f64 / RequestRate::ONE_PER_SECOND as f64
     }
 }
 
@@ -73,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NoticeReport {
     /// The target instance.
-    pub life: TargetLife,
+    pub instance: TargetInstance,
     /// Whether the instance is leaving and accepts no new requests.
     pub leaving: bool,
     /// Remaining time for which the instance accepts no requests from the sender.
--- a/crates/daemon/src/fleet/follow/faults.rs
+++ b/crates/daemon/src/fleet/follow/faults.rs
@@ -29,13 +29,13 @@
 
 impl EntryFaults {
     /// Takes the faults of a whole list; entries that are not among them are usable, or gone.
-    pub fn listed(&mut self, faults: Vec<EntryFault>) -> FaultNews {
+    pub fn listed(&mut self, faults: Vec<EntryFault>) -> FaultChange {
         let before = std::mem::take(&mut self.known);
         let known: BTreeMap<String, FaultReason> =
             faults.iter().map(|fault| (fault.name.clone(), fault.reason)).collect();
         let ended = before.keys().filter(|name| !known.contains_key(*name)).cloned().collect();
         self.known = known;
-        FaultNews { begun: news(&before, faults), ended }
+        FaultChange { begun: news(&before, faults), ended }
     }
 
     /// Takes the faults among changes of the entries with these names.
@@ -43,7 +43,7 @@
         &mut self,
         names: impl Iterator<Item = &'n String>,
         faults: Vec<EntryFault>,
-    ) -> FaultNews {
+    ) -> FaultChange {
         let mut before = BTreeMap::new();
         for name in names {
             if let Some((name, reason)) = self.known.remove_entry(name) {
@@ -56,7 +56,7 @@
         }
         self.known.extend(faults.iter().map(|fault| (fault.name.clone(), fault.reason)));
         let ended = before.keys().filter(|name| !self.known.contains_key(*name)).cloned().collect();
-        FaultNews { begun: news(&before, faults), ended }
+        FaultChange { begun: news(&before, faults), ended }
     }
 }
 
@@ -70,14 +70,14 @@
 
 /// What has changed among the entries that name nothing to use.
 #[derive(Debug, PartialEq, Eq)]
-pub struct FaultNews {
+pub struct FaultChange {
     /// Faults that are new, or have another reason than before.
     pub begun: Vec<EntryFault>,
     /// Names of entries that are usable again, or gone.
     pub ended: Vec<String>,
 }
 
-impl FaultNews {
+impl FaultChange {
     /// Whether an entry is among the new ones without a name.
     pub fn has_nameless(&self) -> bool {
         self.begun.iter().any(|fault| fault.name.is_empty())
--- a/crates/daemon/src/fleet/follow/faults/tests.rs
+++ b/crates/daemon/src/fleet/follow/faults/tests.rs
@@ -2,13 +2,13 @@
 
 use curlewcleat_store::{EntryFault, FaultReason};
 
-use super::{cut, EntryFaults, FaultNews, TEXT_LIMIT};
+use super::{cut, EntryFaults, FaultChange, TEXT_LIMIT};
 
 fn fault(name: &str, reason: FaultReason) -> EntryFault {
     EntryFault { name: name.to_string(), reason, detail: String::new() }
 }
 
-fn begun(news: &FaultNews) -> Vec<&str> {
+fn begun(news: &FaultChange) -> Vec<&str> {
     news.begun.iter().map(|fault| fault.name.as_str()).collect()
 }
 
@@ -22,7 +22,7 @@
     for _ in 0..3 {
         let again =
             faults.changed([&one, &two].into_iter(), vec![fault(&one, FaultReason::Fields)]);
-        assert_eq!(again, FaultNews { begun: vec![], ended: vec![] });
+        assert_eq!(again, FaultChange { begun: vec![], ended: vec![] });
     }
     let other = faults.changed([&one].into_iter(), vec![fault(&one, FaultReason::State)]);
     assert_eq!((begun(&other), other.ended.len()), (vec!["i-1"], 0));
--- a/crates/daemon/src/fleet/follow/peers.rs
+++ b/crates/daemon/src/fleet/follow/peers.rs
@@ -44,7 +44,9 @@
     async fn join(&self, record: &DaemonRecord) {
         let mut pause = BackOff::new(BACK_OFF);
         match self.recorded_daemons(ListAge::Seconds).await {
-            Ok(records) if records.iter().any(|earlier| earlier.is_as_useful_as(record)) => {
+            Ok(records)
+                if records.iter().any(|earlier| earlier.is_equal_except_incarnation(record)) =>
+            {
                 return self.context.tell(NodeEvent::DaemonsListed(records));
             }
             Ok(_) => {}
--- a/crates/daemon/src/fleet/follow/refusals.rs
+++ b/crates/daemon/src/fleet/follow/refusals.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, BreakReport, RequestBreak, RequestDigest, SuspectReport, WallTime,
+    InterruptionKind, InterruptionReport, RequestDigest, RequestInterruption, SuspectReport,
+    WallTime,
 };
 use curlewcleat_node::NodeEvent;
 use curlewcleat_store::{FleetPlatform, StoredRefusal};
@@ -46,13 +47,14 @@
 /// What the platform keeps of a request, `None` where that is too old.
 fn report_of(kept: StoredRefusal, now: WallTime) -> Option<SuspectReport> {
     let age = now.saturating_sub(kept.at);
-    let report = |life| {
-        let broke = RequestBreak { life, kind: BreakKind::Closed, begun: false };
-        BreakReport { broke, ended: true, age }
+    let report = |instance| {
+        let interruption =
+            RequestInterruption { instance, kind: InterruptionKind::Closed, begun: false };
+        InterruptionReport { interruption, ended: true, age }
     };
     (age < KEPT_FOR).then(|| SuspectReport {
         digest: kept.digest,
-        breaks: kept.lives.into_iter().map(report).collect(),
+        interruptions: kept.instances.into_iter().map(report).collect(),
         cleared: Vec::new(),
         stored: true,
     })
@@ -67,9 +69,9 @@
     let (platform, context) = (Rc::clone(platform), context.clone());
     actix_rt::spawn(async move {
         let digest = report.digest;
-        let ended = report.breaks.into_iter().filter(|report| report.ended);
-        let lives = ended.map(|report| report.broke.life).collect();
-        let refusal = StoredRefusal { digest, lives, at: context.wall() };
+        let ended = report.interruptions.into_iter().filter(|report| report.ended);
+        let instances = ended.map(|report| report.interruption.instance).collect();
+        let refusal = StoredRefusal { digest, instances, at: context.wall() };
         context.metrics.platform_call("store_refusal");
         match platform.store_refusal(&refusal).await {
             Ok(()) => context.tell(NodeEvent::RefusalStored(digest)),
--- a/crates/daemon/src/metrics/gauges.rs
+++ b/crates/daemon/src/metrics/gauges.rs
@@ -91,7 +91,7 @@
             ("received", &self.counts.received),
             ("received_bytes", &self.counts.received_bytes),
             ("unreadable", &self.counts.unreadable),
-            ("dialed_anew", &self.counts.dialed_anew),
+            ("dialed_anew", &self.counts.redialed),
         ];
         for (kind, count) in kinds {
             self.frames.with_label_values(&[kind]).set(count.load(Ordering::Relaxed) as i64);
--- a/crates/daemon/src/node_loop.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -160,7 +160,7 @@
                     let limit = self.context.bounds().stop_limit;
                     self.stop_notice = Some(Moment::now() + limit.saturating_sub(STOP_NOTICE));
                 }
-                if let NodeNote::TargetEnded(..) = &note {
+                if let NodeNote::TargetTerminated(..) = &note {
                     self.context.metrics.target_ended();
                 }
                 if let NodeNote::RolloutStage(rollout, Some(reason)) = &note {
@@ -183,9 +183,10 @@
 
     /// Messages to one peer within a batch share a frame.
     fn queue_frame(&mut self, address: String, frame: PeerFrame) {
-        let stands_alone = |frame: &PeerFrame| frame.messages.iter().any(PeerMessage::stands_alone);
+        let needs_own_frame =
+            |frame: &PeerFrame| frame.messages.iter().any(PeerMessage::needs_own_frame);
         let queued = self.outgoing.entry(address).or_default();
-        match queued.last_mut().filter(|last| !stands_alone(last) && !stands_alone(&frame)) {
+        match queued.last_mut().filter(|last| !needs_own_frame(last) && !needs_own_frame(&frame)) {
             Some(last) => last.messages.extend(frame.messages),
             None => queued.push(frame),
         }
--- a/crates/daemon/src/node_notes.rs
+++ b/crates/daemon/src/node_notes.rs
@@ -3,7 +3,7 @@
 //! Owns: the lines and their fields, which are stable. Relies on: nothing.
 
 use curlewcleat_core::SuspectReport;
-use curlewcleat_node::{LifeNews, NodeNote, PoolStatus, RolloutStatus};
+use curlewcleat_node::{InstanceChange, NodeNote, PoolStatus, RolloutStatus};
 use curlewcleat_sched::RolloutReason;
 use spdlog::prelude::*;
 
@@ -27,20 +27,20 @@
         }
         NodeNote::PeerLost(peer) => warn!("peer_lost", kv: { vm = peer.vm.as_str() }),
         NodeNote::PeerReplaced(peer) => info!("peer_replaced", kv: { vm = peer.vm.as_str() }),
-        NodeNote::TargetLife(news) => log_life(news),
-        NodeNote::TargetGone(gone) => {
+        NodeNote::TargetInstance(news) => log_life(news),
+        NodeNote::TargetRemoved(gone) => {
             info!("target_gone", kv: { target = gone.target.as_str(), left = gone.left })
         }
-        NodeNote::TargetListLate { at, known } => {
+        NodeNote::StaleTargetList { at, known } => {
             info!("target_list_late", kv: { at = *at, known = *known })
         }
         NodeNote::TableKnown(version, slots) => {
             info!("key_table_known", kv: { version = *version, slots_held = *slots })
         }
-        NodeNote::PoolWaits(pool) => log_waiting(pool),
-        NodeNote::TargetEnded(digest, life) => {
+        NodeNote::PoolQueueStatus(pool) => log_waiting(pool),
+        NodeNote::TargetTerminated(digest, instance) => {
             warn!("target_ended_under_request", kv: {
-                digest = digest.to_string(), target = life.id.as_str()
+                digest = digest.to_string(), target = instance.id.as_str()
             });
         }
         NodeNote::RequestLethal(report) => log_lethal(report),
@@ -74,8 +74,8 @@
 }
 
 fn log_lethal(report: &SuspectReport) {
-    let ended = report.breaks.iter().filter(|seen| seen.ended);
-    let targets: Vec<&str> = ended.map(|seen| seen.broke.life.id.as_str()).collect();
+    let ended = report.interruptions.iter().filter(|seen| seen.ended);
+    let targets: Vec<&str> = ended.map(|seen| seen.interruption.instance.id.as_str()).collect();
     warn!("request_lethal", kv: {
         digest = report.digest.to_string(), ended = targets.len(), targets = targets.join(" ")
     });
@@ -94,8 +94,8 @@
     });
 }
 
-fn log_life(news: &LifeNews) {
-    let LifeNews { target, stated, known } = news;
+fn log_life(news: &InstanceChange) {
+    let InstanceChange { target, stated, known } = news;
     match news.is_late() {
         true => warn!("target_entry_late", kv: {
             target = target.as_str(), start = stated.0, known = known.0
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -6,7 +6,7 @@
 
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
-use curlewcleat_core::{BreakReport, RequestDigest, SuspectReport};
+use curlewcleat_core::{InterruptionReport, RequestDigest, SuspectReport};
 use curlewcleat_node::{NodeEvent, NodeStatus};
 use serde_json::{json, Value};
 
@@ -98,12 +98,12 @@
 /// The requests under which targets ended, or may have, those that are refused first.
 fn suspects_json(status: &NodeStatus) -> Value {
     let mut suspects: Vec<&SuspectReport> =
-        status.suspects.iter().filter(|suspect| !suspect.breaks.is_empty()).collect();
+        status.suspects.iter().filter(|suspect| !suspect.interruptions.is_empty()).collect();
     suspects.sort_by_key(|suspect| {
-        (!status.refused.contains(&suspect.digest), Reverse(suspect.breaks.len()))
+        (!status.refused.contains(&suspect.digest), Reverse(suspect.interruptions.len()))
     });
     let suspects = suspects.into_iter().map(|suspect| {
-        let targets: Vec<Value> = suspect.breaks.iter().map(target_break_json).collect();
+        let targets: Vec<Value> = suspect.interruptions.iter().map(target_break_json).collect();
         json!({
             "digest": suspect.digest.to_string(),
             "refused": status.refused.contains(&suspect.digest),
@@ -113,9 +113,9 @@
     Value::Array(suspects.collect())
 }
 
-fn target_break_json(seen: &BreakReport) -> Value {
+fn target_break_json(seen: &InterruptionReport) -> Value {
     json!({
-        "id": seen.broke.life.id, "ended": seen.ended, "answer_begun": seen.broke.begun,
+        "id": seen.interruption.instance.id, "ended": seen.ended, "answer_begun": seen.interruption.begun,
         "ago_ms": seen.age.as_millis() as u64,
     })
 }
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -10,7 +10,7 @@
 use anyhow::Result;
 use curlewcleat_config::DaemonSettings;
 use curlewcleat_core::{DaemonId, WallTime};
-use curlewcleat_keys::KeyHomeOptions;
+use curlewcleat_keys::KeyHolderOptions;
 use curlewcleat_node::{NodeOptions, PlatformCall};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RateMargin};
 
@@ -70,10 +70,10 @@
             capacity: settings.capacity_percent,
             started: 0,
         },
-        keys: KeyHomeOptions {
+        keys: KeyHolderOptions {
             retention: settings.key_retention,
             key_limit: settings.key_limit,
-            ..KeyHomeOptions::default()
+            ..KeyHolderOptions::default()
         },
         key_slots: settings.key_slots,
         entry: EntryOptions {
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -74,20 +74,20 @@
     /// The target is stalled. A further decision follows only if another one is granted.
     pub fn target_stalled(&mut self) {
         self.stalled = true;
-        self.tell_replacement(ReplacementStep::Wanted);
+        self.tell_replacement(ReplacementStep::Requested);
     }
 
     /// The target has sent something.
     pub fn target_heard(&mut self) {
         if std::mem::take(&mut self.stalled) {
-            self.tell_replacement(ReplacementStep::Unwanted);
+            self.tell_replacement(ReplacementStep::Withdrawn);
         }
     }
 
     /// The stalled target is left for the one that was granted.
     pub fn take_replacement(&mut self) {
         self.stalled = false;
-        self.tell_replacement(ReplacementStep::Taken);
+        self.tell_replacement(ReplacementStep::Accepted);
     }
 
     /// The target that was granted is not used.
--- a/crates/daemon/src/reports.rs
+++ b/crates/daemon/src/reports.rs
@@ -42,7 +42,7 @@
         let report = read.ok().flatten();
         context.metrics.report(report.is_some());
         if let Some(report) = report {
-            context.tell(NodeEvent::TargetReported(pool.id.clone(), target.life(), report));
+            context.tell(NodeEvent::TargetReported(pool.id.clone(), target.instance(), report));
         }
     });
     join_all(reads).await;
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -8,7 +8,7 @@
 use curlewcleat_clock::Moment;
 use curlewcleat_core::{RefusalReason, RetryReason, TargetEntry, TargetNotice};
 use curlewcleat_node::NodeEvent;
-use curlewcleat_sched::{GateStop, HeardNotice};
+use curlewcleat_sched::{GateStop, ReceivedNotice};
 use curlewcleat_targets::{Error, PooledConnection, TargetAnswer};
 use spdlog::prelude::*;
 
@@ -57,7 +57,7 @@
     };
     let notice = protocol.target_notice(&answer.head);
     if let Some(notice) = notice {
-        let heard = HeardNotice { sent: context.uptime_at(sent), notice };
+        let heard = ReceivedNotice { sent: context.uptime_at(sent), notice };
         hear(context, &attempt, &heard);
     }
     judge(protocol, request, answer, notice)
@@ -70,8 +70,8 @@
     wait: &TargetWait<'_>,
 ) -> Result<PooledConnection, AttemptStart> {
     let (context, protocol, request) = (wait.context, wait.protocol, attempt.request);
-    let life = attempt.target.life();
-    if let Some(stop) = context.gate.stop(context.uptime(), &life) {
+    let instance = attempt.target.instance();
+    if let Some(stop) = context.gate.stop(context.uptime(), &instance) {
         return Err(stopped(context, stop));
     }
     let connected = match connection {
@@ -85,7 +85,7 @@
     let failed = AttemptStart::NotRun(RetryReason::ConnectFailed, AttemptCause::ConnectFailed);
     let connection = connected.map_err(|_| failed)?;
     // The target may have spoken while the connection was made.
-    match context.gate.pass(context.uptime(), &life) {
+    match context.gate.pass(context.uptime(), &instance) {
         Some(stop) => {
             connection.put_back();
             Err(stopped(context, stop))
@@ -95,10 +95,10 @@
 }
 
 /// What the target says of itself counts before anything of its answer is passed on.
-fn hear(context: &DaemonContext, attempt: &TargetAttempt<'_>, heard: &HeardNotice) {
-    let (life, request) = (attempt.target.life(), attempt.request);
-    if let Some(report) = context.gate.heard(context.uptime(), &life, heard, request.id) {
-        context.tell(NodeEvent::TargetSaid(request.pool.id.clone(), report));
+fn hear(context: &DaemonContext, attempt: &TargetAttempt<'_>, heard: &ReceivedNotice) {
+    let (instance, request) = (attempt.target.instance(), attempt.request);
+    if let Some(report) = context.gate.heard(context.uptime(), &instance, heard, request.id) {
+        context.tell(NodeEvent::NoticeReceived(request.pool.id.clone(), report));
     }
 }
 
--- a/crates/daemon/src/request/cause.rs
+++ b/crates/daemon/src/request/cause.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns: the codes, which stand in log lines and are stable. Relies on: nothing.
 
-use curlewcleat_core::{AnswerSight, AttemptEnd, BreakKind};
+use curlewcleat_core::{AnswerObservation, AttemptEnd, InterruptionKind};
 use curlewcleat_sched::GateStop;
 
 /// Why an attempt ended without an answer for its caller.
@@ -36,10 +36,12 @@
 
 impl AttemptCause {
     /// How the request broke off at its target, `None` where that says nothing of the target's end.
-    pub fn break_kind(self) -> Option<BreakKind> {
+    pub fn break_kind(self) -> Option<InterruptionKind> {
         match self {
-            AttemptCause::Closed => Some(BreakKind::Closed),
-            AttemptCause::HeadTimeout | AttemptCause::PartTimeout => Some(BreakKind::Stalled),
+            AttemptCause::Closed => Some(InterruptionKind::Closed),
+            AttemptCause::HeadTimeout | AttemptCause::PartTimeout => {
+                Some(InterruptionKind::Stalled)
+            }
             AttemptCause::ConnectFailed
             | AttemptCause::NotStarted
             | AttemptCause::Unreadable
@@ -53,13 +55,13 @@
     }
 
     /// What it says of the target's version, `None` where the target had no part in it or said that nothing ran.
-    pub fn answer_sight(self) -> Option<AnswerSight> {
+    pub fn answer_sight(self) -> Option<AnswerObservation> {
         match self {
-            AttemptCause::Failed => Some(AnswerSight::Failed),
+            AttemptCause::Failed => Some(AnswerObservation::Failed),
             AttemptCause::HeadTimeout
             | AttemptCause::PartTimeout
             | AttemptCause::Closed
-            | AttemptCause::Unreadable => Some(AnswerSight::Broken),
+            | AttemptCause::Unreadable => Some(AnswerObservation::Broken),
             AttemptCause::ConnectFailed
             | AttemptCause::NotStarted
             | AttemptCause::CallerBody
--- a/crates/daemon/src/request/profile/tests/mod.rs
+++ b/crates/daemon/src/request/profile/tests/mod.rs
@@ -8,7 +8,7 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::StatusCode;
 use curlewcleat_core::{
-    AdmissionRule, ClientAccount, PoolKind, RateUnit, Refusal, RefusalReason, ServiceTerms,
+    AdmissionRule, ClientAccount, PoolKind, RateUnit, Refusal, RefusalReason, ServiceLimits,
     SharedRate, TargetPool, Verdict,
 };
 use curlewcleat_store::WireProfile;
@@ -45,7 +45,7 @@
         host: None,
         split: Vec::new(),
         public: false,
-        service: ServiceTerms { objective, ..ServiceTerms::default() },
+        service: ServiceLimits { objective, ..ServiceLimits::default() },
         order: 0,
         method: None,
         path: "/".to_string(),
--- a/crates/daemon/src/request/profile/tests/notices.rs
+++ b/crates/daemon/src/request/profile/tests/notices.rs
@@ -31,7 +31,7 @@
 #[case::whole(&["3"], LimitNotice::Named(RequestRate(3_000)))]
 #[case::zero(&["0"], LimitNotice::Named(RequestRate(0)))]
 #[case::blanks(&[" 2 "], LimitNotice::Named(RequestRate(2_000)))]
-#[case::enormous(&["1e300"], LimitNotice::Named(RequestRate::MOST))]
+#[case::enormous(&["1e300"], LimitNotice::Named(RequestRate::MAX))]
 #[case::the_lowest_counts(&["5", "2", "9"], LimitNotice::Named(RequestRate(2_000)))]
 #[case::one_that_can_be_read(&["x", "2"], LimitNotice::Named(RequestRate(2_000)))]
 #[case::none(&[], LimitNotice::Absent)]
@@ -104,7 +104,7 @@
         assert!(notice.rest.is_none_or(|rest| rest <= LONGEST_REST), "{headers:?}");
         assert_eq!(notice.leaving, texts[2].trim() == "1", "{headers:?}");
         if let LimitNotice::Named(rate) = notice.limit {
-            assert!(rate <= RequestRate::MOST, "{headers:?}");
+            assert!(rate <= RequestRate::MAX, "{headers:?}");
         }
     }
 }
--- a/crates/daemon/src/request/progress.rs
+++ b/crates/daemon/src/request/progress.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewcleat_clock::Moment;
-use curlewcleat_core::{AnswerSight, AttemptEnd, StreamTiming, TargetId};
+use curlewcleat_core::{AnswerObservation, AttemptEnd, StreamTiming, TargetId};
 
 /// Parts from which the mean time between two says something of the target.
 const PACED_PARTS: u32 = 8;
@@ -74,26 +74,26 @@
     }
 
     /// What is seen of the latest attempt now that a part of its answer came, where that tells anything new.
-    pub fn part_sight(&self) -> Option<AnswerSight> {
+    pub fn part_sight(&self) -> Option<AnswerObservation> {
         let (first, latest) = self.attempt.first.zip(self.latest)?;
         match self.attempt.parts {
-            1 => Some(AnswerSight::Begun(first.saturating_duration_since(self.sent?))),
+            1 => Some(AnswerObservation::Begun(first.saturating_duration_since(self.sent?))),
             PACED_PARTS => {
                 let pauses = latest.saturating_duration_since(first) / (PACED_PARTS - 1);
-                Some(AnswerSight::Paced(pauses))
+                Some(AnswerObservation::Paced(pauses))
             }
             _ => None,
         }
     }
 
     /// What is seen of the latest attempt, which was answered whole.
-    pub fn end_sights(&self) -> Vec<AnswerSight> {
+    pub fn end_sights(&self) -> Vec<AnswerObservation> {
         if self.attempt.failed {
-            return vec![AnswerSight::Failed];
+            return vec![AnswerObservation::Failed];
         }
         let took = self.sent.map_or(Duration::ZERO, |sent| sent.elapsed());
-        let begun = (self.attempt.parts == 0).then_some(AnswerSight::Begun(took));
-        begun.into_iter().chain([AnswerSight::Whole(took)]).collect()
+        let begun = (self.attempt.parts == 0).then_some(AnswerObservation::Begun(took));
+        begun.into_iter().chain([AnswerObservation::Whole(took)]).collect()
     }
 
     /// Parts that came in the latest attempt.
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -14,7 +14,7 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use curlewcleat_core::{
-    AttemptEnd, KeptAnswer, Refusal, RefusalReason, RequestBreak, RequestId, RetryReason,
+    AttemptEnd, KeptAnswer, Refusal, RefusalReason, RequestId, RequestInterruption, RetryReason,
     TargetEntry, Verdict,
 };
 use curlewcleat_node::{CallerDecision, NodeEvent};
@@ -214,8 +214,8 @@
         self.note_answer(target, cause.answer_sight());
         if let (Some(digest), Some(kind)) = (self.request.digest, cause.break_kind()) {
             let begun = self.progress.attempt_parts() > 0;
-            let broke = RequestBreak { life: target.life(), kind, begun };
-            self.service.context.tell(NodeEvent::BrokeOff(digest, broke));
+            let interruption = RequestInterruption { instance: target.instance(), kind, begun };
+            self.service.context.tell(NodeEvent::RequestInterrupted(digest, interruption));
         }
     }
 
--- a/crates/daemon/src/request/run/sample.rs
+++ b/crates/daemon/src/request/run/sample.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns: nothing; these are methods of [`RequestRun`]. Relies on: the node, which tells the daemon that decides.
 
-use curlewcleat_core::{AnswerSample, AnswerSight, PoolKind, TargetEntry};
+use curlewcleat_core::{AnswerObservation, AnswerSample, PoolKind, TargetEntry};
 use curlewcleat_node::NodeEvent;
 
 use super::RequestRun;
@@ -12,29 +12,29 @@
     pub(in crate::request) fn note_answer(
         &self,
         target: &TargetEntry,
-        sights: impl IntoIterator<Item = AnswerSight>,
+        observations: impl IntoIterator<Item = AnswerObservation>,
     ) {
         let (context, request) = (&self.service.context, &self.request);
-        let mut sights = sights.into_iter().peekable();
-        if sights.peek().is_none() {
+        let mut observations = observations.into_iter().peekable();
+        if observations.peek().is_none() {
             return;
         }
         let config = context.config();
-        let pool = config.pools.get(&request.pool.id).filter(|pool| pool.is_rolled_out);
+        let pool = config.pools.get(&request.pool.id).filter(|pool| pool.has_rollout);
         let Some(pool) = pool else { return };
         let work = match pool.kind {
             PoolKind::Engine => request.work.prompt,
             PoolKind::Service => request.work.output,
         };
-        for sight in sights {
+        for observation in observations {
             let sample = AnswerSample {
                 rule: request.rule.id.clone(),
                 target: target.id.clone(),
                 version: target.version.clone(),
                 work,
-                sight,
+                observation,
             };
-            context.tell(NodeEvent::AnswerSeen(pool.id.clone(), Box::new(sample)));
+            context.tell(NodeEvent::AnswerObserved(pool.id.clone(), Box::new(sample)));
         }
     }
 }
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -156,7 +156,7 @@
     /// The stalled target is not left before the other one takes a connection: where that fails, an answer that
     /// has begun could only be cut, though its target may be at work.
     fn consider(&mut self, permit: PermitId, entry: TargetEntry) {
-        let excluded = self.context.gate.stop(self.context.uptime(), &entry.life()).is_some();
+        let excluded = self.context.gate.stop(self.context.uptime(), &entry.instance()).is_some();
         let sendable = self.protocol.check_sendable(self.request).is_ok();
         if !self.pending.is_stalled() || !sendable || excluded {
             return self.pending.decline_replacement();
--- a/crates/daemon/src/target_notices.rs
+++ b/crates/daemon/src/target_notices.rs
@@ -4,8 +4,8 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use curlewcleat_core::{NoticeReport, RequestId, TargetLife, Uptime};
-use curlewcleat_sched::{GateStop, HeardNotice, TargetGate};
+use curlewcleat_core::{NoticeReport, RequestId, TargetInstance, Uptime};
+use curlewcleat_sched::{GateStop, ReceivedNotice, TargetGate};
 use spdlog::prelude::*;
 
 /// The gate of the daemon, for all its threads.
@@ -17,14 +17,14 @@
     pub fn heard(
         &self,
         now: Uptime,
-        life: &TargetLife,
-        heard: &HeardNotice,
+        instance: &TargetInstance,
+        heard: &ReceivedNotice,
         request: RequestId,
     ) -> Option<NoticeReport> {
-        let news = self.lock().heard(now, life, heard);
+        let news = self.lock().heard(now, instance, heard);
         if news.unreadable {
             warn!("target_notice_unreadable", kv: {
-                target = life.id.as_str(), request = request.to_string()
+                target = instance.id.as_str(), request = request.to_string()
             });
         }
         if news.changed {
@@ -34,13 +34,13 @@
     }
 
     /// What would stop a request to a target now.
-    pub fn stop(&self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
-        self.lock().stop(now, life)
+    pub fn stop(&self, now: Uptime, instance: &TargetInstance) -> Option<GateStop> {
+        self.lock().stop(now, instance)
     }
 
     /// Lets a request pass whose first byte goes now, or says what stops it.
-    pub fn pass(&self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
-        self.lock().pass(now, life)
+    pub fn pass(&self, now: Uptime, instance: &TargetInstance) -> Option<GateStop> {
+        self.lock().pass(now, instance)
     }
 
     fn lock(&self) -> MutexGuard<'_, TargetGate> {
@@ -52,8 +52,8 @@
 fn log_said(report: &NoticeReport, request: RequestId) {
     let limit = report.limit.and_then(|limit| limit.rate);
     info!("target_said", kv: {
-        target = report.life.id.as_str(), request = request.to_string(),
-        start = report.life.start.map_or(-1, |start| start.0 as i64),
+        target = report.instance.id.as_str(), request = request.to_string(),
+        start = report.instance.start.map_or(-1, |start| start.0 as i64),
         leaving = report.leaving,
         rest_ms = report.rest.map_or(-1, |rest| rest.as_millis() as i64),
         limit_per_s = limit.map_or(-1.0, |rate| rate.as_per_second())
--- a/crates/keys/src/home.rs
+++ b/crates/keys/src/home.rs
@@ -13,9 +13,9 @@
 use crate::slot::{hand_over_refusal, refused, SlotRecords};
 use crate::table::{created_at, slot_of, KeyTable};
 
-/// Limits of a [`KeyHome`].
+/// Limits of a [`KeyHolder`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeyHomeOptions {
+pub struct KeyHolderOptions {
     /// Time for which a key is kept after its last use. Callers may retry for half of it at most.
     pub retention: Duration,
     /// Highest number of keys held. Further new keys are refused; no key is removed before its retention has passed.
@@ -24,9 +24,9 @@
     pub clock_skew: Duration,
 }
 
-impl Default for KeyHomeOptions {
-    fn default() -> KeyHomeOptions {
-        KeyHomeOptions {
+impl Default for KeyHolderOptions {
+    fn default() -> KeyHolderOptions {
+        KeyHolderOptions {
             retention: Duration::from_secs(3_600),
             key_limit: 1_000_000,
             clock_skew: Duration::from_secs(5),
@@ -36,10 +36,10 @@
 
 /// The key table as a daemon knows it, with the records of the slots that the daemon holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeyHome {
+pub struct KeyHolder {
     /// This daemon.
     me: DaemonId,
-    options: KeyHomeOptions,
+    options: KeyHolderOptions,
     /// Version of the table, 0 for none.
     version: ObjectVersion,
     table: KeyTable,
@@ -50,10 +50,10 @@
     keys: usize,
 }
 
-impl KeyHome {
+impl KeyHolder {
     /// Creates a key home without a table.
-    pub fn new(me: DaemonId, options: KeyHomeOptions) -> KeyHome {
-        KeyHome {
+    pub fn new(me: DaemonId, options: KeyHolderOptions) -> KeyHolder {
+        KeyHolder {
             me,
             options,
             version: 0,
@@ -91,7 +91,7 @@
     }
 
     /// Applies a table read from the platform or received from a peer; one that is not newer is ignored.
-    pub fn table_read(&mut self, version: ObjectVersion, table: KeyTable) {
+    pub fn apply_table(&mut self, version: ObjectVersion, table: KeyTable) {
         if version <= self.version {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     /// Records that the receiver of a slot has acknowledged its records.
-    pub fn hand_over_acked(&mut self, from: &DaemonId, slot: KeySlot) {
+    pub fn hand_over_acknowledged(&mut self, from: &DaemonId, slot: KeySlot) {
         if let Some((receiver, acknowledged)) =
             self.slots.get_mut(&slot).and_then(|records| records.hand_over.as_mut())
         {
@@ -211,7 +211,7 @@
     }
 
     /// Returns the table to propose once every slot is acknowledged, `None` before that or where no slot is held.
-    pub fn handed_over(&self) -> Option<KeyTable> {
+    pub fn table_after_hand_over(&self) -> Option<KeyTable> {
         let mut moved = Vec::new();
         for (slot, records) in &self.slots {
             match &records.hand_over {
@@ -248,7 +248,7 @@
 
 /// Returns why a request whose key has no record may not run, `None` where it may.
 fn unknown_key_refusal(
-    options: &KeyHomeOptions,
+    options: &KeyHolderOptions,
     complete_since: WallTime,
     now: WallTime,
     claim: &KeyClaim,
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -9,5 +9,5 @@
 mod slot;
 mod table;
 
-pub use home::{KeyHome, KeyHomeOptions};
+pub use home::{KeyHolder, KeyHolderOptions};
 pub use table::{slot_of, KeyTable, TABLE_KEY};
--- a/crates/keys/src/table.rs
+++ b/crates/keys/src/table.rs
@@ -22,7 +22,7 @@
 impl KeyTable {
     /// Creates the first table, with the slots assigned to the eligible daemons in turn. Every history is complete,
     /// because no key is used before the table exists.
-    pub fn deal(slots: KeySlot, eligible: &[DaemonId]) -> KeyTable {
+    pub fn distribute(slots: KeySlot, eligible: &[DaemonId]) -> KeyTable {
         let holders =
             eligible.iter().cycle().take(if eligible.is_empty() { 0 } else { usize::from(slots) });
         KeyTable {
--- a/crates/keys/tests/homes.rs
+++ b/crates/keys/tests/homes.rs
@@ -7,7 +7,7 @@
     DaemonId, KeptAnswer, KeyClaim, KeyDecision, KeyOutcome, RefusalReason, RequestId, Verdict,
     WallTime,
 };
-use curlewcleat_keys::{KeyHome, KeyHomeOptions, KeyTable};
+use curlewcleat_keys::{KeyHolder, KeyHolderOptions, KeyTable};
 use rstest::rstest;
 
 const NOW: WallTime = Duration::from_secs(1_000_000);
@@ -25,16 +25,16 @@
     }
 }
 
-fn home(vm: &str, options: KeyHomeOptions, complete_since: Duration) -> KeyHome {
-    let mut home = KeyHome::new(daemon(vm), options);
-    let mut table = KeyTable::deal(1, &[daemon(vm)]);
+fn home(vm: &str, options: KeyHolderOptions, complete_since: Duration) -> KeyHolder {
+    let mut home = KeyHolder::new(daemon(vm), options);
+    let mut table = KeyTable::distribute(1, &[daemon(vm)]);
     table.slots[0].complete_since_ms = complete_since.as_millis() as u64;
-    home.table_read(1, table);
+    home.apply_table(1, table);
     home
 }
 
-fn home_with_full_history(vm: &str) -> KeyHome {
-    home(vm, KeyHomeOptions::default(), Duration::ZERO)
+fn home_with_full_history(vm: &str) -> KeyHolder {
+    home(vm, KeyHolderOptions::default(), Duration::ZERO)
 }
 
 fn reason(decision: &KeyDecision) -> (RefusalReason, bool) {
@@ -109,7 +109,7 @@
     #[case] attempt: Option<u32>,
     #[case] refused: Option<RefusalReason>,
 ) {
-    let mut home = home("a", KeyHomeOptions::default(), NOW - Duration::from_secs(60));
+    let mut home = home("a", KeyHolderOptions::default(), NOW - Duration::from_secs(60));
     let decision = home.claim(NOW, &claim(1, "k", attempt));
     match refused {
         Some(expected) => assert_eq!(reason(&decision), (expected, true)),
@@ -119,7 +119,7 @@
 
 #[test]
 fn unknown_key_runs_again_after_the_retry_window() {
-    let mut home = home("a", KeyHomeOptions::default(), NOW - Duration::from_secs(1_801));
+    let mut home = home("a", KeyHolderOptions::default(), NOW - Duration::from_secs(1_801));
     assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
 }
 
@@ -134,7 +134,7 @@
 #[test]
 fn full_home_refuses_new_keys_and_keeps_the_held_ones() {
     let mut home =
-        home("a", KeyHomeOptions { key_limit: 2, ..KeyHomeOptions::default() }, Duration::ZERO);
+        home("a", KeyHolderOptions { key_limit: 2, ..KeyHolderOptions::default() }, Duration::ZERO);
     assert_eq!(home.claim(NOW, &claim(1, "k1", None)), KeyDecision::First);
     assert_eq!(home.claim(NOW, &claim(2, "k2", None)), KeyDecision::First);
     assert_eq!(
@@ -150,36 +150,36 @@
 fn late_copy_of_an_older_hand_over_is_ignored() {
     let (a, b) = (daemon("a"), daemon("b"));
     let mut first = home_with_full_history("a");
-    let mut second = KeyHome::new(b.clone(), KeyHomeOptions::default());
-    second.table_read(1, first.table().clone());
+    let mut second = KeyHolder::new(b.clone(), KeyHolderOptions::default());
+    second.apply_table(1, first.table().clone());
     // a hands over to b, b grants a claim and hands back to a, and a hands over to b again.
     let (_, old) = first.hand_over(std::slice::from_ref(&b)).remove(0);
     assert!(second.hand_over_received(old.clone()));
-    first.hand_over_acked(&b, 0);
-    let table = first.handed_over().expect("acknowledged");
-    first.table_read(2, table.clone());
-    second.table_read(2, table);
+    first.hand_over_acknowledged(&b, 0);
+    let table = first.table_after_hand_over().expect("acknowledged");
+    first.apply_table(2, table.clone());
+    second.apply_table(2, table);
     assert_eq!(second.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     let (_, back) = second.hand_over(std::slice::from_ref(&a)).remove(0);
     assert!(first.hand_over_received(back));
-    second.hand_over_acked(&a, 0);
-    let table = second.handed_over().expect("acknowledged");
-    first.table_read(3, table.clone());
-    second.table_read(3, table);
+    second.hand_over_acknowledged(&a, 0);
+    let table = second.table_after_hand_over().expect("acknowledged");
+    first.apply_table(3, table.clone());
+    second.apply_table(3, table);
     let (_, again) = first.hand_over(std::slice::from_ref(&b)).remove(0);
     assert!(second.hand_over_received(again));
     // A late copy of the first hand-over arrives; it lacks the key that b granted.
     second.hand_over_received(old);
-    first.hand_over_acked(&b, 0);
-    let table = first.handed_over().expect("acknowledged");
-    second.table_read(4, table);
+    first.hand_over_acknowledged(&b, 0);
+    let table = first.table_after_hand_over().expect("acknowledged");
+    second.apply_table(4, table);
     assert_eq!(reason(&second.claim(NOW, &claim(2, "k", None))).0, RefusalReason::KeyInProgress);
 }
 
 #[test]
 fn slots_of_removed_vms_go_to_the_holders_with_the_fewest() {
     let holders = [daemon("a"), daemon("b"), daemon("c")];
-    let table = KeyTable::deal(9, &holders);
+    let table = KeyTable::distribute(9, &holders);
     let removed_vms = BTreeSet::from(["c".to_string()]);
     let next = table.reassign(&removed_vms, &holders[0], &holders, NOW).expect("changes");
     assert_eq!(next.held_by(&holders[2]).len(), 0);
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AttemptEnd, DaemonId, PermitId, RequestId, TargetLife, TargetPool, TargetStart, Uptime, Verdict,
+    AttemptEnd, DaemonId, PermitId, RequestId, TargetInstance, TargetPool, TargetStart, Uptime,
+    Verdict,
 };
 use curlewcleat_sched::{
     DrainInput, DrainPhase, DrainState, EntryAction, EntryOptions, EntryRequests, PoolOptions,
@@ -60,7 +61,7 @@
     entry: EntryRequests,
     scheduler: PoolScheduler,
     arrived: u8,
-    exchanges: BTreeMap<PermitId, TargetLife>,
+    exchanges: BTreeMap<PermitId, TargetInstance>,
     /// Start of the life of `t0`.
     start: TargetStart,
     /// Whether an entry of its earlier life came late.
@@ -97,13 +98,13 @@
                     EntryAction::Dispatch { permit, target } => {
                         state.sent_to_leaving |= state.leaving && target == RESTARTED;
                         let start = (target == RESTARTED).then_some(state.start);
-                        state.exchanges.insert(permit, TargetLife { id: target, start });
+                        state.exchanges.insert(permit, TargetInstance { id: target, start });
                     }
                     _ => {}
                 }
             } else {
                 // All requests have one urgency, whose share is all.
-                state.scheduler.forget_flows();
+                state.scheduler.clear_flows();
                 return;
             }
         }
@@ -124,9 +125,9 @@
     fn finish(&self, state: &DrainModelState, permit: PermitId) -> DrainModelState {
         let mut next = state.clone();
         let ended = next.exchanges.remove(&permit);
-        let life = TargetLife { id: RESTARTED.to_string(), start: Some(state.start) };
+        let instance = TargetInstance { id: RESTARTED.to_string(), start: Some(state.start) };
         // What was under way to an earlier life has no answer.
-        let is_cut = ended.is_some_and(|ended| ended.id == life.id && ended != life);
+        let is_cut = ended.is_some_and(|ended| ended.id == instance.id && ended != instance);
         let (verdict, end) = match is_cut {
             true => (Verdict::MayHaveRun, AttemptEnd::Failed),
             false => (Verdict::Ran, AttemptEnd::Whole(Duration::from_millis(1))),
@@ -144,7 +145,7 @@
         if self.fault != DrainFault::StartIgnored {
             next.scheduler.configure(PoolOptions::default(), &targets(next.start));
         }
-        next.scheduler.set_away(BTreeSet::new());
+        next.scheduler.set_leaving_vms(BTreeSet::new());
         let answers = next.scheduler.tick(next.now);
         self.settle(&mut next, Vec::new(), answers);
         next
@@ -224,7 +225,7 @@
             let mut next = state.clone();
             next.leaving = true;
             if self.fault != DrainFault::LeavingIgnored {
-                next.scheduler.set_away(BTreeSet::from(["vm-t0".to_string()]));
+                next.scheduler.set_leaving_vms(BTreeSet::from(["vm-t0".to_string()]));
             }
             steps.push(("the VM of target t0 leaves".to_string(), next));
         }
@@ -247,8 +248,8 @@
         if state.sent_to_leaving {
             return Some("a leaving target got new work".to_string());
         }
-        let life = TargetLife { id: RESTARTED.to_string(), start: Some(state.start) };
-        let running = state.exchanges.values().filter(|running| **running == life).count();
+        let instance = TargetInstance { id: RESTARTED.to_string(), start: Some(state.start) };
+        let running = state.exchanges.values().filter(|running| **running == instance).count();
         if state.scheduler.targets()[RESTARTED].in_flight != running as u32 {
             return Some(
                 "the places in use are not those of the target's present life".to_string(),
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -8,7 +8,7 @@
     DaemonId, KeyAnswer, KeyClaim, KeyDecision, KeyHandOver, KeyOutcome, RequestId, Verdict, VmId,
     WallTime,
 };
-use curlewcleat_keys::{KeyHome, KeyHomeOptions, KeyTable};
+use curlewcleat_keys::{KeyHolder, KeyHolderOptions, KeyTable};
 
 use crate::explore::SpecModel;
 
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyState {
     wall: WallTime,
-    homes: BTreeMap<DaemonId, KeyHome>,
+    homes: BTreeMap<DaemonId, KeyHolder>,
     started: u64,
     stopped: u8,
     tables: Vec<KeyTable>,
@@ -84,13 +84,13 @@
     attempts: [AttemptPhase; 2],
     runs: u8,
     /// What holders were before they began to hand over, in the variant that goes on with it.
-    careless: BTreeMap<DaemonId, KeyHome>,
+    careless: BTreeMap<DaemonId, KeyHolder>,
 }
 
 impl KeyModel {
     /// Seconds by which the caller's clock is ahead of the VMs'.
     fn ahead(&self) -> u64 {
-        let skew = KeyHomeOptions::default().clock_skew.as_secs();
+        let skew = KeyHolderOptions::default().clock_skew.as_secs();
         if self.fault == KeyFault::ClockBeyondSkew {
             skew + 1
         } else {
@@ -148,7 +148,7 @@
                     next.network.insert(Message::Ack(to.clone(), from.clone()));
                 }
             }
-            Message::Ack(from, to) => next.homes.get_mut(to)?.hand_over_acked(from, 0),
+            Message::Ack(from, to) => next.homes.get_mut(to)?.hand_over_acknowledged(from, 0),
         }
         Some(next)
     }
@@ -236,7 +236,7 @@
         &self,
         state: &KeyState,
         id: &DaemonId,
-        home: &KeyHome,
+        home: &KeyHolder,
     ) -> Vec<(String, KeyState)> {
         let mut steps = Vec::new();
         let mut gone = state.gone.clone();
@@ -253,14 +253,14 @@
             }
             steps.extend(self.propose(state, id, table, "its holder has ended"));
         }
-        if let Some(table) = home.handed_over() {
+        if let Some(table) = home.table_after_hand_over() {
             steps.extend(self.propose(state, id, table, "handed over"));
         }
         steps
     }
 
     /// A holder hands its slot over to the other daemons.
-    fn hand_over(&self, state: &KeyState, id: &DaemonId, home: &KeyHome) -> (String, KeyState) {
+    fn hand_over(&self, state: &KeyState, id: &DaemonId, home: &KeyHolder) -> (String, KeyState) {
         let others: Vec<DaemonId> =
             state.homes.keys().filter(|daemon| *daemon != id).cloned().collect();
         let mut next = state.clone();
@@ -325,11 +325,11 @@
     fn initial(&self) -> KeyState {
         let a = DaemonId { vm: "a".to_string(), incarnation: 1 };
         let b = DaemonId { vm: "b".to_string(), incarnation: 2 };
-        let table = KeyTable::deal(1, std::slice::from_ref(&a));
+        let table = KeyTable::distribute(1, std::slice::from_ref(&a));
         let mut homes = BTreeMap::new();
         for id in [a, b] {
             let mut home = home(id.clone());
-            home.table_read(1, table.clone());
+            home.apply_table(1, table.clone());
             homes.insert(id, home);
         }
         KeyState {
@@ -394,7 +394,7 @@
 }
 
 /// A daemon reads a table that is newer than its own.
-fn table_reads(state: &KeyState, id: &DaemonId, home: &KeyHome) -> Vec<(String, KeyState)> {
+fn table_reads(state: &KeyState, id: &DaemonId, home: &KeyHolder) -> Vec<(String, KeyState)> {
     let mut steps = Vec::new();
     for (place, table) in state.tables.iter().enumerate() {
         let version = place as u64 + 1;
@@ -403,7 +403,7 @@
         }
         let mut next = state.clone();
         if let Some(home) = next.homes.get_mut(id) {
-            home.table_read(version, table.clone());
+            home.apply_table(version, table.clone());
         }
         steps.push((format!("{}/{} reads table {version}", id.vm, id.incarnation), next));
     }
@@ -440,6 +440,6 @@
     place as u8
 }
 
-fn home(id: DaemonId) -> KeyHome {
-    KeyHome::new(id, KeyHomeOptions::default())
+fn home(id: DaemonId) -> KeyHolder {
+    KeyHolder::new(id, KeyHolderOptions::default())
 }
--- a/crates/model/src/lethal.rs
+++ b/crates/model/src/lethal.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, RequestBreak, RequestDigest, RequestIdentity, SuspectReport, TargetLife,
-    TargetStart, Uptime,
+    InterruptionKind, RequestDigest, RequestIdentity, RequestInterruption, SuspectReport,
+    TargetInstance, TargetStart, Uptime,
 };
-use curlewcleat_sched::{LethalOptions, LethalRequests, LethalVerdict, LifeSight};
+use curlewcleat_sched::{InstancePresence, LethalOptions, LethalRequests, LethalVerdict};
 
 use crate::explore::SpecModel;
 
@@ -69,7 +69,7 @@
     /// Target that has the request of each daemon.
     at_target: [Option<u8>; DAEMONS],
     /// Lives so far.
-    lives: u8,
+    instances: u8,
     /// Lives that ended under the request.
     ended: Vec<u8>,
     /// What the platform keeps.
@@ -101,12 +101,12 @@
     RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body }.digest()
 }
 
-fn life(number: u8) -> TargetLife {
-    TargetLife { id: "t".to_string(), start: Some(TargetStart(u64::from(number))) }
+fn instance(number: u8) -> TargetInstance {
+    TargetInstance { id: "t".to_string(), start: Some(TargetStart(u64::from(number))) }
 }
 
-fn closed(number: u8) -> RequestBreak {
-    RequestBreak { life: life(number), kind: BreakKind::Closed, begun: false }
+fn closed(number: u8) -> RequestInterruption {
+    RequestInterruption { instance: instance(number), kind: InterruptionKind::Closed, begun: false }
 }
 
 impl LethalModel {
@@ -134,13 +134,14 @@
 
     /// A daemon looks at the platform.
     fn review(&self, state: &mut LethalState, index: usize) {
-        let ended: Vec<TargetLife> = state.ended.iter().map(|number| life(*number)).collect();
+        let ended: Vec<TargetInstance> =
+            state.ended.iter().map(|number| instance(*number)).collect();
         let takes_all = self.fault == LethalFault::BreakTakenForEnd;
-        let sight = |life: &TargetLife| match takes_all || ended.contains(life) {
-            true => LifeSight::Gone,
-            false => LifeSight::Shown,
+        let presence = |instance: &TargetInstance| match takes_all || ended.contains(instance) {
+            true => InstancePresence::Unlisted,
+            false => InstancePresence::Listed,
         };
-        state.daemons[index].review(NOW, TARGETS, &sight);
+        state.daemons[index].review(NOW, TARGETS, &presence);
         let unstored: Vec<RequestDigest> =
             state.daemons[index].unstored().copied().filter(|digest| *digest == lethal()).collect();
         for digest in unstored {
@@ -154,8 +155,9 @@
         let in_touch = (0..DAEMONS).filter(|index| state.cut != Some(*index));
         let reports = in_touch.filter_map(|index| state.daemons[index].report(NOW, &lethal()));
         let reports = reports.chain(state.stored.clone());
-        let lives = reports.flat_map(|report| report.breaks).map(|seen| seen.broke.life);
-        lives.collect::<BTreeSet<TargetLife>>().len()
+        let instances =
+            reports.flat_map(|report| report.interruptions).map(|seen| seen.interruption.instance);
+        instances.collect::<BTreeSet<TargetInstance>>().len()
     }
 
     fn clear(state: &mut LethalState, index: usize, digest: &RequestDigest) -> bool {
@@ -172,8 +174,8 @@
             return None;
         }
         next.sends -= 1;
-        next.at_target[index] = Some(next.lives);
-        next.lives += 1;
+        next.at_target[index] = Some(next.instances);
+        next.instances += 1;
         next.late |=
             next.settled && next.cut != Some(index) && LethalModel::known_ends(&next) >= ENDS;
         Some(next)
@@ -195,11 +197,11 @@
         }
         next.ended.push(number);
         next.settled = false;
-        next.daemons[index].broken_off(NOW, lethal(), closed(number));
+        next.daemons[index].record_interruption(NOW, lethal(), closed(number));
         if beside {
             let other = (index + 1) % DAEMONS;
             next.bystander_ends += 1;
-            next.daemons[other].broken_off(NOW, bystander(), closed(number));
+            next.daemons[other].record_interruption(NOW, bystander(), closed(number));
         }
         if told {
             LethalModel::tell_reached(&mut next, index);
@@ -211,8 +213,8 @@
     fn bystander_breaks(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
         next.bystander_breaks = next.bystander_breaks.checked_sub(1)?;
-        next.daemons[index].broken_off(NOW, bystander(), closed(next.lives));
-        next.lives += 1;
+        next.daemons[index].record_interruption(NOW, bystander(), closed(next.instances));
+        next.instances += 1;
         Some(next)
     }
 
@@ -309,7 +311,7 @@
         LethalState {
             daemons: vec![LethalModel::new_daemon(); DAEMONS],
             at_target: [None; DAEMONS],
-            lives: 0,
+            instances: 0,
             ended: Vec::new(),
             stored: None,
             cut: None,
--- a/crates/model/src/levels.rs
+++ b/crates/model/src/levels.rs
@@ -85,7 +85,8 @@
         if !matches!(action.answer.decision, PermitDecision::Refused(_)) {
             return;
         }
-        let lower_waits = state.schedulers.iter().any(|scheduler| scheduler.holds_below(tier));
+        let lower_waits =
+            state.schedulers.iter().any(|scheduler| scheduler.has_waiting_below(tier));
         if lower_waits {
             state.broken = Some(tier);
         }
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -6,8 +6,10 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{LimitNotice, NoticeReport, RequestRate, TargetLife, TargetNotice, Uptime};
-use curlewcleat_sched::{HeardNotice, RatePart, RateTurn, TargetGate, TargetState};
+use curlewcleat_core::{
+    LimitNotice, NoticeReport, RequestRate, TargetInstance, TargetNotice, Uptime,
+};
+use curlewcleat_sched::{RateRole, RateShare, ReceivedNotice, TargetGate, TargetState};
 
 use crate::explore::SpecModel;
 
@@ -26,7 +28,7 @@
 const DEMAND: usize = 2;
 const TARGET: &str = "t";
 /// The part of a daemon that is asked out of turn.
-const NO_PART: RatePart = RatePart { reached: 0, all: 1, turn: RateTurn::Other };
+const NO_PART: RateShare = RateShare { reached: 0, all: 1, role: RateRole::Other };
 
 /// A fault put into the protocol, which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +63,7 @@
     /// What it grants as a scheduler.
     target: TargetState,
     /// The part that it grants.
-    part: RatePart,
+    part: RateShare,
     /// Daemon that it believes to be cut off from the others, itself perhaps.
     believed_cut: Option<usize>,
     /// Starts of the daemons that it knows, `None` for one that it has not heard of.
@@ -149,16 +151,16 @@
             return;
         };
         let (now, part) = (state.now, state.daemons[to].part);
-        state.daemons[to].target.noticed(now, &from.to_string(), &report, part);
+        state.daemons[to].target.apply_notice_report(now, &from.to_string(), &report, part);
     }
 
     fn renew_part(&self, state: &mut LimitState, index: usize) {
         let order = state.daemons[index].order(index);
         let leads = order.first() == Some(&index);
         let part = if self.fault == LimitFault::WholeLimitEach {
-            RatePart { reached: 1, all: 1, turn: RateTurn::Leader }
+            RateShare { reached: 1, all: 1, role: RateRole::Leader }
         } else if leads || self.fault == LimitFault::OutOfTurnGrants {
-            RatePart { reached: order.len(), all: DAEMONS, turn: RateTurn::Leader }
+            RateShare { reached: order.len(), all: DAEMONS, role: RateRole::Leader }
         } else {
             NO_PART
         };
@@ -166,7 +168,7 @@
         let daemon = &mut state.daemons[index];
         if daemon.part != part {
             daemon.part = part;
-            daemon.target.keep_part(now, part);
+            daemon.target.update_rate_share(now, part);
         }
     }
 
@@ -199,14 +201,17 @@
         let now = state.now;
         for _ in 0..granted {
             let daemon = &mut state.daemons[entry];
-            if daemon.gate.pass(now, &life()).is_some() {
+            if daemon.gate.pass(now, &instance()).is_some() {
                 return;
             }
             if daemon.heard.is_some() && daemon.excused == 0 {
                 state.arrived[SPAN - 1] += 1;
             }
-            let news =
-                daemon.gate.heard(now, &life(), &HeardNotice { sent: now, notice: notice() });
+            let news = daemon.gate.heard(
+                now,
+                &instance(),
+                &ReceivedNotice { sent: now, notice: notice() },
+            );
             daemon.heard = Some(news.report);
             if news.tell {
                 (0..DAEMONS).for_each(|other| self.tell(state, entry, other));
@@ -247,8 +252,8 @@
         };
         // Every daemon has heard the limit, and knows the others.
         for daemon in &mut state.daemons {
-            let heard = HeardNotice { sent: STEP, notice: notice() };
-            daemon.heard = Some(daemon.gate.heard(STEP, &life(), &heard).report);
+            let heard = ReceivedNotice { sent: STEP, notice: notice() };
+            daemon.heard = Some(daemon.gate.heard(STEP, &instance(), &heard).report);
         }
         (0..DAEMONS).for_each(|index| self.notice(&mut state, index));
         (0..DAEMONS).for_each(|index| self.tell(&mut state, index, index));
@@ -307,10 +312,10 @@
 }
 
 fn notice() -> TargetNotice {
-    let rate = RequestRate(LIMIT * RequestRate::SECOND);
+    let rate = RequestRate(LIMIT * RequestRate::ONE_PER_SECOND);
     TargetNotice { limit: LimitNotice::Named(rate), ..TargetNotice::default() }
 }
 
-fn life() -> TargetLife {
-    TargetLife { id: TARGET.to_string(), start: None }
+fn instance() -> TargetInstance {
+    TargetInstance { id: TARGET.to_string(), start: None }
 }
--- a/crates/model/src/rates.rs
+++ b/crates/model/src/rates.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{RateUnit, SharedRate, Uptime};
-use curlewcleat_sched::{AccountRates, RateMargin, RatePart, RateTurn};
+use curlewcleat_sched::{AccountRates, RateMargin, RateRole, RateShare};
 
 use crate::explore::SpecModel;
 
@@ -56,7 +56,7 @@
     believed_cut: Option<usize>,
     /// Whether it has heard of the others since it began.
     knows: bool,
-    turn: RateTurn,
+    role: RateRole,
 }
 
 /// A state: daemons with what they believe, the true cut, and what was given out lately.
@@ -98,18 +98,18 @@
         let daemon = &mut state.daemons[index];
         daemon.believed_cut = cut;
         daemon.knows = true;
-        let turn = RateModel::turn(daemon, index);
-        if turn != daemon.turn {
-            let forgets = match turn {
-                RateTurn::Leader => self.fault != RateFault::SavedBurst,
-                RateTurn::Deputy => self.fault != RateFault::ReserveAtOnce,
-                RateTurn::Other => false,
+        let role = RateModel::role(daemon, index);
+        if role != daemon.role {
+            let forgets = match role {
+                RateRole::Leader => self.fault != RateFault::SavedBurst,
+                RateRole::Deputy => self.fault != RateFault::ReserveAtOnce,
+                RateRole::Other => false,
             };
             if forgets {
                 daemon.rates.restart(now);
             }
         }
-        daemon.turn = turn;
+        daemon.role = role;
     }
 
     fn no_rates(&self) -> AccountRates {
@@ -118,12 +118,12 @@
     }
 
     /// Whose turn it is, as a daemon believes.
-    fn turn(daemon: &RateDaemon, index: usize) -> RateTurn {
+    fn role(daemon: &RateDaemon, index: usize) -> RateRole {
         let order = RateModel::believed(daemon, index);
         match order.iter().position(|other| *other == index) {
-            Some(0) => RateTurn::Leader,
-            Some(1) => RateTurn::Deputy,
-            _ => RateTurn::Other,
+            Some(0) => RateRole::Leader,
+            Some(1) => RateRole::Deputy,
+            _ => RateRole::Other,
         }
     }
 
@@ -143,18 +143,18 @@
     fn drain(&self, state: &mut RateState, index: usize) -> u64 {
         let now = state.now;
         let daemon = &mut state.daemons[index];
-        let mut reached = match daemon.turn {
-            RateTurn::Leader => RateModel::believed(daemon, index).len(),
-            RateTurn::Deputy | RateTurn::Other => 1,
+        let mut reached = match daemon.role {
+            RateRole::Leader => RateModel::believed(daemon, index).len(),
+            RateRole::Deputy | RateRole::Other => 1,
         };
         if self.fault == RateFault::WholeRateAlone {
             reached = DAEMONS;
         }
-        let turn = match self.fault {
-            RateFault::BurstOutOfTurn => RateTurn::Leader,
-            _ => daemon.turn,
+        let role = match self.fault {
+            RateFault::BurstOutOfTurn => RateRole::Leader,
+            _ => daemon.role,
         };
-        let part = RatePart { reached, all: DAEMONS, turn };
+        let part = RateShare { reached, all: DAEMONS, role };
         let mut given = 0;
         while daemon.rates.take(now, &"a".to_string(), &RATE, 1, part).is_ok() {
             given += 1;
@@ -195,7 +195,7 @@
             rates: self.no_rates(),
             believed_cut: None,
             knows: true,
-            turn: [RateTurn::Leader, RateTurn::Deputy, RateTurn::Other][index],
+            role: [RateRole::Leader, RateRole::Deputy, RateRole::Other][index],
         };
         RateState {
             now: Duration::from_secs(100),
@@ -231,7 +231,7 @@
                 let mut rates = self.no_rates();
                 rates.restart(now);
                 next.daemons[index] =
-                    RateDaemon { rates, believed_cut: None, knows: false, turn: RateTurn::Other };
+                    RateDaemon { rates, believed_cut: None, knows: false, role: RateRole::Other };
                 steps.push((format!("daemon {index} dies and starts again"), next));
             }
         }
--- a/crates/model/src/request/silence.rs
+++ b/crates/model/src/request/silence.rs
@@ -36,7 +36,7 @@
         if state.silent {
             let mut next = state.clone();
             next.silent = false;
-            self.tell(&mut next, ReplacementStep::Unwanted);
+            self.tell(&mut next, ReplacementStep::Withdrawn);
             steps.push((format!("the target of attempt {attempt} speaks again"), next));
         }
         if state.offered.is_some() && state.silent {
@@ -61,7 +61,7 @@
             return next;
         }
         next.silent = true;
-        self.tell(&mut next, ReplacementStep::Wanted);
+        self.tell(&mut next, ReplacementStep::Requested);
         next
     }
 
@@ -73,7 +73,7 @@
         next.runs += 1;
         next.may_have_run = true;
         next.silent = false;
-        self.tell(&mut next, ReplacementStep::Taken);
+        self.tell(&mut next, ReplacementStep::Accepted);
         dispatch(&mut next, permit, target);
         next
     }
@@ -88,7 +88,7 @@
     fn tell(&self, state: &mut RequestState, step: ReplacementStep) {
         let order = Self::order(state);
         let mut actions = state.entry.replacement(state.now, request(), step, &|_| order.clone());
-        if self.fault == RequestFault::KeptPermitLost && step == ReplacementStep::Taken {
+        if self.fault == RequestFault::KeptPermitLost && step == ReplacementStep::Accepted {
             actions.retain(|action| !matches!(action, EntryAction::ReturnPermit(..)));
         }
         self.perform(state, actions);
--- a/crates/model/src/rollout.rs
+++ b/crates/model/src/rollout.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-use curlewcleat_core::{RolloutNews, RolloutOrder, RolloutRecord, RolloutStage, Uptime};
+use curlewcleat_core::{RolloutOrder, RolloutRecord, RolloutReport, RolloutStage, Uptime};
 use curlewcleat_sched::{
-    PoolVersions, RatePart, RateTurn, RolloutLimits, ToldVersion, TrialShare, VersionAccess,
+    PoolVersions, RateRole, RateShare, ReportedVersion, RolloutLimits, TrialShare, VersionAccess,
 };
 
 use crate::explore::SpecModel;
@@ -77,7 +77,7 @@
     all: u64,
 }
 
-fn told(version: &str) -> ToldVersion {
+fn told(version: &str) -> ReportedVersion {
     Some(version.to_string())
 }
 
@@ -92,7 +92,7 @@
             name: "p".to_string(),
             order: order(),
             ended: self.ended,
-            noted: true,
+            has_status: true,
             revision: self.revision,
         }
     }
@@ -107,8 +107,8 @@
         index == 0 || self.is_cut
     }
 
-    fn news(&self, index: usize) -> Option<RolloutNews> {
-        self.daemons[index].versions.rollout().map(|rollout| rollout.news(NOW))
+    fn report(&self, index: usize) -> Option<RolloutReport> {
+        self.daemons[index].versions.rollout().map(|rollout| rollout.report(NOW))
     }
 
     /// Whether the platform may take, or have taken, a word of a daemon that the version is completed.
@@ -120,8 +120,8 @@
 
     /// A daemon that decides has come to a stage.
     fn decide(&mut self, index: usize, stage: RolloutStage) {
-        let Some(news) = self.news(index) else { return };
-        self.daemons[index].versions.order_told(NOW, &RolloutNews { stage, ..news });
+        let Some(report) = self.report(index) else { return };
+        self.daemons[index].versions.merge_report(NOW, &RolloutReport { stage, ..report });
     }
 
     /// A request comes to a daemon, and is granted by whoever schedules for it.
@@ -129,7 +129,7 @@
         let scheduler = if self.leads(index) { index } else { 0 };
         let whole = !self.is_cut || fault == RolloutFault::WholeShareEach;
         let reached = if whole { DAEMONS } else { 1 };
-        let part = RatePart { reached, all: DAEMONS, turn: RateTurn::Leader };
+        let part = RateShare { reached, all: DAEMONS, role: RateRole::Leader };
         self.daemons[index].requests += 1;
         let granting = &mut self.daemons[scheduler];
         let on_trial = granting.versions.access(&told(NEW)) == VersionAccess::Trial;
@@ -141,8 +141,8 @@
             self.tried += u64::from(tried);
         }
         // What the daemon itself knows stops a grant of a scheduler that knows less.
-        let is_shut = self.daemons[index].versions.is_shut(&told(OLD));
-        self.daemons[index].at_work |= !tried && is_old && !is_shut;
+        let is_blocked = self.daemons[index].versions.is_blocked(&told(OLD));
+        self.daemons[index].at_work |= !tried && is_old && !is_blocked;
     }
 
     /// Nothing that a daemon knows of is at work at the old version.
@@ -212,18 +212,19 @@
                 // A write takes less time than a daemon is excused for after a cut.
                 let under_way = after.daemons.iter().any(|daemon| daemon.write.is_some());
                 let waits = after.may_be_completed(index);
-                let news = after.news(1 - index);
-                let news = news.filter(|news| news.stage != RolloutStage::RolledBack || !waits);
+                let report = after.report(1 - index);
+                let report =
+                    report.filter(|report| report.stage != RolloutStage::RolledBack || !waits);
                 let daemon = &mut after.daemons[index];
-                if let Some(news) = news {
-                    daemon.versions.order_told(NOW, &news);
+                if let Some(report) = report {
+                    daemon.versions.merge_report(NOW, &report);
                 }
                 daemon.excused &= daemon.at_work || under_way;
             });
         }
         add(format!("{index} reads the platform"), &|after| {
             let record = after.record();
-            after.daemons[index].versions.order_shown(NOW, &record);
+            after.daemons[index].versions.merge_record(NOW, &record);
         });
         if let Some(stage) = self.may_write(state, index) {
             let known = daemon.versions.rollout().map_or(0, |rollout| rollout.revision());
@@ -253,12 +254,12 @@
             name: "p".to_string(),
             order: order(),
             ended: None,
-            noted: true,
+            has_status: true,
             revision: 1,
         };
         let mut versions = PoolVersions::default();
         versions.shown(NOW, &[(told(OLD), 1)].into(), Some(NOW));
-        versions.order_shown(NOW, &record);
+        versions.merge_record(NOW, &record);
         let daemon = |index| RolloutDaemon {
             versions: versions.clone(),
             // What may go beyond the share is for the one that schedules as the order is given.
--- a/crates/node/src/ended_instances.rs
+++ b/crates/node/src/ended_instances.rs
@@ -13,13 +13,13 @@
 /// Latest starts of targets that are no longer listed, so that a late list entry of an earlier instance does not
 /// restore that instance.
 #[derive(Clone, Debug, Default)]
-pub struct EndedLives {
+pub struct EndedInstances {
     latest: BTreeMap<TargetId, TargetStart>,
     /// The same targets in the order in which they first vanished.
     order: VecDeque<TargetId>,
 }
 
-impl EndedLives {
+impl EndedInstances {
     /// Returns the latest start that is remembered of a target.
     pub fn latest(&self, id: &str) -> Option<TargetStart> {
         self.latest.get(id).copied()
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -5,16 +5,16 @@
 use curlewcleat_config::CheckReport;
 use curlewcleat_core::{
     AnswerSample, AttemptEnd, ConfigBundle, DaemonId, DaemonRecord, DiscoveredTarget, Generation,
-    KeptAnswer, NoticeReport, ObjectVersion, PeerFrame, PermitId, PoolId, Refusal, RequestBreak,
-    RequestDigest, RequestId, RetryReason, RolloutRecord, RolloutWrite, SuspectReport,
-    TargetChange, TargetEntry, TargetLife, TargetReport, TargetVersion, Uptime, Verdict, VmId,
+    KeptAnswer, NoticeReport, ObjectVersion, PeerFrame, PermitId, PoolId, Refusal, RequestDigest,
+    RequestId, RequestInterruption, RetryReason, RolloutRecord, RolloutWrite, SuspectReport,
+    TargetChange, TargetEntry, TargetInstance, TargetReport, TargetVersion, Uptime, Verdict, VmId,
 };
 use curlewcleat_keys::KeyTable;
 use curlewcleat_sched::{ReplacementStep, RequestSpec, RetryBound, RolloutReason};
 
 use crate::freshness::ReadRole;
 use crate::status::{PoolStatus, RolloutStatus};
-use crate::target_view::{GoneTarget, LifeNews};
+use crate::target_view::{InstanceChange, RemovedTarget};
 
 /// A line of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,9 +60,9 @@
     /// The result of proposing a key table.
     TableWritten(TableWrite),
     /// A request was interrupted at a target instance.
-    BrokeOff(RequestDigest, RequestBreak),
+    RequestInterrupted(RequestDigest, RequestInterruption),
     /// The valid notices of a target of a pool that this daemon has received.
-    TargetSaid(PoolId, NoticeReport),
+    NoticeReceived(PoolId, NoticeReport),
     /// All orders to move pools to targets of other versions, at a revision.
     RolloutsListed {
         /// The orders.
@@ -73,7 +73,7 @@
         sent: Uptime,
     },
     /// An answer of a target was observed in a pool that is being rolled out.
-    AnswerSeen(PoolId, Box<AnswerSample>),
+    AnswerObserved(PoolId, Box<AnswerSample>),
     /// The permanently refused requests that the platform has stored.
     RefusalsRead(Vec<SuspectReport>),
     /// The platform has stored the refusal of a request.
@@ -81,7 +81,7 @@
     /// An operator states that a request is not the reason for which targets terminated.
     ClearSuspect(RequestDigest),
     /// The report on a target, for the scheduler of its pool.
-    TargetReported(PoolId, TargetLife, TargetReport),
+    TargetReported(PoolId, TargetInstance, TargetReport),
     /// All discovered targets at a revision.
     TargetsListed(Vec<DiscoveredTarget>, ObjectVersion),
     /// The changes of the discovered targets between two revisions.
@@ -176,18 +176,18 @@
     /// A peer's VM has started a new daemon.
     PeerReplaced(DaemonId),
     /// A list entry stated another instance of its target.
-    TargetLife(LifeNews),
+    TargetInstance(InstanceChange),
     /// The list entry of a target was removed.
-    TargetGone(GoneTarget),
+    TargetRemoved(RemovedTarget),
     /// A list of targets was ignored, since a later one is known.
-    TargetListLate {
+    StaleTargetList {
         /// Revision of the list.
         at: ObjectVersion,
         /// Revision that is known.
         known: ObjectVersion,
     },
     /// A target has terminated while running a request.
-    TargetEnded(RequestDigest, TargetLife),
+    TargetTerminated(RequestDigest, TargetInstance),
     /// A request is refused permanently from now on.
     RequestLethal(SuspectReport),
     /// A request is no longer refused.
@@ -202,7 +202,7 @@
     /// A key table became known; with the number of slots that this daemon holds.
     TableKnown(ObjectVersion, usize),
     /// The state of a pool's scheduler while requests wait there.
-    PoolWaits(PoolStatus),
+    PoolQueueStatus(PoolStatus),
     /// The planned stop has begun.
     DrainBegun,
     /// New requests are refused from now on.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,6 +20,6 @@
 };
 pub use freshness::{FreshnessLimits, PlatformFreshness, ReadRole};
 pub use node::{Node, NodeOptions};
-pub use status::{ConfigIntake, GrantedPart, NodeStatus, PoolStatus, RolloutStatus, TargetStatus};
-pub use target_view::{LifeNews, TargetView, ViewUpdate};
+pub use status::{ConfigIntake, GrantedShare, NodeStatus, PoolStatus, RolloutStatus, TargetStatus};
+pub use target_view::{InstanceChange, TargetView, ViewUpdate};
 pub use vms::VmView;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -25,7 +25,7 @@
     ActiveConfig, ConfigBundle, DaemonId, DiscoveredTarget, PeerMessage, PoolId, Uptime, Verdict,
     VmId, WallTime,
 };
-use curlewcleat_keys::{KeyHome, KeyHomeOptions};
+use curlewcleat_keys::{KeyHolder, KeyHolderOptions};
 use curlewcleat_sched::{
     AccountRates, DrainState, EntryOptions, EntryRequests, LevelGuard, MemberOptions, MemberView,
     PoolScheduler, RateMargin, RolloutLimits, ALL_POOLS,
@@ -50,7 +50,7 @@
     /// Options of the membership view.
     pub members: MemberOptions,
     /// Options of the idempotency key store.
-    pub keys: KeyHomeOptions,
+    pub keys: KeyHolderOptions,
     /// Slots of a key table that this node creates; 0 if the daemon keeps no keys.
     pub key_slots: u16,
     /// Options of request handling at the entry daemon.
@@ -88,7 +88,7 @@
     targets: TargetView,
     freshness: Option<PlatformFreshness>,
     read_role: ReadRole,
-    home: KeyHome,
+    home: KeyHolder,
     rates: AccountRates,
     pools: BTreeMap<PoolId, PoolScheduler>,
     guards: BTreeMap<PoolId, LevelGuard>,
@@ -136,7 +136,7 @@
                 .map(|limits| PlatformFreshness::new(limits, me.incarnation)),
             // Matches the tasks that read the platform, which start in this role.
             read_role: ReadRole::Reader,
-            home: KeyHome::new(me.clone(), options.keys.clone()),
+            home: KeyHolder::new(me.clone(), options.keys.clone()),
             rates: AccountRates::new(options.rate_margin),
             pools: BTreeMap::new(),
             guards: BTreeMap::new(),
@@ -175,14 +175,14 @@
             NodeEvent::Tick => self.tick(),
             NodeEvent::Peer(frame) => self.peer_frame(frame),
             NodeEvent::Admit(spec) => self.admit(*spec),
-            NodeEvent::BrokeOff(digest, interruption) => {
+            NodeEvent::RequestInterrupted(digest, interruption) => {
                 self.attempt_interrupted(digest, interruption)
             }
-            NodeEvent::TargetSaid(pool, report) => self.own_notice_received(pool, report),
+            NodeEvent::NoticeReceived(pool, report) => self.own_notice_received(pool, report),
             NodeEvent::RolloutsListed { rollouts, at, sent } => {
                 self.rollouts_listed(rollouts, at, sent);
             }
-            NodeEvent::AnswerSeen(pool, sample) => self.answer_observed(pool, *sample),
+            NodeEvent::AnswerObserved(pool, sample) => self.answer_observed(pool, *sample),
             NodeEvent::RefusalsRead(reports) => self.merge_suspects(reports),
             NodeEvent::RefusalStored(digest) => self.refusal_stored(&digest),
             NodeEvent::ClearSuspect(digest) => self.clear_suspect(digest),
--- a/crates/node/src/node/configuration.rs
+++ b/crates/node/src/node/configuration.rs
@@ -51,7 +51,7 @@
                 }
             }
             for (id, pool) in &mut config.pools {
-                pool.is_rolled_out = self.is_rolled_out(id);
+                pool.has_rollout = self.has_rollout(id);
             }
         }
         self.active = active;
@@ -66,7 +66,7 @@
         for (id, pool) in &config.pools {
             let scheduler = self.pool(id);
             scheduler.configure(pool_options(&config, pool, age_per_work), pool);
-            scheduler.set_away(unavailable.clone());
+            scheduler.set_leaving_vms(unavailable.clone());
         }
         self.apply_versions();
         self.update_data_centres();
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -1,6 +1,6 @@
 //! Tracks the key table and decides when to propose a new one.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHome` for keys, the platform for the stored table.
+//! Owns: nothing; these are methods of `Node`. Relies on: `KeyHolder` for keys, the platform for the stored table.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
             return;
         }
         self.table_absent = false;
-        self.home.table_read(version, table);
+        self.home.apply_table(version, table);
         self.actions.push(NodeAction::Note(NodeNote::TableKnown(version, self.home.slots_held())));
     }
 
@@ -52,7 +52,7 @@
             return;
         }
         let proposal = if self.drain.phase() >= DrainPhase::Closing {
-            self.home.handed_over()
+            self.home.table_after_hand_over()
         } else if self.home.version() == 0 {
             self.first_table()
         } else {
@@ -67,7 +67,7 @@
 
     pub(super) fn first_table(&self) -> Option<KeyTable> {
         let due = self.table_absent && self.now >= FIRST_TABLE_DELAY && self.proposes_tables();
-        due.then(|| KeyTable::deal(self.options.key_slots, &self.eligible))
+        due.then(|| KeyTable::distribute(self.options.key_slots, &self.eligible))
             .filter(|table| !table.slots.is_empty())
     }
 
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -12,10 +12,13 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    ActiveConfig, DaemonId, Incarnation, PeerMessage, Refusal, RefusalReason, RequestBreak,
-    RequestDigest, RequestId, SuspectReport, SuspectsPull, SuspectsPush, TargetLife, Uptime, VmId,
+    ActiveConfig, DaemonId, Incarnation, PeerMessage, Refusal, RefusalReason, RequestDigest,
+    RequestId, RequestInterruption, SuspectReport, SuspectsPull, SuspectsPush, TargetInstance,
+    Uptime, VmId,
+};
+use curlewcleat_sched::{
+    InstancePresence, LethalRequests, LethalVerdict, ReplacementStep, SuspectUpdates,
 };
-use curlewcleat_sched::{LethalRequests, LethalVerdict, LifeSight, ReplacementStep, SuspectNews};
 
 use super::Node;
 use crate::event::{CallerDecision, NodeAction, NodeNote, PlatformCall};
@@ -50,17 +53,17 @@
     pub(super) fn attempt_interrupted(
         &mut self,
         digest: RequestDigest,
-        interruption: RequestBreak,
+        interruption: RequestInterruption,
     ) {
-        let life = &interruption.life;
-        let listed = self.targets.shows(life);
+        let instance = &interruption.instance;
+        let listed = self.targets.shows(instance);
         let announced_leaving =
-            self.targets.is_leaving(&life.id) || self.has_announced_leaving(&life.id);
-        let leaving = announced_leaving || self.is_shut_target(&life.id);
-        if leaving || !listed && !names_target(&self.store.active(), life) {
+            self.targets.is_leaving(&instance.id) || self.has_announced_leaving(&instance.id);
+        let leaving = announced_leaving || self.is_shut_target(&instance.id);
+        if leaving || !listed && !names_target(&self.store.active(), instance) {
             return;
         }
-        if self.lethal.requests.broken_off(self.now, digest, interruption) {
+        if self.lethal.requests.record_interruption(self.now, digest, interruption) {
             self.send_suspect(&digest);
             self.report_refusal_changes();
         }
@@ -102,7 +105,7 @@
     /// Refuses a request that was granted a target but was found lethal while it waited. A request that already runs
     /// at a target stays there.
     pub(super) fn refuse_granted(&mut self, id: RequestId, refusal: Refusal) {
-        let actions = match self.entry.keeps_target(id) {
+        let actions = match self.entry.awaits_replacement(id) {
             true => return self.replacement(id, ReplacementStep::Declined),
             false => self.entry.cancelled(id),
         };
@@ -118,25 +121,25 @@
         let uncertain = self.is_removal_uncertain();
         let config = self.store.active();
         let targets = &self.targets;
-        let sight = |life: &TargetLife| {
-            if names_target(&config, life) {
-                LifeSight::Shown
+        let presence = |instance: &TargetInstance| {
+            if names_target(&config, instance) {
+                InstancePresence::Listed
             } else if uncertain {
-                LifeSight::Unknown
-            } else if targets.shows(life) {
-                LifeSight::Shown
+                InstancePresence::Unknown
+            } else if targets.shows(instance) {
+                InstancePresence::Listed
             } else {
-                LifeSight::Gone
+                InstancePresence::Unlisted
             }
         };
-        let ended = self.lethal.requests.review(self.now, self.targets.len(), &sight);
+        let ended = self.lethal.requests.review(self.now, self.targets.len(), &presence);
         let repeated: BTreeSet<RequestDigest> = ended
             .iter()
             .map(|(digest, _)| *digest)
-            .filter(|digest| self.lethal.requests.breaks_of(digest) > 1)
+            .filter(|digest| self.lethal.requests.interruption_count(digest) > 1)
             .collect();
-        for (digest, life) in ended {
-            self.actions.push(NodeAction::Note(NodeNote::TargetEnded(digest, life)));
+        for (digest, instance) in ended {
+            self.actions.push(NodeAction::Note(NodeNote::TargetTerminated(digest, instance)));
         }
         // Most requests that ran at a terminated target are involved in no other termination; peers pull those
         // reports.
@@ -177,7 +180,7 @@
         if pull.known >= at {
             return;
         }
-        let SuspectNews { at, requests } = self.lethal.requests.news(self.now, pull.known);
+        let SuspectUpdates { at, requests } = self.lethal.requests.news(self.now, pull.known);
         self.post(from, PeerMessage::SuspectsPush(SuspectsPush { at, requests }));
     }
 
@@ -259,6 +262,6 @@
 }
 
 /// Returns whether the configuration itself names the target, so that no list entry shows its instances.
-fn names_target(config: &ActiveConfig, life: &TargetLife) -> bool {
-    config.pools.values().any(|pool| pool.targets.contains_key(&life.id))
+fn names_target(config: &ActiveConfig, instance: &TargetInstance) -> bool {
+    config.pools.values().any(|pool| pool.targets.contains_key(&instance.id))
 }
--- a/crates/node/src/node/members.rs
+++ b/crates/node/src/node/members.rs
@@ -14,7 +14,7 @@
 impl Node {
     /// Applies the list of daemons that are recorded at the platform.
     pub(super) fn daemons_listed(&mut self, records: Vec<DaemonRecord>) {
-        self.members.records_listed(records);
+        self.members.update_records(records);
         self.review_roles();
         // Sends a heartbeat with the next tick, so that new daemons and this one learn of each other at once.
         self.last_heartbeat = None;
@@ -28,7 +28,7 @@
     pub(super) fn entry_daemon_ended(&mut self, daemon: &DaemonId) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let now = self.now;
-            let actions = self.pool(&pool).entry_gone(now, daemon);
+            let actions = self.pool(&pool).remove_entry_daemon(now, daemon);
             self.send_answers(actions);
         }
     }
@@ -70,7 +70,7 @@
         let own_data_centre = self.options.members.data_centre.clone();
         data_centres.insert(self.options.me.vm.clone(), own_data_centre);
         for scheduler in self.pools.values_mut() {
-            scheduler.set_places(data_centres.clone());
+            scheduler.set_data_centres(data_centres.clone());
         }
     }
 
@@ -97,7 +97,7 @@
         self.vms.read(self.now, list);
         let unavailable = self.unavailable_vms();
         for scheduler in self.pools.values_mut() {
-            scheduler.set_away(unavailable.clone());
+            scheduler.set_leaving_vms(unavailable.clone());
         }
     }
 }
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -4,7 +4,7 @@
 
 use curlewcleat_core::{
     DaemonId, Heartbeat, KeyAnswer, KeyClaim, KeyDecision, PeerFrame, PeerMessage, PermitAnswer,
-    PermitDecision, PermitHeld, PermitRequest, PermitReturn, PoolId, ShedRequest, TargetLife,
+    PermitDecision, PermitHeld, PermitRequest, PermitReturn, PoolId, ShedRequest, TargetInstance,
     TargetReport, VmId,
 };
 use curlewcleat_sched::{GuardStep, PoolScheduler, SchedulerAction};
@@ -34,7 +34,7 @@
         for (vm, messages) in std::mem::take(&mut self.outbox) {
             let Some(address) = self.members.address_of(&vm).map(str::to_string) else { continue };
             let (alone, together): (Vec<_>, Vec<_>) =
-                messages.into_iter().partition(PeerMessage::stands_alone);
+                messages.into_iter().partition(PeerMessage::needs_own_frame);
             let frames = alone.into_iter().map(|message| vec![message]).chain([together]);
             for messages in frames.filter(|messages| !messages.is_empty()) {
                 let frame = PeerFrame { from: self.options.me.clone(), messages };
@@ -64,9 +64,11 @@
             PeerMessage::FreshnessAnswer(answer) => self.freshness_answered(from, &answer),
             PeerMessage::TargetsPull(known) => self.targets_pulled(&from.vm, known),
             PeerMessage::TargetsPush(push) => self.targets_pushed(&from.vm, push),
-            PeerMessage::TargetLivesPull(known) => self.target_lives_pulled(&from.vm, known),
-            PeerMessage::TargetLivesPush(lives) => {
-                self.targets_pushed(&from.vm, lives.into_push());
+            PeerMessage::TargetInstancesPull(known) => {
+                self.target_instances_pulled(&from.vm, known)
+            }
+            PeerMessage::TargetInstancesPush(instances) => {
+                self.targets_pushed(&from.vm, instances.into_push());
             }
             PeerMessage::PermitRequest(request) => self.permit_requested(from, request),
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
@@ -86,7 +88,7 @@
                     self.post(&from.vm, PeerMessage::KeyHandOverAck(slot));
                 }
             }
-            PeerMessage::KeyHandOverAck(slot) => self.home.hand_over_acked(from, slot),
+            PeerMessage::KeyHandOverAck(slot) => self.home.hand_over_acknowledged(from, slot),
             PeerMessage::ConfigPartPull(pull) => self.config_part_pulled(&from.vm, pull),
             PeerMessage::ConfigPart(part) => self.config_part_received(&from.vm, part),
             PeerMessage::SuspectsPull(pull) => self.suspects_pulled(&from.vm, pull),
@@ -96,7 +98,7 @@
             PeerMessage::TargetVersionsPush(versions) => {
                 self.targets_pushed(&from.vm, versions.into_push());
             }
-            PeerMessage::RolloutNews(news) => self.rollout_report_received(&news),
+            PeerMessage::RolloutReport(report) => self.rollout_report_received(&report),
             PeerMessage::RolloutAnswers(answers) => self.peer_answers_received(from, &answers),
         }
     }
@@ -117,7 +119,7 @@
     pub(super) fn target_reported(
         &mut self,
         pool: &PoolId,
-        target: &TargetLife,
+        target: &TargetInstance,
         report: &TargetReport,
     ) {
         let now = self.now;
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, LimitReport, NoticeReport, PeerMessage, PoolId, PoolNotice, TargetLife, Uptime, VmId,
+    DaemonId, LimitReport, NoticeReport, PeerMessage, PoolId, PoolNotice, TargetInstance, Uptime,
+    VmId,
 };
 
 use super::Node;
@@ -22,19 +23,19 @@
 /// The latest notice of each target instance that this daemon has received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReceivedNotices {
-    lives: BTreeMap<TargetLife, (PoolNotice, Uptime)>,
+    instances: BTreeMap<TargetInstance, (PoolNotice, Uptime)>,
 }
 
 impl ReceivedNotices {
     fn record(&mut self, now: Uptime, notice: PoolNotice) {
-        self.lives.retain(|_, (_, received)| now < *received + NOTICE_RETENTION);
-        self.lives.insert(notice.report.life.clone(), (notice, now));
+        self.instances.retain(|_, (_, received)| now < *received + NOTICE_RETENTION);
+        self.instances.insert(notice.report.instance.clone(), (notice, now));
     }
 
     /// Returns the notices that are still valid now.
     fn current(&self, now: Uptime) -> Vec<PoolNotice> {
         let received =
-            self.lives.values().filter(|(_, received)| now < *received + NOTICE_RETENTION);
+            self.instances.values().filter(|(_, received)| now < *received + NOTICE_RETENTION);
         received
             .map(|(notice, received)| with_added_age(notice, now.saturating_sub(*received)))
             .collect()
@@ -68,7 +69,7 @@
             return;
         }
         let now = self.now;
-        let actions = self.pool(&notice.pool).noticed(now, from, &notice.report);
+        let actions = self.pool(&notice.pool).apply_notice_report(now, from, &notice.report);
         self.send_answers(actions);
     }
 
@@ -96,7 +97,7 @@
     pub(super) fn update_rate_shares(&mut self) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let (now, share) = (self.now, self.rate_share(&pool));
-            self.pool(&pool).set_part(now, share);
+            self.pool(&pool).set_rate_share(now, share);
         }
     }
 }
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -4,7 +4,8 @@
 
 use curlewcleat_core::{
     DaemonId, DiscoveredTarget, FreshnessAnswer, FreshnessQuery, ObjectVersion, PeerMessage,
-    TargetChange, TargetLivesPush, TargetVersionsPush, TargetsContent, TargetsPush, Uptime, VmId,
+    TargetChange, TargetInstancesPush, TargetVersionsPush, TargetsContent, TargetsPush, Uptime,
+    VmId,
 };
 
 use super::Node;
@@ -63,7 +64,7 @@
         let known = self.targets.at();
         self.post(peer, PeerMessage::TargetVersionsPull(known));
         if self.targets_pull.is_repeated() {
-            self.post(peer, PeerMessage::TargetLivesPull(known));
+            self.post(peer, PeerMessage::TargetInstancesPull(known));
             self.post(peer, PeerMessage::TargetsPull(known));
         }
     }
@@ -73,9 +74,9 @@
         self.post(from, PeerMessage::TargetsPush(push));
     }
 
-    pub(super) fn target_lives_pulled(&mut self, from: &VmId, known: ObjectVersion) {
-        let lives = TargetLivesPush::new(self.targets_push(known));
-        self.post(from, PeerMessage::TargetLivesPush(lives));
+    pub(super) fn target_instances_pulled(&mut self, from: &VmId, known: ObjectVersion) {
+        let instances = TargetInstancesPush::new(self.targets_push(known));
+        self.post(from, PeerMessage::TargetInstancesPush(instances));
     }
 
     pub(super) fn target_versions_pulled(&mut self, from: &VmId, known: ObjectVersion) {
@@ -108,7 +109,7 @@
             self.refresh_discovered();
             return;
         }
-        self.actions.push(NodeAction::Note(NodeNote::TargetListLate { at, known }));
+        self.actions.push(NodeAction::Note(NodeNote::StaleTargetList { at, known }));
     }
 
     pub(super) fn targets_changed(
@@ -128,9 +129,10 @@
     }
 
     fn note_target_changes(&mut self) {
-        let changes = self.targets.take_instance_changes().into_iter().map(NodeNote::TargetLife);
+        let changes =
+            self.targets.take_instance_changes().into_iter().map(NodeNote::TargetInstance);
         self.actions.extend(changes.map(NodeAction::Note));
-        let removed = self.targets.take_removed().into_iter().map(NodeNote::TargetGone);
+        let removed = self.targets.take_removed().into_iter().map(NodeNote::TargetRemoved);
         self.actions.extend(removed.map(NodeAction::Note));
         self.review_lethal();
     }
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -10,7 +10,7 @@
     RequestId, RetryReason,
 };
 use curlewcleat_sched::{
-    rate_advice, EntryAction, RatePart, RateTurn, ReplacementStep, RequestSpec,
+    rate_retry_after, EntryAction, RateRole, RateShare, ReplacementStep, RequestSpec,
 };
 
 use super::{cached_order, Node};
@@ -84,29 +84,29 @@
     /// unresponsive, there may be capacity once another daemon has taken over.
     pub(super) fn rate_refusal(&self, request: &PermitRequest, wait: Duration) -> Refusal {
         let (reason, wait) = match self.own_rate_role(&request.pool) {
-            RateTurn::Leader => (RefusalReason::AccountRate, wait),
+            RateRole::Leader => (RefusalReason::AccountRate, wait),
             _ => (RefusalReason::RateUnknown, wait.min(self.options.members.suspect_after)),
         };
-        let advice = rate_advice(request.permit, wait, request.time_left);
+        let advice = rate_retry_after(request.permit, wait, request.time_left);
         Refusal::not_run(reason, Some(advice))
     }
 
     /// Returns the share of the common rates that this daemon grants for a pool.
-    pub(super) fn rate_share(&self, pool: &str) -> RatePart {
+    pub(super) fn rate_share(&self, pool: &str) -> RateShare {
         match self.own_rate_role(pool) {
-            RateTurn::Leader => self.members.reached_part(self.now),
+            RateRole::Leader => self.members.reached_share(self.now),
             // Another daemon grants the rates; this one was asked because that one seems unresponsive.
-            turn => RatePart { reached: 1, all: self.members.fleet_size(), turn },
+            role => RateShare { reached: 1, all: self.members.fleet_size(), role },
         }
     }
 
     /// Returns whether this daemon is first, second or later in the order of schedulers of a pool.
-    fn own_rate_role(&self, pool: &str) -> RateTurn {
+    fn own_rate_role(&self, pool: &str) -> RateRole {
         let order = self.scheduler_orders.get(pool).map_or(&[][..], Vec::as_slice);
         match order.iter().position(|daemon| *daemon == self.options.me) {
-            Some(0) => RateTurn::Leader,
-            Some(1) => RateTurn::Deputy,
-            _ => RateTurn::Other,
+            Some(0) => RateRole::Leader,
+            Some(1) => RateRole::Deputy,
+            _ => RateRole::Other,
         }
     }
 
@@ -165,7 +165,7 @@
         let leaving = self.discovered.iter().any(|known| known.leaving && known.entry.id == target);
         let mut pools = config.pools.iter();
         let known = pools.find_map(|(id, pool)| Some((id, pool.targets.get(target)?)));
-        if known.is_some_and(|(pool, entry)| self.is_shut(pool, entry)) {
+        if known.is_some_and(|(pool, entry)| self.is_blocked(pool, entry)) {
             // The version was rolled back or replaced since the permit was granted.
             return self.attempt_not_run(
                 permit.request,
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -2,8 +2,8 @@
 //!
 //! The daemon that schedules decides. Daemons that read the platform pass it the orders, all daemons pass it the
 //! answers of the targets, and it reports the stage of each order to all of them. Every grant passes
-//! [`Node::is_shut`] before it is used, so that a grant that was given earlier, or by a scheduler that knows less, is
-//! discarded.
+//! [`Node::is_blocked`] before it is used, so that a grant that was given earlier, or by a scheduler that knows less,
+//! is discarded.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`PoolVersions`] for the rules.
 
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    ObjectVersion, PeerMessage, PoolId, RolloutNews, RolloutRecord, RolloutStage, RolloutWrite,
+    ObjectVersion, PeerMessage, PoolId, RolloutRecord, RolloutReport, RolloutStage, RolloutWrite,
     TargetEntry, Uptime, VmId,
 };
 use curlewcleat_sched::{
-    PoolRollout, PoolVersions, RateTurn, RolloutLimits, RolloutReason, RolloutSight, RolloutStep,
-    ToldVersion,
+    PoolRollout, PoolVersions, RateRole, ReportedVersion, RolloutLimits, RolloutReason,
+    RolloutStep, RolloutView,
 };
 
 use self::answers::ObservedAnswers;
@@ -45,25 +45,26 @@
     observed: BTreeMap<PoolId, ObservedAnswers>,
     last_answer_report: Uptime,
     last_stage_report: Uptime,
-    leads_since: Option<Uptime>,
+    deciding_since: Option<Uptime>,
 }
 
 impl Node {
     /// Returns whether the answers of a pool's targets have to be recorded.
-    pub(super) fn is_rolled_out(&self, pool: &str) -> bool {
+    pub(super) fn has_rollout(&self, pool: &str) -> bool {
         self.rollouts.pools.get(pool).is_some_and(PoolVersions::is_under_way)
     }
 
     /// Returns whether a target gets no requests because its version was rolled back or is being replaced.
-    pub(super) fn is_shut(&self, pool: &str, target: &TargetEntry) -> bool {
-        self.rollouts.pools.get(pool).is_some_and(|versions| versions.is_shut(&target.version))
+    pub(super) fn is_blocked(&self, pool: &str, target: &TargetEntry) -> bool {
+        self.rollouts.pools.get(pool).is_some_and(|versions| versions.is_blocked(&target.version))
     }
 
-    /// Returns the same as [`Node::is_shut`] for a target of which only the name is known.
+    /// Returns the same as [`Node::is_blocked`] for a target of which only the name is known.
     pub(super) fn is_shut_target(&self, target: &str) -> bool {
         let mut pools = self.active.pools.iter();
-        pools
-            .any(|(id, pool)| pool.targets.get(target).is_some_and(|entry| self.is_shut(id, entry)))
+        pools.any(|(id, pool)| {
+            pool.targets.get(target).is_some_and(|entry| self.is_blocked(id, entry))
+        })
     }
 
     /// Applies the complete list of orders that the platform shows at revision `at`.
@@ -81,7 +82,7 @@
         let mut changed = false;
         for (pool, versions) in &mut self.rollouts.pools {
             if !records.iter().any(|record| record.order.pool == *pool) {
-                changed |= versions.order_absent(at);
+                changed |= versions.remove_missing_order(at);
             }
         }
         for record in records {
@@ -90,7 +91,7 @@
                 continue;
             }
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
-            if versions.order_shown(now, &record) {
+            if versions.merge_record(now, &record) {
                 changed = true;
                 self.note_rollout_stage(&record.order.pool, None);
             }
@@ -99,13 +100,13 @@
     }
 
     /// Applies a peer's report of the stage of an order.
-    pub(super) fn rollout_report_received(&mut self, report: &RolloutNews) {
+    pub(super) fn rollout_report_received(&mut self, report: &RolloutReport) {
         let pool = &report.order.pool;
         if self.options.rollout.is_none() || !self.active.pools.contains_key(pool) {
             return;
         }
         let versions = self.rollouts.pools.entry(pool.clone()).or_default();
-        if versions.order_told(self.now, report) {
+        if versions.merge_report(self.now, report) {
             self.note_rollout_stage(pool, None);
             self.apply_version_changes(true);
         }
@@ -120,8 +121,8 @@
             self.report_answers();
         }
         let leads = self.all_pools_order.first() == Some(&self.options.me);
-        self.rollouts.leads_since = match leads {
-            true => Some(self.rollouts.leads_since.unwrap_or(self.now)),
+        self.rollouts.deciding_since = match leads {
+            true => Some(self.rollouts.deciding_since.unwrap_or(self.now)),
             false => None,
         };
         let pools: Vec<PoolId> = self.rollouts.pools.keys().cloned().collect();
@@ -149,33 +150,33 @@
 
     /// Decides the next step of a pool's order, if this daemon is the one that decides.
     fn step_rollout(&mut self, pool: &PoolId, limits: RolloutLimits) {
-        let leads_since = self.rollouts.leads_since;
-        let decides = self.rate_share(pool).turn == RateTurn::Leader;
+        let deciding_since = self.rollouts.deciding_since;
+        let decides = self.rate_share(pool).role == RateRole::Leader;
         let versions = self.rollouts.pools.get(pool).and_then(PoolVersions::rollout);
-        let open = versions.filter(|rollout| !rollout.is_kept());
-        let (Some(leads_since), Some(rollout), true) = (leads_since, open, decides) else {
+        let open = versions.filter(|rollout| !rollout.is_stored());
+        let (Some(deciding_since), Some(rollout), true) = (deciding_since, open, decides) else {
             return self.pool(pool).end_trial();
         };
         let version = rollout.order().version.clone();
         let (begun, on_trial) = (rollout.begun(), rollout.is_on_trial());
         let scheduler = self.pool(pool);
         match on_trial {
-            true => scheduler.begin_trial(limits, leads_since <= begun),
+            true => scheduler.begin_trial(limits, deciding_since <= begun),
             false => scheduler.end_trial(),
         }
         let (targets, others) = scheduler.targets_by_version(&version);
-        let sight = RolloutSight {
-            leads_since,
+        let view = RolloutView {
+            deciding_since,
             targets,
             others,
-            others_in_flight: scheduler.in_flight_beside(&version),
+            others_in_flight: scheduler.in_flight_at_other_versions(&version),
             requests: scheduler.trial().map_or(u64::MAX, |trial| trial.granted()),
             slack: limits.slack,
         };
         let now = self.now;
         let versions = self.rollouts.pools.get_mut(pool);
         let step =
-            versions.and_then(PoolVersions::rollout_mut).and_then(|known| known.step(now, &sight));
+            versions.and_then(PoolVersions::rollout_mut).and_then(|known| known.step(now, &view));
         match step {
             Some(RolloutStep::Stage(_, reason)) => self.stage_decided(pool, reason),
             Some(RolloutStep::Write(stage)) => self.write_rollout(pool, stage),
@@ -185,7 +186,7 @@
 
     fn stage_decided(&mut self, pool: &PoolId, reason: RolloutReason) {
         if let Some(versions) = self.rollouts.pools.get_mut(pool) {
-            versions.settle_stage(true);
+            versions.apply_stage(true);
         }
         self.note_rollout_stage(pool, Some(reason));
         self.apply_version_changes(true);
@@ -208,17 +209,17 @@
     fn send_rollout_reports(&mut self) {
         let now = self.now;
         let due = |rollout: &&PoolRollout| {
-            !rollout.stage().is_final() || now < rollout.staged() + ENDED_ROLLOUT_REPORT_TIME
+            !rollout.stage().is_final() || now < rollout.stage_since() + ENDED_ROLLOUT_REPORT_TIME
         };
         let known = self.rollouts.pools.values().filter_map(PoolVersions::rollout).filter(due);
-        let reports: Vec<RolloutNews> = known.map(|rollout| rollout.news(now)).collect();
+        let reports: Vec<RolloutReport> = known.map(|rollout| rollout.report(now)).collect();
         if reports.is_empty() {
             return;
         }
         let live = self.members.peers().iter().filter(|(_, peer)| peer.live);
         for vm in live.map(|(vm, _)| vm.clone()).collect::<Vec<VmId>>() {
             for report in &reports {
-                self.post(&vm, PeerMessage::RolloutNews(report.clone()));
+                self.post(&vm, PeerMessage::RolloutReport(report.clone()));
             }
         }
     }
@@ -235,7 +236,7 @@
         if self.options.rollout.is_none() {
             return false;
         }
-        let mut shown: BTreeMap<PoolId, BTreeMap<ToldVersion, usize>> = BTreeMap::new();
+        let mut shown: BTreeMap<PoolId, BTreeMap<ReportedVersion, usize>> = BTreeMap::new();
         for target in &self.discovered {
             if self.store.active().pools.contains_key(&target.pool) {
                 let versions = shown.entry(target.pool.clone()).or_default();
@@ -260,7 +261,7 @@
     pub(super) fn apply_versions(&mut self) {
         for (pool, versions) in &self.rollouts.pools {
             if let Some(scheduler) = self.pools.get_mut(pool) {
-                scheduler.keep_versions(versions);
+                scheduler.apply_version_access(versions);
             }
         }
     }
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -1,6 +1,6 @@
 //! Performs the planned stop.
 //!
-//! Owns: nothing; these are methods of `Node`. Relies on: `DrainState` for when to end, `KeyHome` for the key records
+//! Owns: nothing; these are methods of `Node`. Relies on: `DrainState` for when to end, `KeyHolder` for the key records
 //! that are handed over to other daemons.
 
 use std::time::Duration;
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -57,7 +57,9 @@
     fn note_waiting(&mut self) {
         let waiting = self.pools.iter().filter(|(_, pool)| pool.waiting() > 0);
         let notes: Vec<NodeAction> = waiting
-            .map(|(id, pool)| NodeAction::Note(NodeNote::PoolWaits(self.pool_status(id, pool))))
+            .map(|(id, pool)| {
+                NodeAction::Note(NodeNote::PoolQueueStatus(self.pool_status(id, pool)))
+            })
             .collect();
         self.actions.extend(notes);
     }
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -6,7 +6,7 @@
 use curlewcleat_sched::{PoolScheduler, UrgencyFlow};
 
 use super::Node;
-use crate::status::{GrantedPart, NodeStatus, PoolStatus, TargetStatus};
+use crate::status::{GrantedShare, NodeStatus, PoolStatus, TargetStatus};
 
 impl Node {
     /// Returns the status for operators.
@@ -59,10 +59,10 @@
     }
 }
 
-fn granted_shares(pool: &PoolScheduler) -> Vec<GrantedPart> {
+fn granted_shares(pool: &PoolScheduler) -> Vec<GrantedShare> {
     let share = |((tier, urgency), flow): (_, &UrgencyFlow)| {
         let percent = flow.granted_percent();
-        GrantedPart { tier, urgency, percent }
+        GrantedShare { tier, urgency, percent }
     };
     pool.flows().all().map(share).collect()
 }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -34,7 +34,7 @@
 
 /// The share of the requested work of one urgency that was granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GrantedPart {
+pub struct GrantedShare {
     /// Rank of the tier.
     pub tier: TierRank,
     /// Rank of the rules.
@@ -43,7 +43,7 @@
     pub percent: u64,
 }
 
-impl fmt::Display for GrantedPart {
+impl fmt::Display for GrantedShare {
     fn fmt(&self, form: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(form, "{}/{}:{}", self.tier, self.urgency, self.percent)
     }
@@ -61,7 +61,7 @@
     /// Waiting requests that can no longer start in time.
     pub late: usize,
     /// The share of the requested work that was granted here recently, for each urgency of each tier.
-    pub granted: Vec<GrantedPart>,
+    pub granted: Vec<GrantedShare>,
     /// Permits given here and in use.
     pub in_flight: usize,
     /// Lowest tier that is admitted here, `None` for all.
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -11,11 +11,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use curlewcleat_core::{
-    DiscoveredTarget, LifeOrder, ObjectVersion, TargetChange, TargetId, TargetLife, TargetStart,
-    TargetsContent,
+    DiscoveredTarget, InstanceOrder, ObjectVersion, TargetChange, TargetId, TargetInstance,
+    TargetStart, TargetsContent,
 };
 
-use crate::ended_instances::EndedLives;
+use crate::ended_instances::EndedInstances;
 
 /// Number of changes that are kept for peers.
 const LOG_LENGTH: usize = 256;
@@ -33,7 +33,7 @@
 
 /// A list entry that stated another instance of its target than the known one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LifeNews {
+pub struct InstanceChange {
     /// The target.
     pub target: TargetId,
     /// The start that the list entry stated.
@@ -42,7 +42,7 @@
     pub known: TargetStart,
 }
 
-impl LifeNews {
+impl InstanceChange {
     /// Returns whether the list entry was one of an earlier instance and was ignored; otherwise the target has
     /// restarted.
     pub fn is_late(&self) -> bool {
@@ -52,7 +52,7 @@
 
 /// A target whose list entry was removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GoneTarget {
+pub struct RemovedTarget {
     /// The target.
     pub target: TargetId,
     /// Whether the target had announced that it leaves; one that had not has most likely terminated without notice.
@@ -66,9 +66,9 @@
     /// Targets that vanished while the platform failed. They may have lost their list entry without having
     /// terminated, and are used until they are listed again or the platform has settled.
     missing: BTreeMap<TargetId, DiscoveredTarget>,
-    ended: EndedLives,
-    instance_changes: Vec<LifeNews>,
-    removed: Vec<GoneTarget>,
+    ended: EndedInstances,
+    instance_changes: Vec<InstanceChange>,
+    removed: Vec<RemovedTarget>,
     at: ObjectVersion,
     /// Revision from which the log is complete.
     log_from: ObjectVersion,
@@ -97,9 +97,11 @@
     }
 
     /// Returns whether the platform lists a target instance, or would if it had not failed.
-    pub fn shows(&self, life: &TargetLife) -> bool {
-        let known = self.listed.get(&life.id).or_else(|| self.missing.get(&life.id));
-        known.is_some_and(|known| LifeOrder::of(life.start, known.entry.start) == LifeOrder::Same)
+    pub fn shows(&self, instance: &TargetInstance) -> bool {
+        let known = self.listed.get(&instance.id).or_else(|| self.missing.get(&instance.id));
+        known.is_some_and(|known| {
+            InstanceOrder::of(instance.start, known.entry.start) == InstanceOrder::Same
+        })
     }
 
     /// Returns whether a target has announced that it leaves.
@@ -171,12 +173,12 @@
     }
 
     /// Returns the changed instances that list entries stated since the last call.
-    pub fn take_instance_changes(&mut self) -> Vec<LifeNews> {
+    pub fn take_instance_changes(&mut self) -> Vec<InstanceChange> {
         std::mem::take(&mut self.instance_changes)
     }
 
     /// Returns the targets whose list entries were removed since the last call.
-    pub fn take_removed(&mut self) -> Vec<GoneTarget> {
+    pub fn take_removed(&mut self) -> Vec<RemovedTarget> {
         std::mem::take(&mut self.removed)
     }
 
@@ -209,22 +211,22 @@
         let known = listed.as_ref().or_else(|| self.missing.get(&id));
         let start = known.and_then(|known| known.entry.start);
         let latest = start.max(self.ended.latest(&id));
-        let order = LifeOrder::of(stated.entry.start, latest);
+        let order = InstanceOrder::of(stated.entry.start, latest);
         if let (Some((stated, known)), true) =
-            (stated.entry.start.zip(latest), order != LifeOrder::Same)
+            (stated.entry.start.zip(latest), order != InstanceOrder::Same)
         {
-            self.instance_changes.push(LifeNews { target: id.clone(), stated, known });
+            self.instance_changes.push(InstanceChange { target: id.clone(), stated, known });
         }
         match order {
-            LifeOrder::Earlier => {
+            InstanceOrder::Earlier => {
                 self.listed.extend(listed.map(|listed| (id, listed)));
                 return;
             }
-            LifeOrder::Same => {
+            InstanceOrder::Same => {
                 stated.leaving |= known.is_some_and(|known| known.leaving);
                 stated.entry.start = stated.entry.start.or(start);
             }
-            LifeOrder::Later => {}
+            InstanceOrder::Later => {}
         }
         self.missing.remove(&id);
         self.listed.insert(id, stated);
@@ -232,7 +234,7 @@
 
     fn remove_entry(&mut self, id: TargetId, target: DiscoveredTarget, uncertain: bool) {
         self.ended.record(&id, target.entry.start);
-        self.removed.push(GoneTarget { target: id.clone(), left: target.leaving });
+        self.removed.push(RemovedTarget { target: id.clone(), left: target.leaving });
         if uncertain && !target.leaving {
             self.missing.insert(id, target);
         }
--- a/crates/node/tests/hand_over.rs
+++ b/crates/node/tests/hand_over.rs
@@ -21,7 +21,7 @@
     let mut fleet = Fleet::new(2);
     let me = DaemonId { vm: "vm-0".to_string(), incarnation: 1 };
     let peer = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
-    let table = KeyTable::deal(4, std::slice::from_ref(&me));
+    let table = KeyTable::distribute(4, std::slice::from_ref(&me));
     fleet.event(0, NodeEvent::TableRead(Some((1, table))));
     for number in 0..KEYS {
         let key = IdempotencyKey::from(format!("0190{number:028x}"));
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, DaemonId, DiscoveredTarget, PeerFrame, PeerMessage, Refusal, RefusalReason,
-    RequestBreak, RequestDigest, RequestIdentity, SuspectReport, SuspectsPull, SuspectsPush,
-    TargetLife,
+    DaemonId, DiscoveredTarget, InterruptionKind, PeerFrame, PeerMessage, Refusal, RefusalReason,
+    RequestDigest, RequestIdentity, RequestInterruption, SuspectReport, SuspectsPull, SuspectsPush,
+    TargetInstance,
 };
 use curlewcleat_node::{CallerDecision, NodeAction, NodeEvent};
 use curlewcleat_sched::RequestSpec;
@@ -26,13 +26,17 @@
     RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: b"lethal" }.digest()
 }
 
-fn life(id: &str) -> TargetLife {
-    TargetLife { id: id.to_string(), start: None }
+fn instance(id: &str) -> TargetInstance {
+    TargetInstance { id: id.to_string(), start: None }
 }
 
 fn interruption_event(id: &str) -> NodeEvent {
-    let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
-    NodeEvent::BrokeOff(digest(), interruption)
+    let interruption = RequestInterruption {
+        instance: instance(id),
+        kind: InterruptionKind::Closed,
+        begun: false,
+    };
+    NodeEvent::RequestInterrupted(digest(), interruption)
 }
 
 fn ids(count: usize) -> Vec<String> {
@@ -228,8 +232,12 @@
             caller: "a",
             body: &[number as u8],
         };
-        let interruption = RequestBreak { life: life(id), kind: BreakKind::Closed, begun: false };
-        fleet.event(number % 3, NodeEvent::BrokeOff(identity.digest(), interruption));
+        let interruption = RequestInterruption {
+            instance: instance(id),
+            kind: InterruptionKind::Closed,
+            begun: false,
+        };
+        fleet.event(number % 3, NodeEvent::RequestInterrupted(identity.digest(), interruption));
     }
     expire_entries(&mut fleet, 12);
     fleet.run(SPREAD_LIMIT);
@@ -425,12 +433,24 @@
     let mut fleet = fleet_of(3);
     let now = fleet.now;
     for number in 0..300 {
-        let interruption = RequestBreak { life: life("t0"), kind: BreakKind::Closed, begun: false };
-        fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(number), interruption));
+        let interruption = RequestInterruption {
+            instance: instance("t0"),
+            kind: InterruptionKind::Closed,
+            begun: false,
+        };
+        fleet.daemons[0].node.handle(
+            now,
+            now,
+            NodeEvent::RequestInterrupted(many(number), interruption),
+        );
     }
     // One of the last requests is interrupted twice.
-    let interruption = RequestBreak { life: life("t1"), kind: BreakKind::Closed, begun: false };
-    fleet.daemons[0].node.handle(now, now, NodeEvent::BrokeOff(many(299), interruption));
+    let interruption = RequestInterruption {
+        instance: instance("t1"),
+        kind: InterruptionKind::Closed,
+        begun: false,
+    };
+    fleet.daemons[0].node.handle(now, now, NodeEvent::RequestInterrupted(many(299), interruption));
     let mut ask = |known| answer_to_pull(&mut fleet, known);
     let first = ask(0);
     let sent: Vec<RequestDigest> = first.requests.iter().map(|report| report.digest).collect();
--- a/crates/node/tests/nodes.rs
+++ b/crates/node/tests/nodes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{ConfigBundle, DaemonId, Refusal, RefusalReason, RequestId};
-use curlewcleat_keys::KeyHomeOptions;
+use curlewcleat_keys::KeyHolderOptions;
 use curlewcleat_node::{CallerDecision, Node, NodeAction, NodeEvent, NodeOptions};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RequestSpec};
 
@@ -24,7 +24,7 @@
             capacity: 100,
             started: 0,
         },
-        keys: KeyHomeOptions::default(),
+        keys: KeyHolderOptions::default(),
         key_slots: 4,
         entry: EntryOptions::default(),
         rate_margin: curlewcleat_sched::RateMargin::default(),
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, LimitNotice, NoticeReport, RequestBreak, RequestId, RequestIdentity, RequestRate,
-    RetryReason, TargetLife, TargetNotice,
+    InterruptionKind, LimitNotice, NoticeReport, RequestId, RequestIdentity, RequestInterruption,
+    RequestRate, RetryReason, TargetInstance, TargetNotice,
 };
 use curlewcleat_node::{CallerDecision, NodeEvent};
-use curlewcleat_sched::{HeardNotice, RequestSpec, TargetGate};
+use curlewcleat_sched::{ReceivedNotice, RequestSpec, TargetGate};
 use rstest::rstest;
 
 use support::{mixed_fleet_daemon, spec, target, Fleet};
@@ -38,8 +38,8 @@
     notice: TargetNotice,
 }
 
-fn life() -> TargetLife {
-    TargetLife { id: "x".to_string(), start: None }
+fn instance() -> TargetInstance {
+    TargetInstance { id: "x".to_string(), start: None }
 }
 
 impl LimitedFleet {
@@ -88,15 +88,16 @@
     fn send(&mut self, id: RequestId) {
         let (now, index) = (self.fleet.now, (id.as_u128() % 1_000) as usize);
         let gate = self.gates.entry(index).or_default();
-        if gate.pass(now, &life()).is_some() {
+        if gate.pass(now, &instance()).is_some() {
             let end = curlewcleat_core::AttemptEnd::Unused;
             let stopped = NodeEvent::NotRun(id, end, RetryReason::TargetUnwilling);
             return self.fleet.event(index, stopped);
         }
         self.arrived.push(now);
-        let news = gate.heard(now, &life(), &HeardNotice { sent: now, notice: self.notice });
-        if news.tell {
-            self.fleet.event(index, NodeEvent::TargetSaid("p".to_string(), news.report));
+        let change =
+            gate.heard(now, &instance(), &ReceivedNotice { sent: now, notice: self.notice });
+        if change.tell {
+            self.fleet.event(index, NodeEvent::NoticeReceived("p".to_string(), change.report));
         }
         self.fleet.finish(index, id.as_u128());
     }
@@ -213,8 +214,8 @@
 fn leaving_notice_received_by_one_daemon_applies_to_all() {
     let mut fleet = Fleet::new(6);
     let non_candidate = 5;
-    let leaving = NoticeReport { life: life(), leaving: true, rest: None, limit: None };
-    fleet.event(non_candidate, NodeEvent::TargetSaid("p".to_string(), leaving));
+    let leaving = NoticeReport { instance: instance(), leaving: true, rest: None, limit: None };
+    fleet.event(non_candidate, NodeEvent::NoticeReceived("p".to_string(), leaving));
     for number in 0..40 {
         let index = (number % 6) as usize;
         fleet.admit(index, number);
@@ -226,8 +227,9 @@
     }
     let identity =
         RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: b"ends" };
-    let interruption = RequestBreak { life: life(), kind: BreakKind::Closed, begun: false };
-    fleet.event(fleet.leader(), NodeEvent::BrokeOff(identity.digest(), interruption));
+    let interruption =
+        RequestInterruption { instance: instance(), kind: InterruptionKind::Closed, begun: false };
+    fleet.event(fleet.leader(), NodeEvent::RequestInterrupted(identity.digest(), interruption));
     let suspects = fleet.daemons[fleet.leader()].node.status().suspects;
     assert_eq!(suspects, [], "the planned end of a leaving target is ignored");
 }
--- a/crates/node/tests/rollouts.rs
+++ b/crates/node/tests/rollouts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AnswerSample, AnswerSight, DiscoveredTarget, RequestId, RolloutStage, RolloutWrite,
+    AnswerObservation, AnswerSample, DiscoveredTarget, RequestId, RolloutStage, RolloutWrite,
 };
 use curlewcleat_node::{CallerDecision, NodeEvent};
 use curlewcleat_sched::RequestSpec;
@@ -94,18 +94,18 @@
         } else {
             self.old.push(now)
         }
-        let sight = match is_new && self.is_faulty {
-            true => AnswerSight::Failed,
-            false => AnswerSight::Begun(Duration::from_millis(20)),
+        let observation = match is_new && self.is_faulty {
+            true => AnswerObservation::Failed,
+            false => AnswerObservation::Begun(Duration::from_millis(20)),
         };
         let sample = AnswerSample {
             rule: "r".to_string(),
             target: target.to_string(),
             version,
             work: 10_000,
-            sight,
+            observation,
         };
-        self.fleet.event(index, NodeEvent::AnswerSeen("p".to_string(), Box::new(sample)));
+        self.fleet.event(index, NodeEvent::AnswerObserved("p".to_string(), Box::new(sample)));
         self.fleet.finish(index, id.as_u128());
     }
 
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -198,7 +198,7 @@
         let Some(record) = known.filter(|record| record.revision == write.revision) else { return };
         *at += 1;
         record.revision = *at;
-        record.noted = true;
+        record.has_status = true;
         record.ended = Some(write.stage).filter(|stage| stage.is_final());
     }
 
@@ -209,7 +209,8 @@
         let order =
             RolloutOrder { pool: "p".to_string(), version: version.to_string(), time: Some(time) };
         let name = "p".to_string();
-        *records = vec![RolloutRecord { name, order, ended: None, noted: false, revision: *at }];
+        *records =
+            vec![RolloutRecord { name, order, ended: None, has_status: false, revision: *at }];
     }
 
     fn rollouts_listed(&self) -> NodeEvent {
--- a/crates/node/tests/support/parts.rs
+++ b/crates/node/tests/support/parts.rs
@@ -5,7 +5,7 @@
 use curlewcleat_core::{
     DaemonId, DaemonRecord, DiscoveredTarget, Heartbeat, RequestId, TargetEntry,
 };
-use curlewcleat_keys::KeyHomeOptions;
+use curlewcleat_keys::KeyHolderOptions;
 use curlewcleat_node::{FreshnessLimits, Node, NodeEvent, NodeOptions, ReadRole};
 use curlewcleat_sched::{EntryOptions, MemberOptions, RequestSpec, RolloutLimits};
 
@@ -94,7 +94,7 @@
             capacity: 100,
             started: 0,
         },
-        keys: KeyHomeOptions::default(),
+        keys: KeyHolderOptions::default(),
         key_slots: 0,
         entry: EntryOptions {
             answer_timeout: Duration::from_millis(30),
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -8,7 +8,9 @@
     AttemptEnd, DiscoveredTarget, PeerFrame, PeerMessage, TargetChange, TargetStart,
     TargetsContent, TargetsPush,
 };
-use curlewcleat_node::{CallerDecision, LifeNews, NodeAction, NodeEvent, TargetView, ViewUpdate};
+use curlewcleat_node::{
+    CallerDecision, InstanceChange, NodeAction, NodeEvent, TargetView, ViewUpdate,
+};
 
 use support::{target, Fleet};
 
@@ -20,11 +22,11 @@
 }
 
 /// Returns the id, the start and whether it leaves, for each target in use.
-fn lives(view: &TargetView) -> Vec<(String, Option<u64>, bool)> {
-    let life = |target: DiscoveredTarget| {
+fn instances(view: &TargetView) -> Vec<(String, Option<u64>, bool)> {
+    let instance = |target: DiscoveredTarget| {
         (target.entry.id, target.entry.start.map(|start| start.0), target.leaving)
     };
-    view.targets().into_iter().map(life).collect()
+    view.targets().into_iter().map(instance).collect()
 }
 
 fn present(target: DiscoveredTarget) -> Vec<TargetChange> {
@@ -42,25 +44,25 @@
 #[test]
 fn instance_change_is_reported_once() {
     let mut view = view_of_second_instance();
-    let news = |told, known| {
-        let (told, known) = (TargetStart(told), TargetStart(known));
-        [LifeNews { target: "a".to_string(), stated: told, known }]
+    let changes = |stated, known| {
+        let (stated, known) = (TargetStart(stated), TargetStart(known));
+        [InstanceChange { target: "a".to_string(), stated, known }]
     };
-    assert_eq!(view.take_instance_changes(), news(20, 10));
+    assert_eq!(view.take_instance_changes(), changes(20, 10));
     view.apply_changes(2, present(started("a", 20, true)), 3, false);
     assert_eq!(view.take_instance_changes(), []);
     view.apply_changes(3, present(started("a", 10, true)), 4, false);
-    assert_eq!(view.take_instance_changes(), news(10, 20));
+    assert_eq!(view.take_instance_changes(), changes(10, 20));
 }
 
 /// A target that left was never used again, since its id was taken for a single start of its process.
 #[test]
 fn target_that_left_is_used_after_a_restart() {
-    assert_eq!(lives(&view_of_second_instance()), [("a".to_string(), Some(20), false)]);
+    assert_eq!(instances(&view_of_second_instance()), [("a".to_string(), Some(20), false)]);
     let mut listed = TargetView::default();
     listed.apply_list(vec![started("a", 10, true)], 1, false);
     listed.apply_list(vec![started("a", 20, false)], 2, false);
-    assert_eq!(lives(&listed), [("a".to_string(), Some(20), false)]);
+    assert_eq!(instances(&listed), [("a".to_string(), Some(20), false)]);
 }
 
 #[test]
@@ -71,7 +73,7 @@
         let mut late = target("a", false);
         late.entry.start = start;
         view.apply_changes(1, present(late), 2, false);
-        assert_eq!(lives(&view), [("a".to_string(), Some(10), true)]);
+        assert_eq!(instances(&view), [("a".to_string(), Some(10), true)]);
     }
 }
 
@@ -80,11 +82,11 @@
     let known = [("a".to_string(), Some(20), false)];
     let mut view = view_of_second_instance();
     view.apply_changes(2, present(started("a", 10, true)), 3, false);
-    assert_eq!(lives(&view), known, "a watch");
+    assert_eq!(instances(&view), known, "a watch");
     view.apply_list(vec![started("a", 10, true)], 4, false);
-    assert_eq!(lives(&view), known, "a list");
+    assert_eq!(instances(&view), known, "a list");
     view.apply_changes(4, present(target("a", false)), 5, false);
-    assert_eq!(lives(&view), known, "a peer that reports no start");
+    assert_eq!(instances(&view), known, "a peer that reports no start");
 }
 
 #[test]
@@ -92,12 +94,12 @@
     let mut view = view_of_second_instance();
     view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, false);
     view.apply_changes(3, present(started("a", 10, false)), 4, false);
-    assert_eq!(lives(&view), []);
+    assert_eq!(instances(&view), []);
     view.apply_list(vec![started("a", 10, false)], 5, false);
-    assert_eq!(lives(&view), []);
+    assert_eq!(instances(&view), []);
     view.apply_changes(5, present(started("a", 20, false)), 6, false);
     assert_eq!(
-        lives(&view),
+        instances(&view),
         [("a".to_string(), Some(20), false)],
         "the later instance was only unlisted"
     );
@@ -119,11 +121,11 @@
     let mut view = view_of_second_instance();
     view.apply_changes(2, vec![TargetChange::Gone("a".to_string())], 3, true);
     view.apply_changes(3, present(started("a", 10, false)), 4, true);
-    assert_eq!(lives(&view), [("a".to_string(), Some(20), false)]);
+    assert_eq!(instances(&view), [("a".to_string(), Some(20), false)]);
     view.settle();
-    assert_eq!(lives(&view), []);
+    assert_eq!(instances(&view), []);
     view.apply_changes(4, present(started("a", 10, false)), 5, false);
-    assert_eq!(lives(&view), []);
+    assert_eq!(instances(&view), []);
 }
 
 #[test]
@@ -133,7 +135,7 @@
     peer.apply_list(vec![started("a", 10, true)], 1, false);
     let TargetsContent::Since(from, changes) = view.since(1) else { panic!("a list") };
     assert_eq!(peer.apply_changes(from, changes, view.at(), false), ViewUpdate::Applied);
-    assert_eq!(lives(&peer), lives(&view));
+    assert_eq!(instances(&peer), instances(&view));
 }
 
 /// Only the daemons that read the platform see a start; the others schedule and send by what these report.
@@ -173,13 +175,13 @@
         for action in fleet.daemons[0].node.handle(now, now, event) {
             let NodeAction::Send(_, frame) = action else { continue };
             pulls.extend(frame.messages.into_iter().filter(|message| {
-                let new = matches!(message, PeerMessage::TargetLivesPull(_));
+                let new = matches!(message, PeerMessage::TargetInstancesPull(_));
                 new || matches!(message, PeerMessage::TargetsPull(_))
             }));
         }
         now += Duration::from_secs(1);
     }
-    assert_eq!(pulls[0], PeerMessage::TargetLivesPull(1));
+    assert_eq!(pulls[0], PeerMessage::TargetInstancesPull(1));
     assert!(pulls.contains(&PeerMessage::TargetsPull(1)), "{pulls:?}");
     let content = TargetsContent::All(vec![target("z", false)]);
     let push = PeerMessage::TargetsPush(TargetsPush { content, at: 50 });
--- a/crates/peers/src/activity.rs
+++ b/crates/peers/src/activity.rs
@@ -17,7 +17,7 @@
 //! A peer from which no answer is pending ([`PendingAnswers`](crate::PendingAnswers)) may send nothing although its
 //! connection works.
 //!
-//! Owns: [`PeerHearing`]. Relies on: heartbeats, which contain the address of their sender.
+//! Owns: [`PeerActivity`]. Relies on: heartbeats, which contain the address of their sender.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 /// The frames received from each peer.
 #[derive(Debug)]
-pub struct PeerHearing<C> {
+pub struct PeerActivity<C> {
     /// Time without a frame after which a connection is redialed.
     limit: Duration,
     /// Addresses of the peers by VM, from their heartbeats.
@@ -47,10 +47,10 @@
     received: BTreeMap<String, ReceivedFrames<C>>,
 }
 
-impl<C: PartialEq> PeerHearing<C> {
+impl<C: PartialEq> PeerActivity<C> {
     /// Creates the state in which no frame was received.
-    pub fn new(limit: Duration) -> PeerHearing<C> {
-        PeerHearing { limit, addresses: BTreeMap::new(), received: BTreeMap::new() }
+    pub fn new(limit: Duration) -> PeerActivity<C> {
+        PeerActivity { limit, addresses: BTreeMap::new(), received: BTreeMap::new() }
     }
 
     /// Records a frame that was received on a connection. A peer is known by its address once it has sent a heartbeat;
@@ -87,7 +87,7 @@
         self.received.get(address).map(|peer| peer.last)
     }
 
-    /// Like [`needs_redial`](PeerHearing::needs_redial), for a peer that need not send frames unless an answer is
+    /// Like [`needs_redial`](PeerActivity::needs_redial), for a peer that need not send frames unless an answer is
     /// pending. `pending` is the time since which one is, `None` where none is.
     pub fn needs_redial_with_pending(
         &self,
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -8,7 +8,7 @@
 mod pending;
 mod transport;
 
-pub use activity::PeerHearing;
+pub use activity::PeerActivity;
 pub use codec::{decode_frame, encode_frame, Error, Result, FRAME_LIMIT};
 pub use pending::PendingAnswers;
 pub use transport::{NngTransport, PeerTransport, TransportCounts};
--- a/crates/peers/src/pending.rs
+++ b/crates/peers/src/pending.rs
@@ -10,7 +10,7 @@
 //! frame was received within [`RECENT`], because then either both daemons send heartbeats to each other or neither
 //! does.
 //!
-//! Owns: since when an answer is pending from each peer. Relies on: `PeerHearing` for the received frames.
+//! Owns: since when an answer is pending from each peer. Relies on: `PeerActivity` for the received frames.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -69,7 +69,7 @@
         PeerMessage::Heartbeat(heartbeat) => heartbeat.answer_wanted || recent,
         PeerMessage::FreshnessQuery(_)
         | PeerMessage::TargetsPull(_)
-        | PeerMessage::TargetLivesPull(_)
+        | PeerMessage::TargetInstancesPull(_)
         | PeerMessage::PermitRequest(_)
         | PeerMessage::ShedRequest(_)
         | PeerMessage::KeyClaim(_)
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -16,7 +16,7 @@
 
 use spdlog::prelude::*;
 
-use crate::activity::PeerHearing;
+use crate::activity::PeerActivity;
 use crate::codec::{decode_frame, encode_frame, FRAME_LIMIT};
 use crate::pending::PendingAnswers;
 
@@ -56,7 +56,7 @@
     /// Received frames that cannot be decoded.
     pub unreadable: AtomicU64,
     /// Number of times that a peer was redialed.
-    pub dialed_anew: AtomicU64,
+    pub redialed: AtomicU64,
 }
 
 /// Transport over nng's publish and subscribe sockets, with one publisher per peer.
@@ -73,7 +73,7 @@
 
 /// The frames that the receiving thread has recorded. A frame whose connection is not known has `None` as its
 /// connection.
-type SharedActivity = Arc<Mutex<PeerHearing<Option<Pipe>>>>;
+type SharedActivity = Arc<Mutex<PeerActivity<Option<Pipe>>>>;
 
 /// The socket for sending frames to one peer.
 struct PeerSocket {
@@ -112,7 +112,7 @@
 
 impl NngTransport {
     /// Listens on `ip:port`. A separate thread sends the received frames to `frames`, because nng's calls must not
-    /// block the arbiter. A peer is redialed by the rules of [`PeerHearing`], with `dead_after` as the limit.
+    /// block the arbiter. A peer is redialed by the rules of [`PeerActivity`], with `dead_after` as the limit.
     ///
     /// # Errors
     /// Returns nng's error where the address cannot be bound.
@@ -127,7 +127,7 @@
         listener.set_opt::<RecvBufferSize>(RECEIVE_QUEUE)?;
         listener.set_opt::<Subscribe>(Vec::new())?;
         listener.listen(&format!("tcp://{address}"))?;
-        let activity = SharedActivity::new(Mutex::new(PeerHearing::new(dead_after)));
+        let activity = SharedActivity::new(Mutex::new(PeerActivity::new(dead_after)));
         let receiver = FrameReceiver {
             socket: listener.clone(),
             frames,
@@ -176,7 +176,7 @@
         match PeerSocket::dial(address, replaced) {
             Ok(peer) => {
                 if is_redial {
-                    self.counts.dialed_anew.fetch_add(1, Ordering::Relaxed);
+                    self.counts.redialed.fetch_add(1, Ordering::Relaxed);
                     debug!("peer_dialed_anew", kv: { address });
                 }
                 self.peers.insert(address.to_string(), peer);
@@ -236,7 +236,7 @@
 
 /// Locks the recorded frames. A poisoned lock is used as well: each change is a single step, so a thread that panicked
 /// leaves consistent state.
-fn lock_activity(activity: &SharedActivity) -> MutexGuard<'_, PeerHearing<Option<Pipe>>> {
+fn lock_activity(activity: &SharedActivity) -> MutexGuard<'_, PeerActivity<Option<Pipe>>> {
     activity.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use curlewcleat_core::{
     DaemonId, DiscoveredTarget, PeerFrame, PeerMessage, PermitId, PermitRequest, RequestId,
-    StatePull, TargetChange, TargetEntry, TargetLivesPush, TargetStart, TargetsContent,
+    StatePull, TargetChange, TargetEntry, TargetInstancesPush, TargetStart, TargetsContent,
     TargetsPush,
 };
 use curlewcleat_peers::{decode_frame, encode_frame, Error};
@@ -48,12 +48,14 @@
     let all = TargetsContent::All(vec![target("a", Some(5)), target("c", None)]);
     for content in [TargetsContent::Since(3, changes), all] {
         let push = TargetsPush { content, at: 9 };
-        let message = PeerMessage::TargetLivesPush(TargetLivesPush::new(push.clone()));
+        let message = PeerMessage::TargetInstancesPush(TargetInstancesPush::new(push.clone()));
         let from = DaemonId { vm: "vm".to_string(), incarnation: 1 };
         let frame = PeerFrame { from, messages: vec![message] };
         let mut decoded = decode_frame(&encode_frame(&frame).expect("encodes")).expect("decodes");
-        let Some(PeerMessage::TargetLivesPush(lives)) = decoded.messages.pop() else { panic!() };
-        assert_eq!(lives.into_push(), push);
+        let Some(PeerMessage::TargetInstancesPush(instances)) = decoded.messages.pop() else {
+            panic!()
+        };
+        assert_eq!(instances.into_push(), push);
     }
 }
 
--- a/crates/peers/tests/hearing.rs
+++ b/crates/peers/tests/hearing.rs
@@ -8,7 +8,7 @@
 
 use curlewcleat_clock::Moment;
 use curlewcleat_core::{DaemonId, Heartbeat, PeerFrame, PeerMessage, StatePull};
-use curlewcleat_peers::PeerHearing;
+use curlewcleat_peers::PeerActivity;
 
 const LIMIT: Duration = Duration::from_millis(1_000);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -37,7 +37,7 @@
 #[test]
 fn unresponsive_peer_is_redialed_after_the_limit() {
     let start = Moment::now();
-    let mut activity = PeerHearing::new(LIMIT);
+    let mut activity = PeerActivity::new(LIMIT);
     assert!(!activity.needs_redial(start + LIMIT / 2, PEER, start));
     assert!(activity.needs_redial(start + LIMIT, PEER, start), "no frame was ever received");
     activity.record(start + LIMIT, &heartbeat(), 1);
@@ -50,7 +50,7 @@
 #[test]
 fn every_frame_of_a_known_peer_resets_the_limit() {
     let start = Moment::now();
-    let mut activity = PeerHearing::new(LIMIT);
+    let mut activity = PeerActivity::new(LIMIT);
     let pull = PeerMessage::StatePull(StatePull { generation: 1, table: 0 });
     activity.record(start, &frame(pull.clone()), 1);
     assert!(activity.needs_redial(start + LIMIT, PEER, start), "its address is not known yet");
@@ -63,7 +63,7 @@
 #[test]
 fn peer_that_redials_is_redialed_once() {
     let start = Moment::now();
-    let mut activity = PeerHearing::new(LIMIT);
+    let mut activity = PeerActivity::new(LIMIT);
     activity.record(start, &heartbeat(), 1);
     let again = start + LIMIT + HEARTBEAT_INTERVAL;
     activity.record(again, &heartbeat(), 2);
@@ -78,7 +78,7 @@
 #[test]
 fn two_daemons_that_lost_each_other_redial_once() {
     let start = Moment::now();
-    let mut activity = PeerHearing::new(LIMIT);
+    let mut activity = PeerActivity::new(LIMIT);
     activity.record(start, &heartbeat(), 1);
     let dialed = start + LIMIT;
     assert!(activity.needs_redial(dialed, PEER, start));
@@ -95,7 +95,7 @@
 #[test]
 fn state_of_other_addresses_is_removed() {
     let start = Moment::now();
-    let mut activity = PeerHearing::new(LIMIT);
+    let mut activity = PeerActivity::new(LIMIT);
     activity.record(start + LIMIT, &heartbeat(), 1);
     activity.keep_only(&[].into());
     assert!(activity.needs_redial(start + LIMIT, PEER, start));
--- a/crates/peers/tests/owed.rs
+++ b/crates/peers/tests/owed.rs
@@ -11,7 +11,7 @@
     AttemptEnd, DaemonId, FreshnessQuery, Heartbeat, PeerFrame, PeerMessage, PermitId,
     PermitReturn, RequestId,
 };
-use curlewcleat_peers::{PeerHearing, PendingAnswers};
+use curlewcleat_peers::{PeerActivity, PendingAnswers};
 use rstest::rstest;
 
 const LIMIT: Duration = Duration::from_millis(750);
@@ -51,7 +51,7 @@
 
 /// One daemon's state of the connection to a peer.
 struct Link {
-    activity: PeerHearing<u32>,
+    activity: PeerActivity<u32>,
     pending: PendingAnswers,
     dialed: Moment,
 }
@@ -59,7 +59,7 @@
 impl Link {
     /// Creates a link that was dialed, and on which a heartbeat was received, at `at`.
     fn with_heartbeat(at: Moment) -> Link {
-        let mut activity = PeerHearing::new(LIMIT);
+        let mut activity = PeerActivity::new(LIMIT);
         activity.record(at, &heartbeat(false), 1);
         Link { activity, pending: PendingAnswers::default(), dialed: at }
     }
--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -37,7 +37,7 @@
 };
 
 use self::account::{AccountLimit, RateBucket};
-use crate::advice::{rest_retry_after, spread_advice, DEFAULT_ADVICE};
+use crate::advice::{rest_retry_after, spread_retry_after, DEFAULT_RETRY_AFTER};
 use crate::placement::target::TargetState;
 use crate::pool::{micros, PoolScheduler, SchedulerAction};
 
@@ -48,13 +48,13 @@
         now: Uptime,
         actions: &mut Vec<SchedulerAction>,
     ) {
-        let open = |target: &TargetState| target.usable(now) && !target.rests(now);
+        let open = |target: &TargetState| target.accepts_requests(now) && !target.rests(now);
         if self.targets.values().all(open) && !self.targets.is_empty() {
             return;
         }
         let without_target = self
             .queues
-            .heads(usize::MAX)
+            .candidates(usize::MAX)
             .filter(|waiting| !self.has_usable_target(now, &waiting.entry, &waiting.request));
         for permit in without_target.map(|waiting| waiting.request.permit).collect::<Vec<_>>() {
             if let Some(waiting) = self.queues.remove(&permit) {
@@ -72,7 +72,8 @@
         request: &PermitRequest,
     ) -> bool {
         self.targets.iter().any(|(id, target)| {
-            let accepts = target.usable(now) && target.rest_left(now, &entry.vm).is_none();
+            let accepts =
+                target.accepts_requests(now) && target.rest_remaining(now, &entry.vm).is_none();
             accepts && !request.avoid.contains(id)
         })
     }
@@ -84,10 +85,12 @@
         entry: &DaemonId,
         request: &PermitRequest,
     ) -> Refusal {
-        let recovery = self.targets.values().filter_map(|target| target.back_after(now)).min();
-        let recovery = recovery.unwrap_or(DEFAULT_ADVICE).max(DEFAULT_ADVICE);
-        let usable = self.targets.values().filter(|target| target.usable(now));
-        let shortest_rest = usable.filter_map(|target| target.rest_left(now, &entry.vm)).min();
+        let recovery =
+            self.targets.values().filter_map(|target| target.ejection_remaining(now)).min();
+        let recovery = recovery.unwrap_or(DEFAULT_RETRY_AFTER).max(DEFAULT_RETRY_AFTER);
+        let accepting = self.targets.values().filter(|target| target.accepts_requests(now));
+        let shortest_rest =
+            accepting.filter_map(|target| target.rest_remaining(now, &entry.vm)).min();
         let wait = match shortest_rest {
             Some(rest) => rest_retry_after(request.permit, rest),
             None => recovery,
@@ -110,7 +113,7 @@
         actions: &mut Vec<SchedulerAction>,
     ) -> Result<Uptime, Refusal> {
         if self.level.sheds(request.tier) {
-            let wait = Some(self.level.remaining(now).max(DEFAULT_ADVICE));
+            let wait = Some(self.level.remaining(now).max(DEFAULT_RETRY_AFTER));
             return Err(Refusal::not_run(RefusalReason::TierShed, wait));
         }
         let limit = self.account_limit(&request.account);
@@ -269,7 +272,7 @@
 /// Builds the refusal of a permit request that would wait too long. It sheds no tier, since lower tiers would wait
 /// even longer.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
-    let advice = spread_advice(request.permit, wait, request.time_left);
+    let advice = spread_retry_after(request.permit, wait, request.time_left);
     Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
 }
 
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -21,7 +21,7 @@
 
 use super::burst_window::BurstWindow;
 use super::token_bucket::{TokenBucket, SCALE};
-use crate::advice::{LEAST_ADVICE, MAX_RETRY_AFTER};
+use crate::advice::{MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 
 /// Divides the units of one second into what a daemon that is not the leader may save. It may save little, since
 /// the leader may have granted the burst.
@@ -35,7 +35,7 @@
 
 /// The role in which a daemon grants units of the rates, from its own point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RateTurn {
+pub enum RateRole {
     /// It receives the requests first.
     Leader,
     /// It receives the requests if the leader is unresponsive. It has a reserve: what the platform
@@ -48,13 +48,13 @@
 
 /// The share of all rates that a daemon grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct RatePart {
+pub struct RateShare {
     /// Number of daemons that it reaches, including itself.
     pub reached: usize,
     /// Number of all daemons.
     pub all: usize,
     /// The role of this daemon.
-    pub turn: RateTurn,
+    pub role: RateRole,
 }
 
 /// How far the daemons may exceed the rates: the leader by half of what the platform tolerates, its
@@ -162,7 +162,7 @@
         account: &AccountId,
         rate: &SharedRate,
         cost: u64,
-        part: RatePart,
+        part: RateShare,
     ) -> Result<(), Duration> {
         let limits = self.limits(rate, part);
         let since = self.since;
@@ -178,23 +178,23 @@
         let missing = 1 - bucket.level() + bucket.promised;
         bucket.promised += i128::from(cost) * SCALE;
         let wait = bucket.burst.wait_for(now, window, missing, limits.per_s);
-        Err((wait + Duration::from_millis(1)).clamp(LEAST_ADVICE, MAX_RETRY_AFTER))
+        Err((wait + Duration::from_millis(1)).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     /// Returns the refill rate and the limits of a bucket in a daemon with this share and role.
-    fn limits(&self, rate: &SharedRate, part: RatePart) -> BucketLimits {
+    fn limits(&self, rate: &SharedRate, part: RateShare) -> BucketLimits {
         let share_of = |units: u64| {
             i128::from(units) * part.reached.min(part.all) as i128 / part.all.max(1) as i128
         };
         let per_s = share_of(rate.per_s + rate.per_s * self.margin.percent / 100);
         let saved = per_s * SCALE / NON_LEADER_SAVED_DIVISOR;
-        match part.turn {
-            RateTurn::Leader => {
+        match part.role {
+            RateRole::Leader => {
                 let whole_burst = share_of(rate.burst + self.margin.units) * SCALE;
                 let limit = (whole_burst / LEADER_SAVED_DIVISOR).min(per_s * SCALE);
                 BucketLimits { per_s, limit, burst: whole_burst - limit }
             }
-            RateTurn::Deputy => {
+            RateRole::Deputy => {
                 let reserve = i128::from(self.margin.reserve(rate));
                 let millis = self.margin.window.as_millis().max(1) as i128;
                 // The saved units and those gained within a window together make up the reserve.
@@ -202,7 +202,7 @@
                 let refill = held * 1_000 / (millis * RESERVE_FILL_WINDOWS);
                 BucketLimits { per_s: per_s + refill, limit: saved + held * SCALE, burst: 0 }
             }
-            RateTurn::Other => BucketLimits { per_s, limit: saved, burst: 0 },
+            RateRole::Other => BucketLimits { per_s, limit: saved, burst: 0 },
         }
     }
 
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -4,7 +4,7 @@
 //! whose random id spreads the retries. The rule: not before the wait is over; spread over
 //! [`SPREAD_PERCENT`] of the remaining time, so that callers that are refused together do not retry
 //! together; never later than [`MAX_WAIT_PERCENT`] of the remaining time, after which a retry is of no use. If
-//! nothing is known of the cause, [`DEFAULT_ADVICE`].
+//! nothing is known of the cause, [`DEFAULT_RETRY_AFTER`].
 //!
 //! Owns: every bound of a `Retry-After` in this crate; no state.
 
@@ -13,11 +13,11 @@
 use curlewcleat_core::PermitId;
 
 /// Shortest `Retry-After`: a few round trips.
-pub const LEAST_ADVICE: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Longest `Retry-After`.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// The `Retry-After` if no better one is known, and the shortest for a pool without capacity.
-pub const DEFAULT_ADVICE: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Percentage of the remaining time over which retries are spread.
 const SPREAD_PERCENT: u32 = 25;
 /// Percentage of the remaining time after which a retry is of no use.
@@ -26,10 +26,10 @@
 const SPREAD_STEPS: u32 = 1_024;
 
 /// Returns when to retry: not before `wait`, spread over a fraction of the remaining time.
-pub fn spread_advice(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
+pub fn spread_retry_after(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
     let spread = time_left / 100 * SPREAD_PERCENT / SPREAD_STEPS * spread_step(permit);
-    let latest = (time_left / 100 * MAX_WAIT_PERCENT).max(LEAST_ADVICE);
-    (wait + spread).clamp(LEAST_ADVICE, latest)
+    let latest = (time_left / 100 * MAX_WAIT_PERCENT).max(MIN_RETRY_AFTER);
+    (wait + spread).clamp(MIN_RETRY_AFTER, latest)
 }
 
 /// Returns a step of the spread, drawn from the permit's random id.
@@ -41,8 +41,8 @@
 /// so that a caller whose wait is short can still be in time. Load pattern: a fleet that restarts with empty buckets,
 /// whose accounts may send again after tens of milliseconds. With a spread over a quarter of the remaining time, the
 /// requests of a day that ends in this way earned .880 of their credit instead of .885 (mean of six seeds).
-pub fn rate_advice(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
-    spread_advice(permit, wait, time_left).clamp(wait, wait * 2)
+pub fn rate_retry_after(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
+    spread_retry_after(permit, wait, time_left).clamp(wait, wait * 2)
 }
 
 /// Returns when to retry a request all of whose targets have requested a rest, the shortest for `rest`: spread over a
@@ -50,10 +50,10 @@
 /// whose targets decline requests.
 pub fn rest_retry_after(permit: PermitId, rest: Duration) -> Duration {
     let spread = rest / 100 * SPREAD_PERCENT / SPREAD_STEPS * spread_step(permit);
-    (rest + spread).clamp(LEAST_ADVICE, MAX_RETRY_AFTER)
+    (rest + spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
 /// Returns when to retry at a pool that needs `drain_time` to serve its waiting requests.
 pub fn capacity_retry_after(drain_time: Duration) -> Duration {
-    drain_time.clamp(DEFAULT_ADVICE, MAX_RETRY_AFTER)
+    drain_time.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/sched/src/election/addresses.rs
+++ b/crates/sched/src/election/addresses.rs
@@ -28,7 +28,7 @@
 
     /// Replaces the list of daemons that the platform has recorded; they may have ended. An address whose record is
     /// missing from the new list is dropped, so that a fleet whose VMs are replaced does not seem to grow.
-    pub fn records_listed(&mut self, records: Vec<DaemonRecord>) {
+    pub fn update_records(&mut self, records: Vec<DaemonRecord>) {
         let previous = std::mem::take(&mut self.records);
         for record in previous.values() {
             self.known_addresses.remove(&record.address);
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -10,7 +10,7 @@
     DaemonId, DaemonRecord, Generation, Heartbeat, Incarnation, ObjectVersion, Uptime, VmId,
 };
 
-use crate::admission::shared_rate::{RatePart, RateTurn};
+use crate::admission::shared_rate::{RateRole, RateShare};
 
 /// Number of heartbeats that go to all reachable peers after the start of a daemon and after a change of its roles. The
 /// first one only opens connections.
@@ -103,7 +103,7 @@
 
 /// What a heartbeat changes besides the state of its sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HeartbeatNews {
+pub struct HeartbeatChange {
     /// The previous daemon on its VM, which has ended.
     pub ended: Option<DaemonId>,
     /// Whether its sender was not known and requires an answer; it gets a greeting at once.
@@ -208,9 +208,9 @@
         now: Uptime,
         from: &DaemonId,
         heartbeat: &Heartbeat,
-    ) -> HeartbeatNews {
+    ) -> HeartbeatChange {
         if from.vm == self.me.vm {
-            return HeartbeatNews::default();
+            return HeartbeatChange::default();
         }
         self.add_reported_addresses(&heartbeat.known);
         self.probes.remove(&from.vm);
@@ -232,7 +232,7 @@
         self.changed |= !same_roles;
         self.peers.insert(from.vm.clone(), peer);
         self.known_addresses.insert(heartbeat.address.clone());
-        HeartbeatNews { ended, newcomer: !same_process && heartbeat.answer_wanted }
+        HeartbeatChange { ended, newcomer: !same_process && heartbeat.answer_wanted }
     }
 
     /// Records that a frame of any kind has arrived, so that its sender counts as reachable.
@@ -244,10 +244,10 @@
     }
 
     /// Returns the share of the fleet-wide limits that belongs to the daemons that this one reaches.
-    pub fn reached_part(&self, now: Uptime) -> RatePart {
+    pub fn reached_share(&self, now: Uptime) -> RateShare {
         let limit = self.options.suspect_after;
         let reached = self.peers.values().filter(|peer| peer.active_within(now, limit)).count() + 1;
-        RatePart { reached, all: self.fleet_size(), turn: RateTurn::Leader }
+        RateShare { reached, all: self.fleet_size(), role: RateRole::Leader }
     }
 
     /// Returns the known peers.
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -26,7 +26,7 @@
 pub use self::options::{EntryOptions, RequestSpec};
 pub use self::replacement::ReplacementStep;
 use self::request::{EntryRequest, RequestPhase, UsedPermit};
-use crate::advice::DEFAULT_ADVICE;
+use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::election::unresponsive::UnresponsiveSchedulers;
 use crate::retry::budget::RetryBudget;
 use crate::retry::RetryBound;
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether a request is at a stalled target while another target is requested for it.
-    pub fn keeps_target(&self, id: RequestId) -> bool {
+    pub fn awaits_replacement(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| request.stalled_permit.is_some())
     }
 
@@ -252,7 +252,7 @@
         else {
             return self.refuse_request(
                 id,
-                Refusal::not_run(RefusalReason::NoTarget, Some(DEFAULT_ADVICE)),
+                Refusal::not_run(RefusalReason::NoTarget, Some(DEFAULT_RETRY_AFTER)),
             );
         };
         vec![request.request_permit_from(now, scheduler, 0)]
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -10,7 +10,7 @@
 
 use super::request::{PermitWait, RequestPhase, UsedPermit};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
-use crate::advice::DEFAULT_ADVICE;
+use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::{decide_retry, RetryBound, RetryDecision};
 
 impl EntryRequests {
@@ -69,7 +69,7 @@
                     actions.extend(request.key_report(Verdict::NotRun, None));
                 }
                 actions.push(EntryAction::RetryDenied(id, input.bound(now)));
-                let refusal = Refusal::not_run(reason, Some(DEFAULT_ADVICE));
+                let refusal = Refusal::not_run(reason, Some(DEFAULT_RETRY_AFTER));
                 actions.push(EntryAction::Refuse(id, refusal));
             }
         }
--- a/crates/sched/src/entry/replacement.rs
+++ b/crates/sched/src/entry/replacement.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReplacementStep {
     /// The target is stalled; a replacement is requested.
-    Wanted,
+    Requested,
     /// The target sends data again; no replacement is needed.
-    Unwanted,
+    Withdrawn,
     /// The request has moved to the replacement.
-    Taken,
+    Accepted,
     /// The replacement is not needed, or the request may not be sent to it.
     Declined,
     /// The replacement accepts no connection.
@@ -42,9 +42,9 @@
         order: SchedulerOrder<'_>,
     ) -> Vec<EntryAction> {
         match step {
-            ReplacementStep::Wanted => self.request_replacement(now, id, order),
-            ReplacementStep::Unwanted => self.withdraw_replacement(id),
-            ReplacementStep::Taken => self.accept_replacement(id),
+            ReplacementStep::Requested => self.request_replacement(now, id, order),
+            ReplacementStep::Withdrawn => self.withdraw_replacement(id),
+            ReplacementStep::Accepted => self.accept_replacement(id),
             ReplacementStep::Declined => self.decline_replacement(id, AttemptEnd::Unused),
             ReplacementStep::Unreachable => self.replacement_unreachable(id),
         }
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -10,7 +10,7 @@
 
 use super::action::EntryAction;
 use super::options::RequestSpec;
-use crate::advice::DEFAULT_ADVICE;
+use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::RetryInput;
 
 /// The phase of a request.
@@ -162,7 +162,7 @@
 
     /// Returns the refusal for a key holder that does not answer. Only a first attempt is sure not to have run.
     pub fn key_holder_refusal(&self) -> Refusal {
-        let wait = Some(DEFAULT_ADVICE);
+        let wait = Some(DEFAULT_RETRY_AFTER);
         if self.is_first_attempt() {
             return Refusal::not_run(RefusalReason::KeyHomeUnreachable, wait);
         }
--- a/crates/sched/src/entry/timeouts.rs
+++ b/crates/sched/src/entry/timeouts.rs
@@ -29,7 +29,7 @@
 
 use super::request::{PermitWait, RequestPhase};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
-use crate::advice::DEFAULT_ADVICE;
+use crate::advice::DEFAULT_RETRY_AFTER;
 
 impl EntryRequests {
     /// Refuses requests whose deadline has passed, and handles schedulers and key holders that have not answered.
@@ -65,7 +65,7 @@
         actions.extend(request.key_report(Verdict::NotRun, None));
         let refusal = match request.phase {
             RequestPhase::Claiming { .. } => request.key_holder_refusal(),
-            _ => Refusal::not_run(RefusalReason::DeadlinePassed, Some(DEFAULT_ADVICE)),
+            _ => Refusal::not_run(RefusalReason::DeadlinePassed, Some(DEFAULT_RETRY_AFTER)),
         };
         actions.push(EntryAction::Refuse(id, refusal));
         actions
--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -28,16 +28,16 @@
 //! announced that they were leaving.
 
 mod blame;
-pub mod news;
 mod options;
 mod served;
 mod suspect;
 mod terminations;
+pub mod updates;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use curlewcleat_core::{RequestBreak, RequestDigest, SuspectReport, TargetLife, Uptime};
+use curlewcleat_core::{RequestDigest, RequestInterruption, SuspectReport, TargetInstance, Uptime};
 
 use self::blame::blamed;
 pub use self::options::LethalOptions;
@@ -53,11 +53,11 @@
 
 /// Whether the platform lists a target instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum LifeSight {
+pub enum InstancePresence {
     /// Its list entry is present.
-    Shown,
+    Listed,
     /// Its list entry is missing, or names a later start.
-    Gone,
+    Unlisted,
     /// Not known: the platform fails, or the target does not announce itself.
     Unknown,
 }
@@ -94,10 +94,15 @@
 
     /// Records that a request was interrupted at an instance that this daemon saw listed then. Returns whether the
     /// state changed.
-    pub fn broken_off(&mut self, now: Uptime, digest: RequestDigest, broke: RequestBreak) -> bool {
+    pub fn record_interruption(
+        &mut self,
+        now: Uptime,
+        digest: RequestDigest,
+        interruption: RequestInterruption,
+    ) -> bool {
         let at = self.at + 1;
         let suspect = self.suspects.entry(digest).or_default();
-        let changed = suspect.record_interruption(now, broke);
+        let changed = suspect.record_interruption(now, interruption);
         self.record_and_classify_if(changed, at, digest);
         changed
     }
@@ -155,14 +160,14 @@
         &mut self,
         now: Uptime,
         targets: usize,
-        presence_of: &dyn Fn(&TargetLife) -> LifeSight,
-    ) -> Vec<(RequestDigest, TargetLife)> {
+        presence_of: &dyn Fn(&TargetInstance) -> InstancePresence,
+    ) -> Vec<(RequestDigest, TargetInstance)> {
         let mut ended = Vec::new();
         let mut changed = Vec::new();
         for (digest, suspect) in &mut self.suspects {
             let before = ended.len();
             let found = suspect.review(now, &self.options, presence_of);
-            ended.extend(found.ended.into_iter().map(|life| (*digest, life)));
+            ended.extend(found.ended.into_iter().map(|instance| (*digest, instance)));
             if ended.len() > before || found.dropped {
                 changed.push(*digest);
             }
@@ -206,7 +211,7 @@
     }
 
     /// Returns the number of instances at which a request was interrupted.
-    pub fn breaks_of(&self, digest: &RequestDigest) -> usize {
+    pub fn interruption_count(&self, digest: &RequestDigest) -> usize {
         self.suspects.get(digest).map_or(0, SuspectRequest::interruption_count)
     }
 
@@ -252,7 +257,7 @@
 
     /// Records recent terminations, except those that a refused request explains.
     fn review_terminations(&mut self, now: Uptime, targets: usize) {
-        let explained: BTreeSet<&TargetLife> = self
+        let explained: BTreeSet<&TargetInstance> = self
             .refused
             .iter()
             .filter_map(|digest| self.suspects.get(digest))
--- a/crates/sched/src/lethal/blame.rs
+++ b/crates/sched/src/lethal/blame.rs
@@ -12,7 +12,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewcleat_core::{RequestDigest, TargetLife};
+use curlewcleat_core::{RequestDigest, TargetInstance};
 
 use super::suspect::{InterruptedInstances, SuspectRequest};
 
@@ -25,7 +25,7 @@
 /// A request with enough instances to be considered.
 struct BlameCandidate<'s> {
     digest: RequestDigest,
-    lives: InterruptedInstances<'s>,
+    instances: InterruptedInstances<'s>,
     limit: usize,
 }
 
@@ -37,20 +37,20 @@
 ) -> BTreeSet<RequestDigest> {
     let candidates = suspects.iter().map(|(digest, suspect)| BlameCandidate {
         digest: *digest,
-        lives: instances_of(suspect),
+        instances: instances_of(suspect),
         limit: limit_of(digest, suspect),
     });
     let mut by_count: Vec<BlameCandidate<'_>> =
-        candidates.filter(|candidate| candidate.lives.len() >= candidate.limit).collect();
-    by_count.sort_by_key(|candidate| Reverse(candidate.lives.len()));
+        candidates.filter(|candidate| candidate.instances.len() >= candidate.limit).collect();
+    by_count.sort_by_key(|candidate| Reverse(candidate.instances.len()));
     let mut blamed = BTreeSet::new();
     let mut explained = BTreeSet::new();
-    for tied in by_count.chunk_by(|first, second| first.lives.len() == second.lives.len()) {
+    for tied in by_count.chunk_by(|first, second| first.instances.len() == second.instances.len()) {
         let responsible: Vec<_> =
             tied.iter().filter(|candidate| candidate.is_to_blame(&explained)).collect();
         for candidate in responsible {
             blamed.insert(candidate.digest);
-            explained.extend(candidate.lives.keys().copied());
+            explained.extend(candidate.instances.keys().copied());
         }
     }
     blamed
@@ -58,8 +58,9 @@
 
 impl BlameCandidate<'_> {
     /// Returns whether the instances that no other request explains reach the limit.
-    fn is_to_blame(&self, explained: &BTreeSet<&TargetLife>) -> bool {
-        let unexplained = self.lives.iter().filter(|(life, _)| !explained.contains(*life));
+    fn is_to_blame(&self, explained: &BTreeSet<&TargetInstance>) -> bool {
+        let unexplained =
+            self.instances.iter().filter(|(instance, _)| !explained.contains(*instance));
         let begun: Vec<bool> = unexplained.map(|(_, interruption)| interruption.begun).collect();
         let unanswered = begun.iter().filter(|begun| !**begun).count();
         unanswered >= self.limit || begun.len() > self.limit
