--- a/crates/sched/src/lethal/suspect.rs
+++ b/crates/sched/src/lethal/suspect.rs
@@ -7,15 +7,16 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, BreakReport, RequestBreak, RequestDigest, SuspectReport, TargetLife, Uptime,
+    InterruptionKind, InterruptionReport, RequestDigest, RequestInterruption, SuspectReport,
+    TargetInstance, Uptime,
 };
 
-use super::{LethalOptions, LifeSight, INSTANCE_LIMIT};
+use super::{InstancePresence, LethalOptions, INSTANCE_LIMIT};
 
 /// The interruption of the request at one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct InstanceInterruption {
-    kind: BreakKind,
+    kind: InterruptionKind,
     /// Whether a part of the answer had arrived from the instance.
     pub begun: bool,
     /// Whether this daemon saw the instance listed when the interruption happened.
@@ -25,13 +26,13 @@
 }
 
 /// Instances at which the request was interrupted.
-pub(super) type InterruptedInstances<'s> = BTreeMap<&'s TargetLife, &'s InstanceInterruption>;
+pub(super) type InterruptedInstances<'s> = BTreeMap<&'s TargetInstance, &'s InstanceInterruption>;
 
 /// The result of a review.
 #[derive(Debug, Default)]
 pub(super) struct ReviewFindings {
     /// Instances that have terminated.
-    pub ended: Vec<TargetLife>,
+    pub ended: Vec<TargetInstance>,
     /// Whether interruptions were dropped because their instances have not terminated.
     pub dropped: bool,
 }
@@ -39,8 +40,8 @@
 /// A request that is suspected of, or established as, terminating its targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct SuspectRequest {
-    interruptions: BTreeMap<TargetLife, InstanceInterruption>,
-    cleared: BTreeSet<TargetLife>,
+    interruptions: BTreeMap<TargetInstance, InstanceInterruption>,
+    cleared: BTreeSet<TargetInstance>,
     /// Whether the platform has stored its refusal.
     pub stored: bool,
     /// Time of the latest interruption, or of the latest repeat of a refused request.
@@ -51,11 +52,11 @@
 
 impl SuspectRequest {
     /// Records an interruption at an instance that was listed then. Returns whether the state changed.
-    pub fn record_interruption(&mut self, now: Uptime, broke: RequestBreak) -> bool {
-        let RequestBreak { life, kind, begun } = broke;
+    pub fn record_interruption(&mut self, now: Uptime, interruption: RequestInterruption) -> bool {
+        let RequestInterruption { instance, kind, begun } = interruption;
         self.add(
             now,
-            life,
+            instance,
             InstanceInterruption { kind, begun, observed_here: true, ended: false, at: now },
         )
     }
@@ -64,20 +65,20 @@
     pub fn merge(&mut self, now: Uptime, report: SuspectReport) -> bool {
         let mut changed = report.stored && !self.stored;
         self.stored |= report.stored;
-        for life in report.cleared {
-            self.interruptions.remove(&life);
-            if self.cleared.len() < INSTANCE_LIMIT && self.cleared.insert(life) {
+        for instance in report.cleared {
+            self.interruptions.remove(&instance);
+            if self.cleared.len() < INSTANCE_LIMIT && self.cleared.insert(instance) {
                 changed = true;
                 // Cleared instances are kept as long as interruptions.
                 self.latest = now;
             }
         }
-        for reported in report.breaks {
+        for reported in report.interruptions {
             let at = now.saturating_sub(reported.age);
-            let RequestBreak { life, kind, begun } = reported.broke;
+            let RequestInterruption { instance, kind, begun } = reported.interruption;
             changed |= self.add(
                 now,
-                life,
+                instance,
                 InstanceInterruption {
                     kind,
                     begun,
@@ -90,11 +91,11 @@
         changed
     }
 
-    fn add(&mut self, now: Uptime, life: TargetLife, added: InstanceInterruption) -> bool {
-        if self.cleared.contains(&life) {
+    fn add(&mut self, now: Uptime, instance: TargetInstance, added: InstanceInterruption) -> bool {
+        if self.cleared.contains(&instance) {
             return false;
         }
-        if let Some(interruption) = self.interruptions.get_mut(&life) {
+        if let Some(interruption) = self.interruptions.get_mut(&instance) {
             // A closed connection is stronger evidence than a stalled one; of two copies at one instance, the one whose
             // answer had not begun counts.
             let changed = added.ended && !interruption.ended
@@ -110,7 +111,7 @@
             return false;
         }
         self.latest = self.latest.max(added.at).min(now);
-        self.interruptions.insert(life, added);
+        self.interruptions.insert(instance, added);
         true
     }
 
@@ -126,11 +127,11 @@
             interruptions.into_iter().partition(|(_, interruption)| interruption.at <= until);
         self.interruptions = remaining;
         let changed = !cleared.is_empty();
-        for life in cleared.into_keys() {
+        for instance in cleared.into_keys() {
             if self.cleared.len() >= INSTANCE_LIMIT {
                 self.cleared.pop_first();
             }
-            self.cleared.insert(life);
+            self.cleared.insert(instance);
         }
         changed
     }
@@ -140,25 +141,25 @@
         &mut self,
         now: Uptime,
         options: &LethalOptions,
-        presence_of: &dyn Fn(&TargetLife) -> LifeSight,
+        presence_of: &dyn Fn(&TargetInstance) -> InstancePresence,
     ) -> ReviewFindings {
         let mut findings = ReviewFindings::default();
         let before = self.interruptions.len();
-        self.interruptions.retain(|life, interruption| {
+        self.interruptions.retain(|instance, interruption| {
             if interruption.ended {
                 return true;
             }
             let age = now.saturating_sub(interruption.at);
-            match presence_of(life) {
-                LifeSight::Gone
+            match presence_of(instance) {
+                InstancePresence::Unlisted
                     if interruption.observed_here || age >= options.listing_propagation =>
                 {
                     interruption.ended = true;
-                    findings.ended.push(life.clone());
+                    findings.ended.push(instance.clone());
                     true
                 }
-                LifeSight::Gone | LifeSight::Unknown => true,
-                LifeSight::Shown => age < options.listing_expiry,
+                InstancePresence::Unlisted | InstancePresence::Unknown => true,
+                InstancePresence::Listed => age < options.listing_expiry,
             }
         });
         findings.dropped = before != self.interruptions.len();
@@ -167,15 +168,20 @@
 
     /// Returns the instances that have terminated.
     pub fn terminated_instances(&self) -> InterruptedInstances<'_> {
-        self.lives(|interruption| interruption.ended)
+        self.instances(|interruption| interruption.ended)
     }
 
     /// Returns the instances that have terminated or closed their connections.
     pub fn disconnected_instances(&self) -> InterruptedInstances<'_> {
-        self.lives(|interruption| interruption.ended || interruption.kind == BreakKind::Closed)
+        self.instances(|interruption| {
+            interruption.ended || interruption.kind == InterruptionKind::Closed
+        })
     }
 
-    fn lives(&self, counts: impl Fn(&InstanceInterruption) -> bool) -> InterruptedInstances<'_> {
+    fn instances(
+        &self,
+        counts: impl Fn(&InstanceInterruption) -> bool,
+    ) -> InterruptedInstances<'_> {
         self.interruptions.iter().filter(|(_, interruption)| counts(interruption)).collect()
     }
 
@@ -203,18 +209,19 @@
 
     /// Returns the report for other daemons.
     pub fn report(&self, now: Uptime, digest: RequestDigest) -> SuspectReport {
-        let breaks = self.interruptions.iter().map(|(life, interruption)| BreakReport {
-            broke: RequestBreak {
-                life: life.clone(),
-                kind: interruption.kind,
-                begun: interruption.begun,
-            },
-            ended: interruption.ended,
-            age: now.saturating_sub(interruption.at),
-        });
+        let interruptions =
+            self.interruptions.iter().map(|(instance, interruption)| InterruptionReport {
+                interruption: RequestInterruption {
+                    instance: instance.clone(),
+                    kind: interruption.kind,
+                    begun: interruption.begun,
+                },
+                ended: interruption.ended,
+                age: now.saturating_sub(interruption.at),
+            });
         SuspectReport {
             digest,
-            breaks: breaks.collect(),
+            interruptions: interruptions.collect(),
             cleared: self.cleared.iter().cloned().collect(),
             stored: self.stored,
         }
--- a/crates/sched/src/lethal/terminations.rs
+++ b/crates/sched/src/lethal/terminations.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use curlewcleat_core::{TargetLife, Uptime};
+use curlewcleat_core::{TargetInstance, Uptime};
 
 /// Time for which a termination counts: several times as long as a target needs to terminate and start again.
 const WINDOW: Duration = Duration::from_secs(60);
@@ -19,7 +19,7 @@
 /// The recent terminations of target instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct RecentTerminations {
-    terminated_at: BTreeMap<TargetLife, Uptime>,
+    terminated_at: BTreeMap<TargetInstance, Uptime>,
     common: bool,
 }
 
@@ -29,17 +29,17 @@
         &mut self,
         now: Uptime,
         targets: usize,
-        ended: impl Iterator<Item = &'l TargetLife>,
-        explained: &BTreeSet<&TargetLife>,
+        ended: impl Iterator<Item = &'l TargetInstance>,
+        explained: &BTreeSet<&TargetInstance>,
     ) -> bool {
-        for life in ended {
-            if !self.terminated_at.contains_key(life) {
-                self.terminated_at.insert(life.clone(), now);
+        for instance in ended {
+            if !self.terminated_at.contains_key(instance) {
+                self.terminated_at.insert(instance.clone(), now);
             }
         }
         self.terminated_at.retain(|_, at| now < *at + WINDOW);
         let unexplained =
-            self.terminated_at.keys().filter(|life| !explained.contains(life)).count();
+            self.terminated_at.keys().filter(|instance| !explained.contains(instance)).count();
         let common = unexplained > targets;
         std::mem::replace(&mut self.common, common) != common
     }
--- a/crates/sched/src/lethal/news.rs
+++ b/crates/sched/src/lethal/updates.rs
@@ -20,7 +20,7 @@
 
 /// The changes since a count, or the first of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SuspectNews {
+pub struct SuspectUpdates {
     /// Change count up to which these updates are complete.
     pub at: u64,
     /// Reports about the changed requests.
@@ -35,7 +35,7 @@
     }
 
     /// Returns the updates for a daemon that knows all changes up to this count.
-    pub fn news(&self, now: Uptime, known: u64) -> SuspectNews {
+    pub fn news(&self, now: Uptime, known: u64) -> SuspectUpdates {
         let changed = self.changed_after(known);
         let (urgent, mut ordinary): (Vec<_>, Vec<_>) =
             changed.partition(|(_, suspect)| is_urgent(suspect));
@@ -45,7 +45,7 @@
         let report =
             |(digest, suspect): (&RequestDigest, &SuspectRequest)| suspect.report(now, *digest);
         let requests = urgent.into_iter().chain(ordinary).map(report).collect();
-        SuspectNews { at: first_omitted.unwrap_or(self.at()), requests }
+        SuspectUpdates { at: first_omitted.unwrap_or(self.at()), requests }
     }
 
     fn changed_after(&self, known: u64) -> impl Iterator<Item = (&RequestDigest, &SuspectRequest)> {
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -209,7 +209,7 @@
 
     /// Iterates over the requests that may be granted next, best first: of each queue the first requests of each of
     /// its first `accounts` accounts.
-    pub fn heads(&self, accounts: usize) -> impl Iterator<Item = &WaitingRequest> {
+    pub fn candidates(&self, accounts: usize) -> impl Iterator<Item = &WaitingRequest> {
         let mut queues: Vec<(&QueueRank, &TierQueue)> =
             self.tiers.iter().filter(|(_, queue)| queue.length > 0).collect();
         let served = |rank: &QueueRank| self.served.get(&rank.urgency_key()).copied().unwrap_or(0);
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -29,7 +29,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    DaemonId, PermitDecision, PermitId, PermitRequest, TargetId, TargetLife, Uptime, WorkMicros,
+    DaemonId, PermitDecision, PermitId, PermitRequest, TargetId, TargetInstance, Uptime, WorkMicros,
 };
 
 use self::target::TargetState;
@@ -65,7 +65,8 @@
 impl PoolScheduler {
     /// Returns whether a target is known to be in another data centre than the entry daemon.
     fn is_remote(&self, entry: &DaemonId, state: &TargetState) -> bool {
-        let data_centre = self.places.get(&entry.vm).filter(|data_centre| !data_centre.is_empty());
+        let data_centre =
+            self.data_centres.get(&entry.vm).filter(|data_centre| !data_centre.is_empty());
         data_centre.is_some_and(|data_centre| {
             !state.data_centre.is_empty() && *data_centre != state.data_centre
         })
@@ -96,7 +97,7 @@
             }
             let record = PermitRecord {
                 entry: waiting.entry.clone(),
-                target: TargetLife { id: target.clone(), start: state.start },
+                target: TargetInstance { id: target.clone(), start: state.start },
                 expected,
                 prompt_work: waiting.request.prompt_work,
                 output_work: waiting.request.output_work,
@@ -115,8 +116,8 @@
         if self.queues.is_empty() || !self.targets.values().any(has_capacity) {
             return None;
         }
-        let heads = self.queues.heads(HEADS_TRIED);
-        heads
+        let candidates = self.queues.candidates(HEADS_TRIED);
+        candidates
             .filter_map(|waiting| Some((waiting.request.permit, self.choose_target(now, waiting)?)))
             .next()
     }
@@ -203,7 +204,7 @@
         time_left: WorkMicros,
     ) -> bool {
         self.targets.iter().any(|(id, state)| {
-            let suitable = state.usable(now) && eligible(now, waiting, id, state);
+            let suitable = state.accepts_requests(now) && eligible(now, waiting, id, state);
             suitable && with_margin(self.evaluate(now, waiting, state).time) <= time_left
         })
     }
@@ -212,7 +213,7 @@
     fn has_target_without_stalls(&self, now: Uptime, waiting: &WaitingRequest) -> bool {
         let limit = waiting.request.objectives.pause_limit;
         self.targets.iter().any(|(id, state)| {
-            let suitable = state.usable(now) && eligible(now, waiting, id, state);
+            let suitable = state.accepts_requests(now) && eligible(now, waiting, id, state);
             suitable && state.pace.longest_pause(now) <= limit
         })
     }
@@ -221,7 +222,7 @@
 /// Returns whether a target has neither failed a request nor requested rest from its entry daemon.
 fn eligible(now: Uptime, waiting: &WaitingRequest, id: &TargetId, state: &TargetState) -> bool {
     let avoided = waiting.request.avoid.contains(id);
-    !avoided && state.rest_left(now, &waiting.entry.vm).is_none()
+    !avoided && state.rest_remaining(now, &waiting.entry.vm).is_none()
 }
 
 /// Returns the time added for a target whose requests failed recently.
--- a/crates/sched/src/placement/notice.rs
+++ b/crates/sched/src/placement/notice.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    LimitNotice, LimitReport, NoticeReport, RequestRate, TargetLife, TargetNotice, Uptime,
+    LimitNotice, LimitReport, NoticeReport, RequestRate, TargetInstance, TargetNotice, Uptime,
 };
 
 /// Time for which the end of a limit is reported repeatedly to other daemons.
@@ -32,7 +32,7 @@
 
 /// The merged notices of one target instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct TargetWord {
+pub struct NoticeState {
     leaving: bool,
     rest_until: Option<Uptime>,
     limit: Option<LimitState>,
@@ -40,16 +40,16 @@
 
 /// A notice that has just arrived in a response header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardNotice {
+pub struct ReceivedNotice {
     /// When the request of the response was sent.
     pub sent: Uptime,
     /// The notice in the response header.
     pub notice: TargetNotice,
 }
 
-impl TargetWord {
+impl NoticeState {
     /// Applies a received notice, and returns whether the state changed.
-    pub fn heard(&mut self, now: Uptime, received: &HeardNotice) -> bool {
+    pub fn heard(&mut self, now: Uptime, received: &ReceivedNotice) -> bool {
         let before = self.clone();
         self.leaving |= received.notice.leaving;
         let rest_until = received.notice.rest.map(|rest| now + rest);
@@ -87,8 +87,8 @@
     }
 
     /// Returns whether the state differs from `before`, apart from the time since which a limit holds.
-    fn differs(&self, before: &TargetWord) -> bool {
-        let state = |word: &TargetWord| (word.leaving, word.rest_until, word.rate());
+    fn differs(&self, before: &NoticeState) -> bool {
+        let state = |notices: &NoticeState| (notices.leaving, notices.rest_until, notices.rate());
         state(self) != state(before)
     }
 
@@ -115,9 +115,9 @@
     }
 
     /// Returns the report of the state to other daemons.
-    pub fn report(&self, now: Uptime, life: &TargetLife) -> NoticeReport {
+    pub fn report(&self, now: Uptime, instance: &TargetInstance) -> NoticeReport {
         NoticeReport {
-            life: life.clone(),
+            instance: instance.clone(),
             leaving: self.leaving,
             rest: self
                 .rest_until
--- a/crates/sched/src/placement/pacing.rs
+++ b/crates/sched/src/placement/pacing.rs
@@ -7,7 +7,7 @@
 //! below [`PROBE_RATE`] is raised to that rate, so that a target whose limit is nearly zero still gets requests,
 //! which show whether the limit still holds.
 //!
-//! The share is a daemon's part of what all daemons together may send ([`RatePart`]): the whole limit at the
+//! The share is a daemon's part of what all daemons together may send ([`RateShare`]): the whole limit at the
 //! scheduling daemon while it reaches all others, and nothing at a daemon that is not the leader. While daemons are
 //! cut off from each other, the rates that several schedulers allow therefore add up to no more than the limit.
 //!
@@ -17,7 +17,7 @@
 
 use curlewcleat_core::{RequestRate, Uptime};
 
-use crate::admission::shared_rate::{RatePart, RateTurn};
+use crate::admission::shared_rate::{RateRole, RateShare};
 use crate::admission::token_bucket::{TokenBucket, SCALE};
 
 /// Time over which the refill may be sent at once, in addition to one request.
@@ -26,8 +26,8 @@
 const PROBE_RATE: RequestRate = RequestRate(100);
 
 /// Returns the share of a limit that a daemon may use.
-pub(crate) fn share_of(rate: RequestRate, rate_share: RatePart) -> RequestRate {
-    if rate_share.turn != RateTurn::Leader {
+pub(crate) fn share_of(rate: RequestRate, rate_share: RateShare) -> RequestRate {
+    if rate_share.role != RateRole::Leader {
         return RequestRate(0);
     }
     let whole = u128::from(rate.max(PROBE_RATE).0);
@@ -48,18 +48,19 @@
 impl SendPace {
     /// Returns a limiter that begins now and allows `extra_burst` more requests at once, also at its beginning.
     pub fn begin(now: Uptime, extra_burst: u64) -> SendPace {
-        let extra_burst = extra_burst * RequestRate::SECOND;
+        let extra_burst = extra_burst * RequestRate::ONE_PER_SECOND;
         SendPace { bucket: TokenBucket::new(i128::from(extra_burst) * SCALE, now), extra_burst }
     }
 
     /// Returns whether one more request may be sent.
     pub fn admits(&self, now: Uptime, rate: RequestRate) -> bool {
-        self.refilled(now, rate).level() >= i128::from(RequestRate::SECOND) * SCALE
+        self.refilled(now, rate).level() >= i128::from(RequestRate::ONE_PER_SECOND) * SCALE
     }
 
     /// Returns the time until one more request may be sent, `None` if the rate is zero and no request ever may.
     pub fn wait(&self, now: Uptime, rate: RequestRate) -> Option<Duration> {
-        let missing = i128::from(RequestRate::SECOND) * SCALE - self.refilled(now, rate).level();
+        let missing =
+            i128::from(RequestRate::ONE_PER_SECOND) * SCALE - self.refilled(now, rate).level();
         if missing <= 0 {
             return Some(Duration::ZERO);
         }
@@ -70,12 +71,12 @@
     /// Records that a request is sent.
     pub fn sent(&mut self, now: Uptime, rate: RequestRate) {
         self.bucket = self.refilled(now, rate);
-        self.bucket.take(RequestRate::SECOND);
+        self.bucket.take(RequestRate::ONE_PER_SECOND);
     }
 
     fn refilled(&self, now: Uptime, rate: RequestRate) -> TokenBucket {
         let in_burst = u128::from(rate.0) * BURST_TIME.as_millis() / 1_000;
-        let limit = i128::from(RequestRate::SECOND + self.extra_burst) + in_burst as i128;
+        let limit = i128::from(RequestRate::ONE_PER_SECOND + self.extra_burst) + in_burst as i128;
         let mut bucket = self.bucket.clone();
         bucket.refill(now, i128::from(rate.0), limit * SCALE);
         bucket
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -20,11 +20,11 @@
 };
 
 use super::ejection::TargetEjection;
-use super::notice::TargetWord;
+use super::notice::NoticeState;
 use super::pace::StreamPace;
 use super::pacing::{share_of, SendPace};
 use super::prefix::PrefixCache;
-use crate::admission::shared_rate::RatePart;
+use crate::admission::shared_rate::RateShare;
 use crate::rollout::versions::VersionAccess;
 
 /// Slowness of a target that takes exactly the estimated time, in thousandths.
@@ -79,7 +79,7 @@
     /// Share of its recent requests that failed, in thousandths.
     failing: u64,
     /// The merged notices of the target instance.
-    word: TargetWord,
+    word: NoticeState,
     /// Until when it requires rest from an entry daemon, by the entry daemon's VM.
     rests: BTreeMap<VmId, Uptime>,
     /// This scheduler's share of the limit that the target states, with the limiter of the requests granted; `None`
@@ -108,7 +108,7 @@
             pace: StreamPace::of_pool().of_new_target(),
             prompts_until: Duration::ZERO,
             failing: 0,
-            word: TargetWord::default(),
+            word: NoticeState::default(),
             rests: BTreeMap::new(),
             limit: None,
         }
@@ -170,23 +170,23 @@
     }
 
     /// Applies a daemon's report of the target's notices.
-    pub fn noticed(
+    pub fn apply_notice_report(
         &mut self,
         now: Uptime,
         from: &VmId,
         report: &NoticeReport,
-        rate_share: RatePart,
+        rate_share: RateShare,
     ) {
         self.word.merge(now, report);
         self.rests.retain(|_, until| now < *until);
         if let Some(rest) = report.rest {
             self.rests.insert(from.clone(), now + rest);
         }
-        self.keep_part(now, rate_share);
+        self.update_rate_share(now, rate_share);
     }
 
     /// Returns the remaining time of the rest that it requires from the daemon on this VM, `None` if there is none.
-    pub fn rest_left(&self, now: Uptime, vm: &VmId) -> Option<Duration> {
+    pub fn rest_remaining(&self, now: Uptime, vm: &VmId) -> Option<Duration> {
         let until = self.rests.get(vm)?;
         Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
     }
@@ -202,7 +202,7 @@
     }
 
     /// Sets this scheduler's share of the target's limit.
-    pub fn keep_part(&mut self, now: Uptime, rate_share: RatePart) {
+    pub fn update_rate_share(&mut self, now: Uptime, rate_share: RateShare) {
         let rate = self.word.rate().map(|rate| share_of(rate, rate_share));
         let limit = self.limit.take();
         // If the share was zero before, other schedulers have used the limit, so the limiter begins empty.
@@ -232,7 +232,7 @@
     }
 
     /// Returns the merged notices of the target instance.
-    pub fn word(&self) -> &TargetWord {
+    pub fn word(&self) -> &NoticeState {
         &self.word
     }
 
@@ -254,12 +254,12 @@
     }
 
     /// Returns whether the target accepts new requests when it has free capacity.
-    pub fn usable(&self, now: Uptime) -> bool {
+    pub fn accepts_requests(&self, now: Uptime) -> bool {
         !self.is_leaving() && self.access == VersionAccess::Open && self.ejection.admits(now)
     }
 
     /// Returns the time until an ejected target may be tried again, `None` if it is not ejected or is leaving.
-    pub fn back_after(&self, now: Uptime) -> Option<Duration> {
+    pub fn ejection_remaining(&self, now: Uptime) -> Option<Duration> {
         self.ejection.time_left(now).filter(|_| !self.is_leaving())
     }
 
--- a/crates/sched/src/placement/trial.rs
+++ b/crates/sched/src/placement/trial.rs
@@ -28,7 +28,7 @@
 
 impl PoolScheduler {
     /// Applies the access of each target's version.
-    pub fn keep_versions(&mut self, versions: &PoolVersions) {
+    pub fn apply_version_access(&mut self, versions: &PoolVersions) {
         for state in self.targets.values_mut() {
             state.access = versions.access(&state.version);
         }
@@ -58,7 +58,7 @@
     }
 
     /// Returns the number of permits in use at targets of other versions.
-    pub fn in_flight_beside(&self, version: &TargetVersion) -> usize {
+    pub fn in_flight_at_other_versions(&self, version: &TargetVersion) -> usize {
         let known = self.permits.values().filter_map(|permit| self.targets.get(&permit.target.id));
         known.filter(|state| state.version.as_ref() != Some(version)).count()
     }
@@ -71,8 +71,9 @@
             let is_first = request.permit.attempt == 0 && request.avoid.is_empty();
             is_first && trial.admits(request.objectives.urgency, self.part)
         };
-        let heads = self.queues.heads(HEADS_TRIED).filter(is_candidate);
-        let waiting = heads.min_by_key(|waiting| trial.had(waiting.request.objectives.urgency))?;
+        let candidates = self.queues.candidates(HEADS_TRIED).filter(is_candidate);
+        let waiting =
+            candidates.min_by_key(|waiting| trial.had(waiting.request.objectives.urgency))?;
         let target = self.trial_target(now, waiting)?;
         Some((waiting.request.permit, target))
     }
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -8,12 +8,12 @@
 
 use curlewcleat_core::{
     AccountId, DaemonId, PermitAnswer, PermitDecision, PermitId, PermitRequest, PoolId, Refusal,
-    TargetId, TargetLife, TierRank, Uptime, VmId, WorkMicros,
+    TargetId, TargetInstance, TierRank, Uptime, VmId, WorkMicros,
 };
 
 use crate::admission::account::{AccountLimit, RateBucket};
 use crate::admission::overload::OverloadLevel;
-use crate::admission::shared_rate::{RatePart, RateTurn};
+use crate::admission::shared_rate::{RateRole, RateShare};
 use crate::admission::throughput::PoolThroughput;
 use crate::order::flows::UrgencyFlows;
 use crate::order::queue::TierQueues;
@@ -64,7 +64,7 @@
     /// The entry daemon that uses it.
     pub entry: DaemonId,
     /// The target instance for which it was granted.
-    pub target: TargetLife,
+    pub target: TargetInstance,
     /// Estimated work at normal speed, without the prompt if its prefix was cached.
     pub expected: WorkMicros,
     /// Prompt work as estimated by the entry daemon.
@@ -120,9 +120,9 @@
     pub(crate) buckets: BTreeMap<AccountId, RateBucket>,
     pub(crate) level: OverloadLevel,
     /// VMs that are leaving.
-    pub(crate) away: BTreeSet<VmId>,
+    pub(crate) leaving_vms: BTreeSet<VmId>,
     /// Data centres of the entry daemons' VMs, as far as they are known.
-    pub(crate) places: BTreeMap<VmId, String>,
+    pub(crate) data_centres: BTreeMap<VmId, String>,
     /// Learned pace of all its targets together.
     pub(crate) pace: StreamPace,
     /// Learned capacity.
@@ -132,7 +132,7 @@
     /// When the learned state of the targets last decayed.
     pub(crate) last_decay: Uptime,
     /// The share of the targets' limits, and of a trial, that it grants.
-    pub(crate) part: RatePart,
+    pub(crate) part: RateShare,
     /// Requests that it has granted to a version on trial and to others.
     pub(crate) trial: Option<TrialShare>,
 }
@@ -148,13 +148,13 @@
             permits: BTreeMap::new(),
             buckets: BTreeMap::new(),
             level: OverloadLevel::default(),
-            away: BTreeSet::new(),
-            places: BTreeMap::new(),
+            leaving_vms: BTreeSet::new(),
+            data_centres: BTreeMap::new(),
             pace: StreamPace::of_pool(),
             throughput: PoolThroughput::default(),
             flows: UrgencyFlows::default(),
             last_decay: Duration::ZERO,
-            part: RatePart { reached: 1, all: 1, turn: RateTurn::Leader },
+            part: RateShare { reached: 1, all: 1, role: RateRole::Leader },
             trial: None,
         }
     }
--- a/crates/sched/src/rollout.rs
+++ b/crates/sched/src/rollout.rs
@@ -24,12 +24,12 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AnswerSample, DaemonId, ObjectVersion, RolloutNews, RolloutOrder, RolloutRecord, RolloutStage,
-    Uptime,
+    AnswerSample, DaemonId, ObjectVersion, RolloutOrder, RolloutRecord, RolloutReport,
+    RolloutStage, Uptime,
 };
 
 use self::evidence::AnswerLog;
-pub use self::plan::{RolloutReason, RolloutSight, RolloutStep};
+pub use self::plan::{RolloutReason, RolloutStep, RolloutView};
 
 /// An order and its stage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -40,10 +40,10 @@
     stage: RolloutStage,
     /// The final stage that the platform has stored, and whether the platform has stored the trial.
     ended: Option<RolloutStage>,
-    noted: bool,
+    has_status: bool,
     /// When any daemon first knew the order, and since when the stage holds.
     begun: Uptime,
-    staged: Uptime,
+    stage_since: Uptime,
     log: AnswerLog,
     evaluated: Uptime,
     latest_write: Option<(RolloutStage, Uptime)>,
@@ -56,15 +56,19 @@
 impl PoolRollout {
     /// Returns the state of an order that the platform lists.
     pub fn from_record(now: Uptime, record: RolloutRecord) -> PoolRollout {
-        let RolloutRecord { name, order, ended, noted, revision } = record;
+        let RolloutRecord { name, order, ended, has_status, revision } = record;
         let stage = ended.unwrap_or_default();
-        PoolRollout { ended, noted, ..PoolRollout::new(now, now, name, order, stage, revision) }
+        PoolRollout {
+            ended,
+            has_status,
+            ..PoolRollout::new(now, now, name, order, stage, revision)
+        }
     }
 
     /// Returns the state of an order that a peer reports.
-    pub fn from_report(now: Uptime, news: RolloutNews) -> PoolRollout {
-        let begun = now.saturating_sub(news.age);
-        PoolRollout::new(now, begun, news.name, news.order, news.stage, news.revision)
+    pub fn from_report(now: Uptime, report: RolloutReport) -> PoolRollout {
+        let begun = now.saturating_sub(report.age);
+        PoolRollout::new(now, begun, report.name, report.order, report.stage, report.revision)
     }
 
     fn new(
@@ -81,9 +85,9 @@
             revision,
             stage,
             ended: None,
-            noted: false,
+            has_status: false,
             begun,
-            staged: now,
+            stage_since: now,
             log: AnswerLog::default(),
             evaluated: Duration::ZERO,
             latest_write: None,
@@ -108,13 +112,13 @@
     }
 
     /// Returns whether the platform has stored the final stage, so that nothing remains to be decided or written.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_stored(&self) -> bool {
         self.ended.is_some()
     }
 
     /// Returns since when the stage holds.
-    pub fn staged(&self) -> Uptime {
-        self.staged
+    pub fn stage_since(&self) -> Uptime {
+        self.stage_since
     }
 
     /// Returns the name of the platform's object.
@@ -150,7 +154,7 @@
         }
         self.revision = record.revision;
         self.order.time = record.order.time;
-        self.noted |= record.noted;
+        self.has_status |= record.has_status;
         match record.ended {
             Some(ended) => {
                 self.ended = Some(ended);
@@ -161,15 +165,15 @@
     }
 
     /// Merges a peer's report; returns whether the stage changed.
-    pub fn told(&mut self, now: Uptime, news: &RolloutNews) -> bool {
-        self.begun = self.begun.min(now.saturating_sub(news.age));
-        self.revision = self.revision.max(news.revision);
-        news.stage > self.stage && self.ended.is_none() && self.enter_stage(now, news.stage)
+    pub fn told(&mut self, now: Uptime, report: &RolloutReport) -> bool {
+        self.begun = self.begun.min(now.saturating_sub(report.age));
+        self.revision = self.revision.max(report.revision);
+        report.stage > self.stage && self.ended.is_none() && self.enter_stage(now, report.stage)
     }
 
     /// Returns the report for peers.
-    pub fn news(&self, now: Uptime) -> RolloutNews {
-        RolloutNews {
+    pub fn report(&self, now: Uptime) -> RolloutReport {
+        RolloutReport {
             name: self.name.clone(),
             order: self.order.clone(),
             stage: self.stage,
@@ -203,7 +207,7 @@
             return false;
         }
         self.stage = stage;
-        self.staged = now;
+        self.stage_since = now;
         true
     }
 }
--- a/crates/sched/src/rollout/exposure.rs
+++ b/crates/sched/src/rollout/exposure.rs
@@ -16,7 +16,7 @@
 
 use curlewcleat_core::TierRank;
 
-use crate::admission::shared_rate::{RatePart, RateTurn};
+use crate::admission::shared_rate::{RateRole, RateShare};
 
 /// Number of requests that an urgency with more requests at the version leaves for the other urgencies.
 const RESERVE: u64 = 3;
@@ -62,8 +62,8 @@
 
     /// Returns whether a request of an urgency may go to the version, at a scheduler that reaches this share of the
     /// daemons.
-    pub fn admits(&self, urgency: TierRank, share: RatePart) -> bool {
-        if share.turn != RateTurn::Leader {
+    pub fn admits(&self, urgency: TierRank, share: RateShare) -> bool {
+        if share.role != RateRole::Leader {
             return false;
         }
         let had = self.had(urgency);
@@ -78,7 +78,7 @@
     }
 
     /// Returns the number of requests that may have gone to the version by now.
-    fn allowance(&self, share: RatePart) -> u64 {
+    fn allowance(&self, share: RateShare) -> u64 {
         let total = self.granted * self.limits.permille / 1_000 + self.limits.slack;
         total * share.reached.min(share.all) as u64 / (share.all.max(1) as u64)
     }
--- a/crates/sched/src/rollout/measures.rs
+++ b/crates/sched/src/rollout/measures.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use curlewcleat_core::{AnswerSight, Uptime};
+use curlewcleat_core::{AnswerObservation, Uptime};
 
 use super::samples::{LoggedAnswer, NameIndex};
 use super::statistics::median;
@@ -48,11 +48,11 @@
     /// Returns the logarithm of the time, `None` if the observation has none.
     fn of(self, answer: &LoggedAnswer) -> Option<f64> {
         let micros = |time: Duration| (time.as_micros() as f64).max(1.0);
-        match (self, answer.sight) {
-            (TimeMeasure::First, AnswerSight::Begun(first)) => {
+        match (self, answer.observation) {
+            (TimeMeasure::First, AnswerObservation::Begun(first)) => {
                 Some((micros(first) / (answer.work as f64 + WORK_BASE)).ln())
             }
-            (TimeMeasure::Part, AnswerSight::Paced(part)) => Some(micros(part).ln()),
+            (TimeMeasure::Part, AnswerObservation::Paced(part)) => Some(micros(part).ln()),
             _ => None,
         }
     }
@@ -78,8 +78,8 @@
         for answer in self.answers.iter().filter(of_rule).filter(|answer| answer.is_answer()) {
             let count = counts.entry(answer.target).or_default();
             count.all += 1;
-            match answer.sight {
-                AnswerSight::Broken => {
+            match answer.observation {
+                AnswerObservation::Broken => {
                     let span = answer.at.as_secs() / INTERRUPTION_SPAN.as_secs();
                     let interrupted = interruptions.entry((answer.target, span)).or_default();
                     *interrupted += 1;
--- a/crates/sched/src/rollout/plan.rs
+++ b/crates/sched/src/rollout/plan.rs
@@ -61,9 +61,9 @@
 
 /// The view of a pool of the daemon that decides.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RolloutSight {
+pub struct RolloutView {
     /// Since when this daemon decides.
-    pub leads_since: Uptime,
+    pub deciding_since: Uptime,
     /// Targets of the version that accept requests.
     pub targets: usize,
     /// Listed targets of other versions.
@@ -87,7 +87,7 @@
 
 impl PoolRollout {
     /// Decides the next step, at the daemon that decides.
-    pub fn step(&mut self, now: Uptime, view: &RolloutSight) -> Option<RolloutStep> {
+    pub fn step(&mut self, now: Uptime, view: &RolloutView) -> Option<RolloutStep> {
         if let Some((stage, reason)) = self.next_stage(now, view) {
             if self.enter_stage(now, stage) {
                 return Some(RolloutStep::Stage(stage, reason));
@@ -105,7 +105,7 @@
     fn next_stage(
         &mut self,
         now: Uptime,
-        view: &RolloutSight,
+        view: &RolloutView,
     ) -> Option<(RolloutStage, RolloutReason)> {
         if self.stage.is_final() || now < self.evaluated + EVALUATION_INTERVAL {
             return None;
@@ -118,7 +118,7 @@
         if let VersionVerdict::Faulty(fault) = verdict {
             return Some((RolloutStage::RolledBack, RolloutReason::Faulty(fault)));
         }
-        if self.stage != RolloutStage::Trial || now < view.leads_since + SETTLE_TIME {
+        if self.stage != RolloutStage::Trial || now < view.deciding_since + SETTLE_TIME {
             return None;
         }
         if view.others == 0 && view.targets > 0 {
@@ -148,10 +148,10 @@
     }
 
     /// Returns the stage that the platform is to store now.
-    fn next_write(&self, now: Uptime, view: &RolloutSight) -> Option<RolloutStage> {
-        let settled = now >= self.staged.max(view.leads_since) + SETTLE_TIME;
+    fn next_write(&self, now: Uptime, view: &RolloutView) -> Option<RolloutStage> {
+        let settled = now >= self.stage_since.max(view.deciding_since) + SETTLE_TIME;
         let stage = match self.stage {
-            RolloutStage::Trial if self.noted => return None,
+            RolloutStage::Trial if self.has_status => return None,
             RolloutStage::Trial => RolloutStage::Trial,
             RolloutStage::Move if self.rollback_pending => RolloutStage::RolledBack,
             RolloutStage::Move if !settled || view.others_in_flight > 0 => return None,
--- a/crates/sched/src/rollout/samples.rs
+++ b/crates/sched/src/rollout/samples.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use curlewcleat_core::{AnswerSample, AnswerSight, DaemonId, TargetVersion, Uptime, WorkMicros};
+use curlewcleat_core::{
+    AnswerObservation, AnswerSample, DaemonId, TargetVersion, Uptime, WorkMicros,
+};
 
 /// Maximum number of answers of the version; the oldest are evicted first.
 const TRIAL_LIMIT: usize = 4_096;
@@ -33,18 +35,18 @@
     /// Estimated work until the first part.
     pub work: WorkMicros,
     /// What was observed.
-    pub sight: AnswerSight,
+    pub observation: AnswerObservation,
 }
 
 impl LoggedAnswer {
     /// Returns whether it counts against its target.
     pub fn is_bad(&self) -> bool {
-        matches!(self.sight, AnswerSight::Failed | AnswerSight::Broken)
+        matches!(self.observation, AnswerObservation::Failed | AnswerObservation::Broken)
     }
 
     /// Returns whether it counts as an answer: later observations of the same answer do not count again.
     pub fn is_answer(&self) -> bool {
-        self.is_bad() || matches!(self.sight, AnswerSight::Begun(_))
+        self.is_bad() || matches!(self.observation, AnswerObservation::Begun(_))
     }
 }
 
@@ -125,7 +127,13 @@
     fn record(&mut self, now: Uptime, version: &TargetVersion, sample: &AnswerSample) {
         let indices = self.rules.index_of(&sample.rule).zip(self.targets.index_of(&sample.target));
         let Some((rule, target)) = indices else { return };
-        let answer = LoggedAnswer { at: now, rule, target, work: sample.work, sight: sample.sight };
+        let answer = LoggedAnswer {
+            at: now,
+            rule,
+            target,
+            work: sample.work,
+            observation: sample.observation,
+        };
         if sample.version.as_ref() == Some(version) {
             self.bad += u64::from(answer.is_bad());
             self.trial.push_back(answer);
@@ -147,8 +155,8 @@
     /// Returns the time of the longest answers of the other versions, except the one in [`LONGEST_OF`] that took
     /// longest.
     pub fn long_answer(&self) -> Duration {
-        let times = self.others.iter().filter_map(|answer| match answer.sight {
-            AnswerSight::Whole(took) => Some(took),
+        let times = self.others.iter().filter_map(|answer| match answer.observation {
+            AnswerObservation::Whole(took) => Some(took),
             _ => None,
         });
         let mut times: Vec<Duration> = times.collect();
--- a/crates/sched/src/rollout/versions.rs
+++ b/crates/sched/src/rollout/versions.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    ObjectVersion, RolloutNews, RolloutRecord, RolloutStage, StorePlace, TargetVersion, Uptime,
+    ObjectVersion, RolloutRecord, RolloutReport, RolloutStage, StorePosition, TargetVersion, Uptime,
 };
 
 use super::PoolRollout;
@@ -24,7 +24,7 @@
 const HOLD: Duration = Duration::from_secs(1);
 
 /// A version as a target reports it, `None` if it reports none.
-pub type ToldVersion = Option<TargetVersion>;
+pub type ReportedVersion = Option<TargetVersion>;
 
 /// The requests that targets of a version may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -41,11 +41,11 @@
 /// The versions of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PoolVersions {
-    in_service: BTreeSet<ToldVersion>,
+    in_service: BTreeSet<ReportedVersion>,
     /// Versions that are held back, and since when.
-    held: BTreeMap<ToldVersion, Uptime>,
+    held: BTreeMap<ReportedVersion, Uptime>,
     /// Versions that were rolled back, or that the pool was moved away from.
-    closed: BTreeSet<ToldVersion>,
+    closed: BTreeSet<ReportedVersion>,
     rollout: Option<PoolRollout>,
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Returns the versions that are held back until the orders are read.
-    pub fn held(&self) -> impl Iterator<Item = &ToldVersion> {
+    pub fn held(&self) -> impl Iterator<Item = &ReportedVersion> {
         self.held.keys()
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns the requests that targets of a version may get.
-    pub fn access(&self, version: &ToldVersion) -> VersionAccess {
+    pub fn access(&self, version: &ReportedVersion) -> VersionAccess {
         match (self.stage_of_order(), self.is_ordered(version)) {
             (Some(RolloutStage::Trial), true) => VersionAccess::Trial,
             (Some(RolloutStage::Move), true) => VersionAccess::Open,
@@ -83,7 +83,7 @@
 
     /// Returns whether no request may go to targets of a version, whichever daemon granted it. A version that is only
     /// held back is not known to be under an order.
-    pub fn is_shut(&self, version: &ToldVersion) -> bool {
+    pub fn is_blocked(&self, version: &ReportedVersion) -> bool {
         let moved = self.stage_of_order() == Some(RolloutStage::Move);
         match self.is_ordered(version) {
             true => self.stage_of_order() == Some(RolloutStage::RolledBack),
@@ -96,7 +96,7 @@
     pub fn shown(
         &mut self,
         now: Uptime,
-        shown: &BTreeMap<ToldVersion, usize>,
+        shown: &BTreeMap<ReportedVersion, usize>,
         orders_read: Option<Uptime>,
     ) -> bool {
         let before = self.in_service.clone();
@@ -119,12 +119,12 @@
 
     /// Puts the first reported versions in service: all of them once the orders are known, else the one that most
     /// targets have.
-    fn begin_service(&mut self, shown: &BTreeMap<ToldVersion, usize>, orders_known: bool) {
+    fn begin_service(&mut self, shown: &BTreeMap<ReportedVersion, usize>, orders_known: bool) {
         let ordered = self.rollout.as_ref().map(|rollout| rollout.order().version.clone());
         let is_usual =
-            |version: &ToldVersion| *version != ordered && !self.closed.contains(version);
+            |version: &ReportedVersion| *version != ordered && !self.closed.contains(version);
         let candidates = shown.iter().filter(|(version, _)| is_usual(version));
-        let versions: Vec<ToldVersion> = match orders_known {
+        let versions: Vec<ReportedVersion> = match orders_known {
             true => candidates.map(|(version, _)| version.clone()).collect(),
             false => {
                 let most = candidates.max_by_key(|(_, count)| **count);
@@ -136,7 +136,7 @@
 
     fn release(&mut self, orders_read: Option<Uptime>) {
         let may_release = |since: Uptime| orders_read.is_some_and(|read| read >= since + HOLD);
-        let released: Vec<ToldVersion> = self
+        let released: Vec<ReportedVersion> = self
             .held
             .iter()
             .filter(|(_, since)| may_release(**since))
@@ -148,12 +148,12 @@
         }
     }
 
-    fn is_unknown(&self, version: &ToldVersion) -> bool {
+    fn is_unknown(&self, version: &ReportedVersion) -> bool {
         let known = self.in_service.contains(version) || self.closed.contains(version);
         !known && !self.is_ordered(version)
     }
 
-    fn is_ordered(&self, version: &ToldVersion) -> bool {
+    fn is_ordered(&self, version: &ReportedVersion) -> bool {
         let ordered = self.rollout.as_ref().map(|rollout| &rollout.order().version);
         ordered.is_some() && ordered == version.as_ref()
     }
@@ -163,21 +163,21 @@
     }
 
     /// Merges an order that the platform lists; returns whether the state changed.
-    pub fn order_shown(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
+    pub fn merge_record(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
         let changed = match self.known_order(&record.order.version) {
             Some(known) => known.shown(now, record),
             None => self.replace(PoolRollout::from_record(now, record.clone())),
         };
-        self.settle_stage(changed)
+        self.apply_stage(changed)
     }
 
     /// Merges a peer's report of an order; returns whether the state changed.
-    pub fn order_told(&mut self, now: Uptime, news: &RolloutNews) -> bool {
-        let changed = match self.known_order(&news.order.version) {
-            Some(known) => known.told(now, news),
-            None => self.replace(PoolRollout::from_report(now, news.clone())),
+    pub fn merge_report(&mut self, now: Uptime, report: &RolloutReport) -> bool {
+        let changed = match self.known_order(&report.order.version) {
+            Some(known) => known.told(now, report),
+            None => self.replace(PoolRollout::from_report(now, report.clone())),
         };
-        self.settle_stage(changed)
+        self.apply_stage(changed)
     }
 
     /// Returns the latest order, if it is for this version.
@@ -186,9 +186,9 @@
     }
 
     /// Records that the platform lists no order for the pool at this revision; returns whether the state changed.
-    pub fn order_absent(&mut self, at: ObjectVersion) -> bool {
+    pub fn remove_missing_order(&mut self, at: ObjectVersion) -> bool {
         // Orders keep bare revisions, so that an order that is missing from an older copy of the store stays in force.
-        let at = StorePlace::of(at).revision;
+        let at = StorePosition::of(at).revision;
         if self.rollout.as_ref().is_none_or(|known| known.revision() > at) {
             return false;
         }
@@ -197,7 +197,7 @@
     }
 
     /// Updates which versions are in service and closed, if the stage of the order changed.
-    pub fn settle_stage(&mut self, changed: bool) -> bool {
+    pub fn apply_stage(&mut self, changed: bool) -> bool {
         let Some(rollout) = self.rollout.as_ref().filter(|_| changed) else { return changed };
         let version = Some(rollout.order().version.clone());
         match rollout.stage() {
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -51,7 +51,7 @@
 
     /// Clears the requested and granted work of the urgencies. A model with one urgency, which has all slots, uses
     /// this to have fewer states.
-    pub fn forget_flows(&mut self) {
+    pub fn clear_flows(&mut self) {
         self.flows = UrgencyFlows::default();
         self.queues.clear_shares();
     }
@@ -149,7 +149,7 @@
         }
         let (prompt_work, output_work) = (held.request.prompt_work, held.request.output_work);
         let expected = prompt_work + output_work;
-        let target = self.life_of(&held.target);
+        let target = self.instance_of(&held.target);
         if let Some(state) = state_of(&mut self.targets, &target) {
             state.in_flight += 1;
         }
@@ -167,7 +167,7 @@
     }
 
     /// Removes the requests and permits of an entry daemon that has left.
-    pub fn entry_gone(&mut self, now: Uptime, entry: &DaemonId) -> Vec<SchedulerAction> {
+    pub fn remove_entry_daemon(&mut self, now: Uptime, entry: &DaemonId) -> Vec<SchedulerAction> {
         for permit in self.queues.of_entry(entry) {
             self.queues.remove(&permit);
         }
@@ -225,7 +225,7 @@
     }
 
     /// Returns whether a permit request of a tier below this one waits.
-    pub fn holds_below(&self, tier: TierRank) -> bool {
+    pub fn has_waiting_below(&self, tier: TierRank) -> bool {
         !self.queues.below(tier).is_empty()
     }
 
--- a/crates/sched/src/target_gate.rs
+++ b/crates/sched/src/target_gate.rs
@@ -6,15 +6,15 @@
 //! this daemon alone; the scheduler ensures that all daemons together send no more
 //! ([`pacing`](crate::placement::pacing)).
 //!
-//! Owns: the notices of each target instance that has answered this daemon. Relies on: [`TargetWord`] for which
+//! Owns: the notices of each target instance that has answered this daemon. Relies on: [`NoticeState`] for which
 //! notices hold.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use curlewcleat_core::{NoticeReport, TargetLife, Uptime};
+use curlewcleat_core::{NoticeReport, TargetInstance, Uptime};
 
-use crate::placement::notice::{HeardNotice, TargetWord};
+use crate::placement::notice::{NoticeState, ReceivedNotice};
 use crate::placement::pacing::SendPace;
 
 /// Requests allowed at once beyond the scheduler's burst, since grants can bunch up on their way.
@@ -27,7 +27,7 @@
 /// The notices of one target instance, and what was sent and reported of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct GateRecord {
-    word: TargetWord,
+    word: NoticeState,
     /// When its latest notice was received.
     last_notice: Uptime,
     /// Whether an unreadable notice has been reported to the operators.
@@ -51,7 +51,7 @@
 
 /// The effect of a received notice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NoticeNews {
+pub struct NoticeChange {
     /// The merged notices of the target instance.
     pub report: NoticeReport,
     /// Whether the notice changed them.
@@ -65,16 +65,21 @@
 /// The notices of target instances that this daemon has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TargetGate {
-    lives: BTreeMap<TargetLife, GateRecord>,
+    instances: BTreeMap<TargetInstance, GateRecord>,
 }
 
 impl TargetGate {
     /// Applies a notice that has just arrived in a response header.
-    pub fn heard(&mut self, now: Uptime, life: &TargetLife, received: &HeardNotice) -> NoticeNews {
-        if !self.lives.contains_key(life) {
-            self.lives.retain(|_, record| now < record.last_notice + RECORD_RETENTION);
+    pub fn heard(
+        &mut self,
+        now: Uptime,
+        instance: &TargetInstance,
+        received: &ReceivedNotice,
+    ) -> NoticeChange {
+        if !self.instances.contains_key(instance) {
+            self.instances.retain(|_, record| now < record.last_notice + RECORD_RETENTION);
         }
-        let record = self.lives.entry(life.clone()).or_default();
+        let record = self.instances.entry(instance.clone()).or_default();
         record.last_notice = now;
         let changed = record.word.heard(now, received);
         record.pace = record
@@ -88,12 +93,12 @@
         }
         let unreadable =
             received.notice.unreadable && !std::mem::replace(&mut record.unreadable_reported, true);
-        NoticeNews { report: record.word.report(now, life), changed, tell, unreadable }
+        NoticeChange { report: record.word.report(now, instance), changed, tell, unreadable }
     }
 
     /// Returns why a request would be stopped now, `None` if it may be sent.
-    pub fn stop(&mut self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
-        let record = self.lives.get_mut(life)?;
+    pub fn stop(&mut self, now: Uptime, instance: &TargetInstance) -> Option<GateStop> {
+        let record = self.instances.get_mut(instance)?;
         if record.word.is_leaving() {
             return Some(GateStop::Leaving);
         }
@@ -112,11 +117,11 @@
     }
 
     /// Counts a request that is sent now, or returns why it is stopped.
-    pub fn pass(&mut self, now: Uptime, life: &TargetLife) -> Option<GateStop> {
-        if let Some(stop) = self.stop(now, life) {
+    pub fn pass(&mut self, now: Uptime, instance: &TargetInstance) -> Option<GateStop> {
+        if let Some(stop) = self.stop(now, instance) {
             return Some(stop);
         }
-        let record = self.lives.get_mut(life)?;
+        let record = self.instances.get_mut(instance)?;
         if let Some((rate, pace)) = record.word.rate().zip(record.pace.as_mut()) {
             pace.sent(now, rate);
         }
--- a/crates/sched/src/targets.rs
+++ b/crates/sched/src/targets.rs
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use curlewcleat_core::{
-    LifeOrder, NoticeReport, TargetEntry, TargetId, TargetLife, TargetPool, TargetReport, Uptime,
-    VmId,
+    InstanceOrder, NoticeReport, TargetEntry, TargetId, TargetInstance, TargetPool, TargetReport,
+    Uptime, VmId,
 };
 
-use crate::admission::shared_rate::RatePart;
+use crate::admission::shared_rate::RateShare;
 use crate::placement::target::TargetState;
 use crate::pool::{PoolOptions, PoolScheduler, SchedulerAction};
 
@@ -36,13 +36,13 @@
 
     fn configure_target(&mut self, entry: &TargetEntry) {
         let known = self.targets.get(&entry.id).map(|state| state.start);
-        match known.map(|known| LifeOrder::of(entry.start, known)) {
+        match known.map(|known| InstanceOrder::of(entry.start, known)) {
             // The list entry is of an earlier instance than the known one.
-            Some(LifeOrder::Earlier) => return,
-            Some(LifeOrder::Later) => drop(self.targets.remove(&entry.id)),
-            Some(LifeOrder::Same) | None => self.fill_in_start(entry),
+            Some(InstanceOrder::Earlier) => return,
+            Some(InstanceOrder::Later) => drop(self.targets.remove(&entry.id)),
+            Some(InstanceOrder::Same) | None => self.fill_in_start(entry),
         }
-        let is_leaving = self.away.contains(&entry.vm);
+        let is_leaving = self.leaving_vms.contains(&entry.vm);
         let state = self.targets.entry(entry.id.clone()).or_insert_with(|| {
             TargetState::new(entry.vm.clone(), entry.slots).with_pace(self.pace.of_new_target())
         });
@@ -57,35 +57,37 @@
     /// Records the start of a target's instance in permits that were granted before the start was known.
     fn fill_in_start(&mut self, entry: &TargetEntry) {
         let permits = self.permits.values_mut().map(|permit| &mut permit.target);
-        for life in permits.filter(|life| life.id == entry.id && life.start.is_none()) {
-            life.start = entry.start;
+        for instance in
+            permits.filter(|instance| instance.id == entry.id && instance.start.is_none())
+        {
+            instance.start = entry.start;
         }
     }
 
     /// Returns the known instance of a target.
-    pub(crate) fn life_of(&self, target: &TargetId) -> TargetLife {
+    pub(crate) fn instance_of(&self, target: &TargetId) -> TargetInstance {
         let start = self.targets.get(target).and_then(|state| state.start);
-        TargetLife { id: target.clone(), start }
+        TargetInstance { id: target.clone(), start }
     }
 
     /// Sets the VMs that are leaving or unlisted; their targets get no new permits.
-    pub fn set_away(&mut self, away: BTreeSet<VmId>) {
+    pub fn set_leaving_vms(&mut self, leaving_vms: BTreeSet<VmId>) {
         for state in self.targets.values_mut() {
-            state.leaving = away.contains(&state.vm);
+            state.leaving = leaving_vms.contains(&state.vm);
         }
-        self.away = away;
+        self.leaving_vms = leaving_vms;
     }
 
     /// Sets the data centres of the entry daemons, so that local targets are preferred among equals.
-    pub fn set_places(&mut self, places: BTreeMap<VmId, String>) {
-        self.places = places;
+    pub fn set_data_centres(&mut self, data_centres: BTreeMap<VmId, String>) {
+        self.data_centres = data_centres;
     }
 
     /// Applies a target's report. A report of another instance than the known one is ignored.
     pub fn reported(
         &mut self,
         now: Uptime,
-        target: &TargetLife,
+        target: &TargetInstance,
         report: &TargetReport,
     ) -> Vec<SchedulerAction> {
         if let Some(state) = state_of(&mut self.targets, target) {
@@ -98,15 +100,15 @@
 
     /// Applies an entry daemon's report of a target's notices. Notices of another instance than the known one are
     /// ignored.
-    pub fn noticed(
+    pub fn apply_notice_report(
         &mut self,
         now: Uptime,
         from: &VmId,
         report: &NoticeReport,
     ) -> Vec<SchedulerAction> {
         let rate_share = self.part;
-        if let Some(state) = state_of(&mut self.targets, &report.life) {
-            state.noticed(now, from, report, rate_share);
+        if let Some(state) = state_of(&mut self.targets, &report.instance) {
+            state.apply_notice_report(now, from, report, rate_share);
         }
         let mut actions = Vec::new();
         self.grant(now, &mut actions);
@@ -114,12 +116,12 @@
     }
 
     /// Sets this scheduler's share of the limits of its targets.
-    pub fn set_part(&mut self, now: Uptime, part: RatePart) {
+    pub fn set_rate_share(&mut self, now: Uptime, part: RateShare) {
         if self.part == part {
             return;
         }
         self.part = part;
-        self.targets.values_mut().for_each(|state| state.keep_part(now, part));
+        self.targets.values_mut().for_each(|state| state.update_rate_share(now, part));
     }
 
     /// Returns the known targets.
@@ -131,12 +133,12 @@
 /// Returns the state of a target instance, `None` if another instance is known.
 pub(crate) fn state_of<'a>(
     targets: &'a mut BTreeMap<TargetId, TargetState>,
-    life: &TargetLife,
+    instance: &TargetInstance,
 ) -> Option<&'a mut TargetState> {
-    targets.get_mut(&life.id).filter(|state| is_same_instance(life, state))
+    targets.get_mut(&instance.id).filter(|state| is_same_instance(instance, state))
 }
 
 /// Returns whether a state belongs to this instance of its target.
-fn is_same_instance(life: &TargetLife, state: &TargetState) -> bool {
-    LifeOrder::of(life.start, state.start) == LifeOrder::Same
+fn is_same_instance(instance: &TargetInstance, state: &TargetState) -> bool {
+    InstanceOrder::of(instance.start, state.start) == InstanceOrder::Same
 }
--- a/crates/sched/tests/advice.rs
+++ b/crates/sched/tests/advice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curlewcleat_core::{PermitId, RequestId};
-use curlewcleat_sched::{rate_advice, spread_advice};
+use curlewcleat_sched::{rate_retry_after, spread_retry_after};
 use rstest::rstest;
 
 #[test]
@@ -13,7 +13,7 @@
         .map(|number| {
             let request = RequestId::from_u128(number * 7_919);
             let permit = PermitId { request, attempt: 0 };
-            spread_advice(permit, Duration::from_millis(500), remaining)
+            spread_retry_after(permit, Duration::from_millis(500), remaining)
         })
         .collect();
     let early = advice.iter().filter(|advice| **advice < Duration::from_millis(1_250)).count();
@@ -31,7 +31,7 @@
     let wait = Duration::from_millis(wait);
     for number in 0..500u128 {
         let permit = PermitId { request: RequestId::from_u128(number * 7_919), attempt: 0 };
-        let advice = rate_advice(permit, wait, Duration::from_secs(12));
+        let advice = rate_retry_after(permit, wait, Duration::from_secs(12));
         assert!(advice >= wait && advice <= wait * 2, "{advice:?}");
     }
 }
--- a/crates/sched/tests/decisions.rs
+++ b/crates/sched/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use curlewcleat_core::{PermitId, RefusalReason, RequestId, RetryReason};
 use curlewcleat_sched::{
-    decide_retry, may_eject_one_more, spread_advice, OverloadLevel, RetryBudget, RetryDecision,
-    RetryInput, RetryLimits, TargetEjection,
+    decide_retry, may_eject_one_more, spread_retry_after, OverloadLevel, RetryBudget,
+    RetryDecision, RetryInput, RetryLimits, TargetEjection,
 };
 use rstest::rstest;
 
@@ -92,7 +92,7 @@
     #[case] expected: u64,
 ) {
     let permit = PermitId { request: RequestId::from_u128(step), attempt: 0 };
-    assert_eq!(spread_advice(permit, ms(wait), ms(remaining)), ms(expected));
+    assert_eq!(spread_retry_after(permit, ms(wait), ms(remaining)), ms(expected));
 }
 
 /// Whether a tier is shed after a refusal of tier 1 for lack of capacity at time 0.
--- a/crates/sched/tests/lethal.rs
+++ b/crates/sched/tests/lethal.rs
@@ -3,9 +3,10 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, RequestBreak, RequestDigest, RequestIdentity, TargetLife, TargetStart,
+    InterruptionKind, RequestDigest, RequestIdentity, RequestInterruption, TargetInstance,
+    TargetStart,
 };
-use curlewcleat_sched::{LethalOptions, LethalRequests, LethalVerdict, LifeSight};
+use curlewcleat_sched::{InstancePresence, LethalOptions, LethalRequests, LethalVerdict};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -21,16 +22,16 @@
     RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: &body }.digest()
 }
 
-fn life(number: usize) -> TargetLife {
-    TargetLife { id: format!("i-{number}"), start: Some(TargetStart(1)) }
+fn instance(number: usize) -> TargetInstance {
+    TargetInstance { id: format!("i-{number}"), start: Some(TargetStart(1)) }
 }
 
-fn broke(number: usize, kind: BreakKind) -> RequestBreak {
-    RequestBreak { life: life(number), kind, begun: false }
+fn interruption(number: usize, kind: InterruptionKind) -> RequestInterruption {
+    RequestInterruption { instance: instance(number), kind, begun: false }
 }
 
-fn closed(number: usize) -> RequestBreak {
-    broke(number, BreakKind::Closed)
+fn closed(number: usize) -> RequestInterruption {
+    interruption(number, InterruptionKind::Closed)
 }
 
 fn new() -> LethalRequests {
@@ -38,17 +39,17 @@
 }
 
 /// Reviews with the same answer for every instance.
-fn review(requests: &mut LethalRequests, now: Duration, presence: LifeSight) {
+fn review(requests: &mut LethalRequests, now: Duration, presence: InstancePresence) {
     requests.review(now, TARGETS, &|_| presence);
 }
 
 /// Returns the state with request 0 interrupted at these instances, all of which have terminated.
-fn after_terminations(now: Duration, lives: &[usize]) -> LethalRequests {
+fn after_terminations(now: Duration, instances: &[usize]) -> LethalRequests {
     let mut requests = new();
-    for number in lives {
-        requests.broken_off(now, digest(0), closed(*number));
+    for number in instances {
+        requests.record_interruption(now, digest(0), closed(*number));
     }
-    review(&mut requests, now, LifeSight::Gone);
+    review(&mut requests, now, InstancePresence::Unlisted);
     requests
 }
 
@@ -57,12 +58,12 @@
     let mut requests = new();
     let now = seconds(100);
     for number in 0..2 {
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
-    requests.broken_off(now, digest(0), closed(2));
+    requests.record_interruption(now, digest(0), closed(2));
     assert!(matches!(requests.verdict(now, &digest(0)), LethalVerdict::Held(_)));
-    review(&mut requests, now + MOMENT, LifeSight::Gone);
+    review(&mut requests, now + MOMENT, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now + MOMENT, &digest(0)), LethalVerdict::Refused);
     assert_eq!(requests.verdict(now + MOMENT, &digest(1)), LethalVerdict::Clear);
 }
@@ -73,14 +74,14 @@
     let mut requests = new();
     let now = seconds(100);
     for number in 0..8 {
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
-    review(&mut requests, now + seconds(7), LifeSight::Shown);
+    review(&mut requests, now + seconds(7), InstancePresence::Listed);
     let LethalVerdict::Held(remaining) = requests.verdict(now + seconds(7), &digest(0)) else {
         panic!("held until the list entries would have expired");
     };
     assert_eq!(remaining, seconds(1));
-    review(&mut requests, now + seconds(8), LifeSight::Shown);
+    review(&mut requests, now + seconds(8), InstancePresence::Listed);
     assert_eq!(requests.verdict(now + seconds(8), &digest(0)), LethalVerdict::Clear);
     assert!(requests.is_empty());
 }
@@ -91,26 +92,30 @@
     let mut requests = new();
     let now = seconds(100);
     for number in 0..3 {
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
-    review(&mut requests, now + seconds(30), LifeSight::Unknown);
+    review(&mut requests, now + seconds(30), InstancePresence::Unknown);
     assert!(matches!(requests.verdict(now + seconds(30), &digest(0)), LethalVerdict::Held(_)));
-    review(&mut requests, now + seconds(31), LifeSight::Gone);
+    review(&mut requests, now + seconds(31), InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now + seconds(31), &digest(0)), LethalVerdict::Refused);
 }
 
 /// A stalled target that is still listed has not terminated; one whose list entry expired has.
 #[rstest]
-#[case::expired(LifeSight::Gone, LethalVerdict::Refused)]
-#[case::listed(LifeSight::Shown, LethalVerdict::Clear)]
+#[case::expired(InstancePresence::Unlisted, LethalVerdict::Refused)]
+#[case::listed(InstancePresence::Listed, LethalVerdict::Clear)]
 fn stalled_connection_counts_only_after_the_target_terminated(
-    #[case] presence: LifeSight,
+    #[case] presence: InstancePresence,
     #[case] verdict: LethalVerdict,
 ) {
     let mut requests = new();
     let now = seconds(100);
     for number in 0..3 {
-        requests.broken_off(now, digest(0), broke(number, BreakKind::Stalled));
+        requests.record_interruption(
+            now,
+            digest(0),
+            interruption(number, InterruptionKind::Stalled),
+        );
     }
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
     review(&mut requests, now + MOMENT, presence);
@@ -125,8 +130,8 @@
     let mut other = after_terminations(now, &[0, 1]);
     other.merge(now, requests.since(now, 0));
     requests.merge(now, other.since(now, 0));
-    requests.broken_off(now, digest(0), closed(1));
-    assert_eq!(requests.breaks_of(&digest(0)), 2);
+    requests.record_interruption(now, digest(0), closed(1));
+    assert_eq!(requests.interruption_count(&digest(0)), 2);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
 }
 
@@ -135,10 +140,11 @@
 fn restarted_target_counts_as_another_instance() {
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1]);
-    let again = TargetLife { start: Some(TargetStart(2)), ..life(1) };
-    let again = RequestBreak { life: again, kind: BreakKind::Closed, begun: false };
-    requests.broken_off(now, digest(0), again);
-    review(&mut requests, now, LifeSight::Gone);
+    let again = TargetInstance { start: Some(TargetStart(2)), ..instance(1) };
+    let again =
+        RequestInterruption { instance: again, kind: InterruptionKind::Closed, begun: false };
+    requests.record_interruption(now, digest(0), again);
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Refused);
 }
 
@@ -150,11 +156,11 @@
     assert!(!requests.served(now, &digest(0)), "reported once");
     // A late report of the earlier terminations, one of which was not known here.
     requests.merge(now, after_terminations(now, &[0, 1, 2]).since(now, 0));
-    assert_eq!(requests.breaks_of(&digest(0)), 0);
+    assert_eq!(requests.interruption_count(&digest(0)), 0);
     for number in 3..6 {
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
-    review(&mut requests, now, LifeSight::Gone);
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Refused);
 }
 
@@ -172,9 +178,9 @@
     assert_eq!(other.verdict(later, &digest(0)), LethalVerdict::Clear);
     // Later interruptions count.
     for number in 3..6 {
-        other.broken_off(later, digest(0), closed(number));
+        other.record_interruption(later, digest(0), closed(number));
     }
-    review(&mut other, later, LifeSight::Gone);
+    review(&mut other, later, InstancePresence::Unlisted);
     requests.merge(later, other.since(later, 0));
     assert_eq!(requests.verdict(later, &digest(0)), LethalVerdict::Refused);
 }
@@ -185,13 +191,13 @@
     let now = seconds(100);
     let mut requests = new();
     for number in 0..3 {
-        requests.broken_off(now, digest(0), closed(number));
-        requests.broken_off(now, digest(1), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(1), closed(number));
     }
-    review(&mut requests, now, LifeSight::Gone);
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(1)), LethalVerdict::Refused);
-    requests.broken_off(now, digest(0), closed(3));
-    review(&mut requests, now, LifeSight::Gone);
+    requests.record_interruption(now, digest(0), closed(3));
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Refused);
     assert_eq!(requests.verdict(now, &digest(1)), LethalVerdict::Clear);
 }
@@ -201,11 +207,11 @@
 fn one_more_termination_is_needed_where_an_answer_had_begun() {
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1]);
-    requests.broken_off(now, digest(0), RequestBreak { begun: true, ..closed(2) });
-    review(&mut requests, now, LifeSight::Gone);
+    requests.record_interruption(now, digest(0), RequestInterruption { begun: true, ..closed(2) });
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
-    requests.broken_off(now, digest(0), RequestBreak { begun: true, ..closed(3) });
-    review(&mut requests, now, LifeSight::Gone);
+    requests.record_interruption(now, digest(0), RequestInterruption { begun: true, ..closed(3) });
+    review(&mut requests, now, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Refused);
 }
 
@@ -217,12 +223,12 @@
     let mut receiver = new();
     let now = seconds(100);
     for number in 0..3 {
-        observer.broken_off(now, digest(0), closed(number));
+        observer.record_interruption(now, digest(0), closed(number));
     }
     receiver.merge(now, observer.since(now, 0));
-    review(&mut receiver, now + seconds(1), LifeSight::Gone);
+    review(&mut receiver, now + seconds(1), InstancePresence::Unlisted);
     assert!(matches!(receiver.verdict(now + seconds(1), &digest(0)), LethalVerdict::Held(_)));
-    review(&mut receiver, now + seconds(3), LifeSight::Gone);
+    review(&mut receiver, now + seconds(3), InstancePresence::Unlisted);
     assert_eq!(receiver.verdict(now + seconds(3), &digest(0)), LethalVerdict::Refused);
 }
 
@@ -232,11 +238,11 @@
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1, 2]);
     let later = now + hour - MOMENT;
-    review(&mut requests, later, LifeSight::Gone);
+    review(&mut requests, later, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(later, &digest(0)), LethalVerdict::Refused);
-    review(&mut requests, later + hour - MOMENT, LifeSight::Gone);
+    review(&mut requests, later + hour - MOMENT, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(later + hour - MOMENT, &digest(0)), LethalVerdict::Refused);
-    review(&mut requests, later + hour * 2, LifeSight::Gone);
+    review(&mut requests, later + hour * 2, InstancePresence::Unlisted);
     assert_eq!(requests.verdict(later + hour * 2, &digest(0)), LethalVerdict::Clear);
     assert!(requests.is_empty());
 }
@@ -245,9 +251,9 @@
 fn suspect_expires_after_ten_minutes() {
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1]);
-    review(&mut requests, now + seconds(599), LifeSight::Gone);
+    review(&mut requests, now + seconds(599), InstancePresence::Unlisted);
     assert_eq!(requests.len(), 1);
-    review(&mut requests, now + seconds(600), LifeSight::Gone);
+    review(&mut requests, now + seconds(600), InstancePresence::Unlisted);
     assert!(requests.is_empty());
 }
 
@@ -260,9 +266,9 @@
     observer.served(now, &digest(0));
     let mut receiver = new();
     receiver.merge(now, observer.since(now, 0));
-    review(&mut receiver, now + MOMENT, LifeSight::Gone);
+    review(&mut receiver, now + MOMENT, InstancePresence::Unlisted);
     receiver.merge(now + MOMENT, after_terminations(now, &[0, 1]).since(now + MOMENT, 0));
-    assert_eq!(receiver.breaks_of(&digest(0)), 0);
+    assert_eq!(receiver.interruption_count(&digest(0)), 0);
 }
 
 #[test]
@@ -285,9 +291,9 @@
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1, 2]);
     for number in 1..20_000 {
-        requests.broken_off(now + MOMENT, digest(number), closed(number as usize + 10));
+        requests.record_interruption(now + MOMENT, digest(number), closed(number as usize + 10));
     }
-    review(&mut requests, now + MOMENT * 2, LifeSight::Gone);
+    review(&mut requests, now + MOMENT * 2, InstancePresence::Unlisted);
     assert!(requests.len() <= 512, "{}", requests.len());
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Refused);
 }
@@ -298,12 +304,12 @@
     let now = seconds(100);
     let mut requests = new();
     for number in 0..1_000 {
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
-    assert!(requests.breaks_of(&digest(0)) <= 12);
+    assert!(requests.interruption_count(&digest(0)) <= 12);
     for number in 0..1_000 {
         requests.served(now, &digest(0));
-        requests.broken_off(now, digest(0), closed(number));
+        requests.record_interruption(now, digest(0), closed(number));
     }
     let report = requests.report(now, &digest(0)).expect("a suspect");
     assert!(report.cleared.len() <= 12, "{report:?}");
@@ -335,7 +341,7 @@
         for (index, step) in steps {
             match step {
                 Step::Interrupted(request, number) => {
-                    daemons[index].broken_off(now, digest(request), closed(number));
+                    daemons[index].record_interruption(now, digest(request), closed(number));
                 }
                 Step::Served(request) => {
                     daemons[index].served(now, &digest(request));
@@ -352,11 +358,11 @@
                     let reports = daemons[from].since(now, 0);
                     daemons[to].merge(now, reports);
                 }
-                review(&mut daemons[from], now + MOMENT * round, LifeSight::Gone);
+                review(&mut daemons[from], now + MOMENT * round, InstancePresence::Unlisted);
             }
         }
         for daemon in &mut daemons {
-            review(daemon, now + seconds(4), LifeSight::Gone);
+            review(daemon, now + seconds(4), InstancePresence::Unlisted);
         }
         for request in 0..3 {
             let verdicts: Vec<LethalVerdict> = daemons
--- a/crates/sched/tests/lethal_crowds.rs
+++ b/crates/sched/tests/lethal_crowds.rs
@@ -9,9 +9,10 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    BreakKind, RequestBreak, RequestDigest, RequestIdentity, TargetLife, TargetStart,
+    InterruptionKind, RequestDigest, RequestIdentity, RequestInterruption, TargetInstance,
+    TargetStart,
 };
-use curlewcleat_sched::{LethalOptions, LethalRequests, LethalVerdict, LifeSight};
+use curlewcleat_sched::{InstancePresence, LethalOptions, LethalRequests, LethalVerdict};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -47,7 +48,7 @@
 
 #[derive(Clone, Default)]
 struct CrowdEngine {
-    life: u64,
+    instance: u64,
     ended: Option<Duration>,
     running: Vec<(Duration, CrowdRequest)>,
 }
@@ -83,8 +84,8 @@
     RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: &body }.digest()
 }
 
-fn life_of(index: usize, engine: &CrowdEngine) -> TargetLife {
-    TargetLife { id: format!("i-{index}"), start: Some(TargetStart(engine.life)) }
+fn instance_of(index: usize, engine: &CrowdEngine) -> TargetInstance {
+    TargetInstance { id: format!("i-{index}"), start: Some(TargetStart(engine.instance)) }
 }
 
 impl Crowd {
@@ -213,12 +214,16 @@
     }
 
     fn terminate(&mut self, index: usize) {
-        let life = life_of(index, &self.engines[index]);
+        let instance = instance_of(index, &self.engines[index]);
         self.engines[index].ended = Some(self.now);
         for (until, request) in std::mem::take(&mut self.engines[index].running) {
             let begun = self.now + request.work >= until + request.first;
-            let broke = RequestBreak { life: life.clone(), kind: BreakKind::Closed, begun };
-            self.lethal.broken_off(self.now, request.digest, broke);
+            let interruption = RequestInterruption {
+                instance: instance.clone(),
+                kind: InterruptionKind::Closed,
+                begun,
+            };
+            self.lethal.record_interruption(self.now, request.digest, interruption);
             if request.attempts < ATTEMPT_LIMIT || request.lethal {
                 self.waiting.push_back(request);
             }
@@ -229,17 +234,21 @@
         for engine in &mut self.engines {
             if engine.ended.is_some_and(|ended| self.now >= ended + RESTART_DELAY) {
                 engine.ended = None;
-                engine.life += 1;
+                engine.instance += 1;
             }
         }
     }
 
     fn review(&mut self) {
-        let present: Vec<TargetLife> =
-            self.engines.iter().enumerate().map(|(index, engine)| life_of(index, engine)).collect();
-        let presence = |life: &TargetLife| match present.contains(life) {
-            true => LifeSight::Shown,
-            false => LifeSight::Gone,
+        let present: Vec<TargetInstance> = self
+            .engines
+            .iter()
+            .enumerate()
+            .map(|(index, engine)| instance_of(index, engine))
+            .collect();
+        let presence = |instance: &TargetInstance| match present.contains(instance) {
+            true => InstancePresence::Listed,
+            false => InstancePresence::Unlisted,
         };
         self.lethal.review(self.now, ENGINES, &presence);
     }
--- a/crates/sched/tests/lives.rs
+++ b/crates/sched/tests/lives.rs
@@ -120,7 +120,7 @@
     configure(&mut scheduler, &[("t", Some(2))], 1);
     let other = DaemonId { vm: "other".to_string(), incarnation: 1 };
     assert_eq!(granted(&scheduler.request_permit(NOW, other.clone(), permit_request(2))), [2]);
-    scheduler.entry_gone(NOW, &entry());
+    scheduler.remove_entry_daemon(NOW, &entry());
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
     assert!(granted(&scheduler.request_permit(NOW, other, permit_request(3))).is_empty());
 }
@@ -136,12 +136,12 @@
         scheduler.request_permit(NOW, entry(), to_t(number));
         scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed));
     }
-    scheduler.set_away(["t".to_string()].into());
+    scheduler.set_leaving_vms(["t".to_string()].into());
     let learned = &scheduler.targets()["t"];
     assert!(learned.ejected() && learned.leaving && learned.prefixes.holds(7));
     assert!(learned.slowness() > unknown.slowness() && learned.failing() > 0);
     configure(&mut scheduler, &[("t", Some(2)), ("u", Some(1))], 4);
-    scheduler.set_away(Default::default());
+    scheduler.set_leaving_vms(Default::default());
     let mut expected = unknown;
     expected.start = Some(TargetStart(2));
     assert_eq!(scheduler.targets()["t"], expected);
--- a/crates/sched/tests/members.rs
+++ b/crates/sched/tests/members.rs
@@ -182,7 +182,7 @@
 fn new_daemon_sends_heartbeats_to_the_strongest_only(#[case] fleet: usize) {
     let mut view = view(12, 12, 5);
     let strong = |index: usize| if index.is_multiple_of(7) { 50 } else { 12 };
-    view.records_listed((1..fleet).map(|index| record(index, strong(index))).collect());
+    view.update_records((1..fleet).map(|index| record(index, strong(index))).collect());
     let mut all = std::collections::BTreeSet::new();
     for beat in 0..4 {
         all.extend(receivers(&mut view, Duration::from_millis(125 * beat)));
@@ -201,7 +201,7 @@
     let records: Vec<_> = (1..40)
         .map(|index| record(index, if index <= 5 { 50 + index as u32 } else { 12 }))
         .collect();
-    view.records_listed(records);
+    view.update_records(records);
     // The strongest one of all has ended; its record is still there.
     assert_eq!(first(&view), "vm-5");
     let mut now = Duration::from_millis(10);
@@ -237,7 +237,7 @@
             started: 5,
         },
     );
-    seed.records_listed((1..100).map(|index| record(index, 12)).collect());
+    seed.update_records((1..100).map(|index| record(index, 12)).collect());
     for index in 1..5 {
         seed.heartbeat_received(now, &daemon(index), &heartbeat(index, 50, 5));
     }
--- a/crates/sched/tests/notices.rs
+++ b/crates/sched/tests/notices.rs
@@ -8,11 +8,11 @@
 use curlewcleat_core::{
     AttemptEnd, DaemonId, LatencyObjectives, LimitNotice, LimitReport, NoticeReport,
     PermitDecision, PermitId, PermitRequest, PermitReturn, RefusalReason, RequestId, RequestRate,
-    TargetEntry, TargetLife, TargetNotice, TargetPool, TargetStart, VmId,
+    TargetEntry, TargetInstance, TargetNotice, TargetPool, TargetStart, VmId,
 };
 use curlewcleat_sched::{
-    GateStop, HeardNotice, PoolOptions, PoolScheduler, RatePart, RateTurn, SchedulerAction,
-    TargetGate, TargetWord,
+    GateStop, NoticeState, PoolOptions, PoolScheduler, RateRole, RateShare, ReceivedNotice,
+    SchedulerAction, TargetGate,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -22,8 +22,8 @@
 /// Span over which requests are counted against a limit.
 const SPAN: Duration = Duration::from_secs(4);
 
-fn life(id: &str) -> TargetLife {
-    TargetLife { id: id.to_string(), start: None }
+fn instance(id: &str) -> TargetInstance {
+    TargetInstance { id: id.to_string(), start: None }
 }
 
 fn rate(per_second: f64) -> RequestRate {
@@ -36,7 +36,7 @@
 
 fn limited(id: &str, per_second: f64) -> NoticeReport {
     let limit = LimitReport { rate: Some(rate(per_second)), age: Duration::ZERO };
-    NoticeReport { life: life(id), leaving: false, rest: None, limit: Some(limit) }
+    NoticeReport { instance: instance(id), leaving: false, rest: None, limit: Some(limit) }
 }
 
 fn unlimited(id: &str, age: Duration) -> NoticeReport {
@@ -44,8 +44,8 @@
     NoticeReport { limit: Some(limit), ..limited(id, 1.0) }
 }
 
-fn leader(reached: usize, all: usize) -> RatePart {
-    RatePart { reached, all, turn: RateTurn::Leader }
+fn leader(reached: usize, all: usize) -> RateShare {
+    RateShare { reached, all, role: RateRole::Leader }
 }
 
 fn scheduler(ids: &[&str], slots: u32) -> PoolScheduler {
@@ -136,7 +136,7 @@
 #[case::high(40.0)]
 fn scheduler_grants_the_limit_and_no_more(#[case] limit: f64) {
     let mut scheduler = scheduler(&["t"], 1_000);
-    scheduler.noticed(SECOND, &vm(), &limited("t", limit));
+    scheduler.apply_notice_report(SECOND, &vm(), &limited("t", limit));
     let times = grants(&mut scheduler, SECOND, SECOND * 60);
     assert!(most_in_span(&times) <= allowed(limit), "{}", most_in_span(&times));
     let least = (limit * 60.0 * 0.9) as usize;
@@ -147,16 +147,16 @@
 #[test]
 fn changes_of_the_limit_allow_no_burst() {
     let mut scheduler = scheduler(&["t"], 10_000);
-    scheduler.noticed(SECOND, &vm(), &limited("t", 2.0));
+    scheduler.apply_notice_report(SECOND, &vm(), &limited("t", 2.0));
     let mut times = Vec::new();
     for (index, limit) in [2.0, 20.0, 1.0, 0.0, 5.0].into_iter().enumerate() {
         let from = SECOND * (1 + 10 * index as u32);
-        scheduler.noticed(from, &vm(), &limited("t", limit));
+        scheduler.apply_notice_report(from, &vm(), &limited("t", limit));
         times = grants(&mut scheduler, from, SECOND * 10);
         assert!(most_in_span(&times) <= allowed(limit), "{limit}: {}", most_in_span(&times));
     }
     assert!(!times.is_empty());
-    scheduler.noticed(SECOND * 60, &vm(), &unlimited("t", Duration::ZERO));
+    scheduler.apply_notice_report(SECOND * 60, &vm(), &unlimited("t", Duration::ZERO));
     let times = grants(&mut scheduler, SECOND * 60, SECOND * 4);
     assert!(times.len() > 100, "{}", times.len());
 }
@@ -165,7 +165,7 @@
 #[test]
 fn target_with_a_limit_of_zero_is_probed() {
     let mut scheduler = scheduler(&["t"], 10);
-    scheduler.noticed(SECOND, &vm(), &limited("t", 0.0));
+    scheduler.apply_notice_report(SECOND, &vm(), &limited("t", 0.0));
     let times = grants(&mut scheduler, SECOND, SECOND * 60);
     assert!((5..=7).contains(&times.len()), "{}", times.len());
 }
@@ -178,18 +178,18 @@
     let mut times = Vec::new();
     for share in [leader(4, 7), leader(2, 7), leader(1, 7)] {
         let mut scheduler = scheduler(&["t"], 1_000);
-        scheduler.set_part(SECOND, share);
-        scheduler.noticed(SECOND, &vm(), &limited("t", limit));
+        scheduler.set_rate_share(SECOND, share);
+        scheduler.apply_notice_report(SECOND, &vm(), &limited("t", limit));
         times.extend(grants(&mut scheduler, SECOND, SECOND * 30));
     }
     times.sort();
     assert!(most_in_span(&times) <= allowed(limit), "{}", most_in_span(&times));
     let mut scheduler = scheduler(&["t"], 1_000);
-    scheduler.set_part(SECOND, RatePart { reached: 0, all: 1, turn: RateTurn::Deputy });
-    scheduler.noticed(SECOND, &vm(), &limited("t", limit));
+    scheduler.set_rate_share(SECOND, RateShare { reached: 0, all: 1, role: RateRole::Deputy });
+    scheduler.apply_notice_report(SECOND, &vm(), &limited("t", limit));
     assert_eq!(grants(&mut scheduler, SECOND, SECOND * 30), []);
     // It becomes the leader. What it did not grant before was granted by others, so it has no credit for a burst.
-    scheduler.set_part(SECOND * 31, leader(7, 7));
+    scheduler.set_rate_share(SECOND * 31, leader(7, 7));
     let times = grants(&mut scheduler, SECOND * 31, SECOND * 8);
     assert!(most_in_span(&times) <= allowed(limit) - 2, "{}", most_in_span(&times));
 }
@@ -198,7 +198,7 @@
 #[test]
 fn lower_tier_does_not_use_up_the_limit() {
     let mut scheduler = scheduler(&["t"], 100);
-    scheduler.noticed(SECOND, &vm(), &limited("t", 2.0));
+    scheduler.apply_notice_report(SECOND, &vm(), &limited("t", 2.0));
     let mut known = BTreeSet::new();
     let mut served = [0, 0];
     for step in 0..500u32 {
@@ -240,7 +240,7 @@
 fn rest_holds_only_for_the_entry_daemon_from_which_it_was_requested() {
     let mut scheduler = scheduler(&["a", "b"], 2);
     let mut now = SECOND;
-    scheduler.noticed(now, &vm(), &resting("a", SECOND * 3));
+    scheduler.apply_notice_report(now, &vm(), &resting("a", SECOND * 3));
     let mut number = 0;
     let mut request_from = |scheduler: &mut PoolScheduler, now, vm: &str| {
         number += 1;
@@ -268,8 +268,8 @@
 #[test]
 fn refusal_states_when_the_first_rest_ends() {
     let mut scheduler = scheduler(&["a", "b"], 2);
-    scheduler.noticed(SECOND, &vm(), &resting("a", SECOND * 3));
-    scheduler.noticed(SECOND, &vm(), &resting("b", SECOND * 2));
+    scheduler.apply_notice_report(SECOND, &vm(), &resting("a", SECOND * 3));
+    scheduler.apply_notice_report(SECOND, &vm(), &resting("b", SECOND * 2));
     for number in 0..50 {
         let actions = scheduler.request_permit(SECOND, entry("e"), permit_request(number * 37, 0));
         let PermitDecision::Refused(refusal) = &actions[0].answer.decision else {
@@ -288,7 +288,7 @@
 fn leaving_target_is_not_granted() {
     let mut scheduler = scheduler(&["a", "b"], 100);
     let leaving = NoticeReport { leaving: true, limit: None, ..limited("a", 1.0) };
-    scheduler.noticed(SECOND, &vm(), &leaving);
+    scheduler.apply_notice_report(SECOND, &vm(), &leaving);
     for number in 0..20 {
         let actions =
             scheduler.request_permit(SECOND * 2, entry("other"), permit_request(number, 0));
@@ -300,19 +300,19 @@
 #[test]
 fn gate_stops_requests_that_the_notices_exclude() {
     let mut gate = TargetGate::default();
-    let heard = |notice| HeardNotice { sent: SECOND, notice };
+    let heard = |notice| ReceivedNotice { sent: SECOND, notice };
     let rest = TargetNotice { rest: Some(SECOND * 3), ..TargetNotice::default() };
-    gate.heard(SECOND, &life("a"), &heard(rest));
+    gate.heard(SECOND, &instance("a"), &heard(rest));
     // A shorter rest does not end a longer one.
     let short = TargetNotice { rest: Some(SECOND), ..TargetNotice::default() };
-    gate.heard(SECOND, &life("a"), &heard(short));
-    assert_eq!(gate.pass(SECOND * 3, &life("a")), Some(GateStop::Resting));
-    assert_eq!(gate.pass(SECOND * 4, &life("a")), None);
+    gate.heard(SECOND, &instance("a"), &heard(short));
+    assert_eq!(gate.pass(SECOND * 3, &instance("a")), Some(GateStop::Resting));
+    assert_eq!(gate.pass(SECOND * 4, &instance("a")), None);
     let leaving = TargetNotice { leaving: true, ..TargetNotice::default() };
-    gate.heard(SECOND * 4, &life("a"), &heard(leaving));
-    gate.heard(SECOND * 5, &life("a"), &heard(TargetNotice::default()));
-    assert_eq!(gate.pass(SECOND * 3_000, &life("a")), Some(GateStop::Leaving));
-    let later = TargetLife { start: Some(TargetStart(2)), ..life("a") };
+    gate.heard(SECOND * 4, &instance("a"), &heard(leaving));
+    gate.heard(SECOND * 5, &instance("a"), &heard(TargetNotice::default()));
+    assert_eq!(gate.pass(SECOND * 3_000, &instance("a")), Some(GateStop::Leaving));
+    let later = TargetInstance { start: Some(TargetStart(2)), ..instance("a") };
     assert_eq!(gate.pass(SECOND * 5, &later), None, "a new instance has no notices");
 }
 
@@ -334,14 +334,14 @@
     };
     scheduler.configure(PoolOptions::default(), &pool(start(1)));
     let first = NoticeReport {
-        life: TargetLife { id: "t".to_string(), start: start(1) },
+        instance: TargetInstance { id: "t".to_string(), start: start(1) },
         ..limited("t", 1.0)
     };
-    scheduler.noticed(SECOND, &vm(), &first);
+    scheduler.apply_notice_report(SECOND, &vm(), &first);
     assert_eq!(scheduler.targets()["t"].rate(), Some(rate(1.0)));
     scheduler.configure(PoolOptions::default(), &pool(start(2)));
     assert_eq!(scheduler.targets()["t"].rate(), None);
-    scheduler.noticed(SECOND * 2, &vm(), &first);
+    scheduler.apply_notice_report(SECOND * 2, &vm(), &first);
     assert_eq!(scheduler.targets()["t"].rate(), None);
 }
 
@@ -349,36 +349,36 @@
 #[test]
 fn gate_allows_no_more_than_the_whole_limit() {
     let mut gate = TargetGate::default();
-    let heard = HeardNotice { sent: SECOND, notice: named(1.8) };
-    gate.heard(SECOND, &life("t"), &heard);
+    let heard = ReceivedNotice { sent: SECOND, notice: named(1.8) };
+    gate.heard(SECOND, &instance("t"), &heard);
     let mut times = Vec::new();
     for step in 0..1_000 {
         let now = SECOND + STEP * step;
-        match gate.pass(now, &life("t")) {
+        match gate.pass(now, &instance("t")) {
             None => {
                 times.push(now);
-                gate.heard(now, &life("t"), &HeardNotice { sent: now, notice: named(1.8) });
+                gate.heard(now, &instance("t"), &ReceivedNotice { sent: now, notice: named(1.8) });
             }
             Some(stop) => assert_eq!(stop, GateStop::Limited),
         }
     }
     assert!(most_in_span(&times) <= allowed(1.8), "{}", most_in_span(&times));
     assert!(times.len() >= 36, "{}", times.len());
-    assert_eq!(gate.pass(SECOND * 2, &life("other")), None);
+    assert_eq!(gate.pass(SECOND * 2, &instance("other")), None);
 }
 
 /// An answer that was overtaken by the one that states the limit does not end it; an answer to a later request does.
 #[test]
 fn limit_ends_with_a_later_request() {
-    let mut notices = TargetWord::default();
-    assert!(notices.heard(SECOND * 5, &HeardNotice { sent: SECOND * 4, notice: named(2.0) }));
+    let mut notices = NoticeState::default();
+    assert!(notices.heard(SECOND * 5, &ReceivedNotice { sent: SECOND * 4, notice: named(2.0) }));
     let without_limit = TargetNotice::default();
-    assert!(!notices.heard(SECOND * 6, &HeardNotice { sent: SECOND * 3, notice: without_limit }));
+    assert!(!notices.heard(SECOND * 6, &ReceivedNotice { sent: SECOND * 3, notice: without_limit }));
     assert_eq!(notices.rate(), Some(rate(2.0)));
     let unreadable = TargetNotice { limit: LimitNotice::Unreadable, ..without_limit };
-    assert!(!notices.heard(SECOND * 7, &HeardNotice { sent: SECOND * 6, notice: unreadable }));
+    assert!(!notices.heard(SECOND * 7, &ReceivedNotice { sent: SECOND * 6, notice: unreadable }));
     assert_eq!(notices.rate(), Some(rate(2.0)));
-    assert!(notices.heard(SECOND * 8, &HeardNotice { sent: SECOND * 6, notice: without_limit }));
+    assert!(notices.heard(SECOND * 8, &ReceivedNotice { sent: SECOND * 6, notice: without_limit }));
     assert_eq!(notices.rate(), None);
 }
 
@@ -398,7 +398,7 @@
             let limit = LimitReport { rate, age: now - Duration::from_millis(at) };
             NoticeReport { limit: Some(limit), ..limited("t", 1.0) }
         };
-        let mut notices = TargetWord::default();
+        let mut notices = NoticeState::default();
         for index in order {
             notices.merge(now, &report(limits[index % limits.len()]));
         }
--- a/crates/sched/tests/pools.rs
+++ b/crates/sched/tests/pools.rs
@@ -6,7 +6,7 @@
 
 use curlewcleat_core::{
     AttemptEnd, CacheEviction, DaemonId, PermitDecision, PermitId, PermitRequest, PermitReturn,
-    RefusalReason, RequestId, TargetEntry, TargetLife, TargetPool, TargetReport,
+    RefusalReason, RequestId, TargetEntry, TargetInstance, TargetPool, TargetReport,
 };
 use curlewcleat_sched::{AccountLimit, PoolOptions, PoolScheduler, SchedulerAction};
 use proptest::prelude::*;
@@ -258,7 +258,7 @@
 #[test]
 fn load_of_other_senders_counts_until_the_report_of_the_target_is_old() {
     let mut scheduler = scheduler(PoolOptions::default(), 1, 2);
-    let target = TargetLife { id: "t0".to_string(), start: None };
+    let target = TargetInstance { id: "t0".to_string(), start: None };
     scheduler.reported(Duration::ZERO, &target, &report(2, &[]));
     assert!(granted(&scheduler.request_permit(Duration::ZERO, entry(), request(1, 0, "a", LONG)))
         .is_empty());
@@ -275,7 +275,7 @@
 #[test]
 fn cache_events_are_applied_once_and_a_gap_clears_the_prefixes() {
     let mut scheduler = scheduler(PoolOptions::default(), 1, 8);
-    let target = TargetLife { id: "t0".to_string(), start: None };
+    let target = TargetInstance { id: "t0".to_string(), start: None };
     scheduler.reported(Duration::ZERO, &target, &report(0, &[(1, 99)]));
     for prefix in 1..=3u64 {
         let request =
@@ -365,7 +365,7 @@
             Step::EntryLeaves => {
                 self.open.clear();
                 self.held.clear();
-                self.scheduler.entry_gone(self.now, &entry())
+                self.scheduler.remove_entry_daemon(self.now, &entry())
             }
             Step::VmLeaves(leaves) => {
                 self.set_leaving(leaves);
@@ -405,7 +405,7 @@
     fn set_leaving(&mut self, leaves: bool) {
         self.leaving = leaves;
         let vms = if leaves { BTreeSet::from(["vm0".to_string()]) } else { BTreeSet::new() };
-        self.scheduler.set_away(vms);
+        self.scheduler.set_leaving_vms(vms);
     }
 
     /// Checks each answer of the scheduler, and applies it to the expected state.
@@ -424,7 +424,7 @@
                 self.held.insert(id);
             }
             if let Some(tier) = action.shed {
-                let below = self.scheduler.holds_below(tier);
+                let below = self.scheduler.has_waiting_below(tier);
                 prop_assert!(!below, "a lower tier waits while {} is shed", tier);
             }
         }
--- a/crates/sched/tests/rates.rs
+++ b/crates/sched/tests/rates.rs
@@ -3,15 +3,20 @@
 use std::time::Duration;
 
 use curlewcleat_core::{RateUnit, SharedRate};
-use curlewcleat_sched::{AccountRates, RateMargin, RatePart, RateTurn};
+use curlewcleat_sched::{AccountRates, RateMargin, RateRole, RateShare};
 
 const RATE: SharedRate = SharedRate { per_s: 100_000, burst: 100_000, unit: RateUnit::Tokens(200) };
 const COST: u64 = 1_000;
 const MARGIN: RateMargin = RateMargin { percent: 5, units: 70_000, window: Duration::from_secs(8) };
-const WHOLE: RatePart = RatePart { reached: 6, all: 6, turn: RateTurn::Leader };
+const WHOLE: RateShare = RateShare { reached: 6, all: 6, role: RateRole::Leader };
 
 /// Requests `COST` units every millisecond from `begin` for `duration`, and returns the units granted.
-fn take_all(rates: &mut AccountRates, begin: Duration, duration: Duration, share: RatePart) -> u64 {
+fn take_all(
+    rates: &mut AccountRates,
+    begin: Duration,
+    duration: Duration,
+    share: RateShare,
+) -> u64 {
     let account = "a".to_string();
     let mut granted = 0;
     for milli in 0..duration.as_millis() as u64 {
@@ -51,7 +56,7 @@
             &mut rates,
             begin,
             duration,
-            RatePart { reached, all: 6, turn: RateTurn::Leader },
+            RateShare { reached, all: 6, role: RateRole::Leader },
         );
     }
     assert!(granted <= RATE.per_s * 8 + RATE.burst + 3 * COST, "{granted}");
@@ -60,7 +65,7 @@
 #[test]
 fn daemon_that_is_neither_leader_nor_deputy_grants_no_burst() {
     let mut rates = AccountRates::default();
-    let share = RatePart { reached: 1, all: 6, turn: RateTurn::Other };
+    let share = RateShare { reached: 1, all: 6, role: RateRole::Other };
     let granted = take_all(&mut rates, Duration::from_secs(10), Duration::from_millis(10), share);
     assert!(granted <= RATE.per_s / 6 / 4 + COST, "{granted}");
 }
@@ -100,7 +105,7 @@
 #[test]
 fn deputy_grants_no_more_than_the_reserve_within_a_window() {
     let mut rates = AccountRates::new(MARGIN);
-    let share = RatePart { reached: 1, all: 100, turn: RateTurn::Deputy };
+    let share = RateShare { reached: 1, all: 100, role: RateRole::Deputy };
     let own_share = RATE.per_s * 8 / 100 * 105 / 100;
     let reserve = RATE.per_s * 8 * 5 / 100 + 70_000;
     // The reserve fills while nothing is requested; then more than it is requested for a whole window.
@@ -112,7 +117,7 @@
 #[test]
 fn reserve_of_a_new_deputy_fills_slowly() {
     let mut rates = AccountRates::new(MARGIN);
-    let share = RatePart { reached: 1, all: 100, turn: RateTurn::Deputy };
+    let share = RateShare { reached: 1, all: 100, role: RateRole::Deputy };
     rates.restart(Duration::from_secs(100));
     let begin = Duration::from_millis(100_200);
     let granted = take_all(&mut rates, begin, Duration::from_millis(10), share);
--- a/crates/sched/tests/replacement.rs
+++ b/crates/sched/tests/replacement.rs
@@ -194,7 +194,7 @@
                 self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Declined))
             }
             (Some(_), true) => {
-                self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Taken));
+                self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Accepted));
                 self.send(target);
             }
             (None, _) => self.send(target),
@@ -221,13 +221,13 @@
     fn target_stalls(&mut self) {
         if self.target.is_some() && !self.ended {
             self.stalled = true;
-            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Wanted));
+            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Requested));
         }
     }
 
     fn target_resumes(&mut self) {
         if std::mem::take(&mut self.stalled) {
-            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Unwanted));
+            self.handler_messages.push_back(HandlerMessage::Step(ReplacementStep::Withdrawn));
         }
     }
 
@@ -508,7 +508,7 @@
         let end = AttemptEnd::Failed;
         scheduler.give_back(now, &PermitReturn { permit, pool: POOL.to_string(), end });
     }
-    assert!(scheduler.targets()["t0"].usable(now + Duration::from_secs(2)));
+    assert!(scheduler.targets()["t0"].accepts_requests(now + Duration::from_secs(2)));
 }
 
 /// In an overload, a request that has a target requests another one. It evicts no request that waits for its first
--- a/crates/sched/tests/rollout_crowds.rs
+++ b/crates/sched/tests/rollout_crowds.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use curlewcleat_core::{
-    AnswerSample, AnswerSight, DaemonId, RolloutOrder, RolloutRecord, RolloutStage,
+    AnswerObservation, AnswerSample, DaemonId, RolloutOrder, RolloutRecord, RolloutStage,
 };
-use curlewcleat_sched::{PoolRollout, RolloutLimits, RolloutSight, RolloutStep};
+use curlewcleat_sched::{PoolRollout, RolloutLimits, RolloutStep, RolloutView};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -181,16 +181,16 @@
         let (took, observations) = match (crashed, fails) {
             (true, _) => {
                 let took = Duration::from_millis(30);
-                (took, vec![(took, AnswerSight::Broken)])
+                (took, vec![(took, AnswerObservation::Broken)])
             }
-            (_, true) => (micros(first), vec![(micros(first), AnswerSight::Failed)]),
+            (_, true) => (micros(first), vec![(micros(first), AnswerObservation::Failed)]),
             _ => {
                 let (begun, took) = (micros(first), micros(first + part * parts));
                 let paced = micros(first + part * 7.0);
                 let observations = vec![
-                    (begun, AnswerSight::Begun(begun)),
-                    (paced, AnswerSight::Paced(micros(part))),
-                    (took, AnswerSight::Whole(took)),
+                    (begun, AnswerObservation::Begun(begun)),
+                    (paced, AnswerObservation::Paced(micros(part))),
+                    (took, AnswerObservation::Whole(took)),
                 ];
                 (took, observations.into_iter().filter(|(at, _)| *at <= took).collect())
             }
@@ -202,7 +202,7 @@
                 target: format!("t{target}"),
                 version: Some(if of_version { "v2" } else { "v1" }.to_string()),
                 work: RULES[rule].1,
-                sight: observation,
+                observation: observation,
             };
             self.next += 1;
             self.observations.insert((now + at, self.next), (target, sample, at == took));
@@ -221,8 +221,13 @@
             version: "v2".to_string(),
             time: Some(ORDER_TIME),
         };
-        let record =
-            RolloutRecord { name: "p".to_string(), order, ended: None, noted: true, revision: 1 };
+        let record = RolloutRecord {
+            name: "p".to_string(),
+            order,
+            ended: None,
+            has_status: true,
+            revision: 1,
+        };
         let mut rollout = PoolRollout::from_record(WARM_UP, record);
         let from = DaemonId { vm: "d".to_string(), incarnation: 1 };
         let mut reported = 0;
@@ -236,12 +241,12 @@
                 reported += 1;
             }
             self.arrive(now);
-            let view = RolloutSight {
+            let view = RolloutView {
                 targets: TARGETS,
                 others: TARGETS,
                 requests: self.outcome.all,
                 slack: LIMITS.slack,
-                ..RolloutSight::default()
+                ..RolloutView::default()
             };
             if let Some(RolloutStep::Stage(stage, reason)) = rollout.step(now, &view) {
                 self.outcome.stage = Some(stage);
--- a/crates/sched/tests/rollout_rules.rs
+++ b/crates/sched/tests/rollout_rules.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use curlewcleat_core::{RolloutNews, RolloutOrder, RolloutRecord, RolloutStage};
+use curlewcleat_core::{RolloutOrder, RolloutRecord, RolloutReport, RolloutStage};
 use curlewcleat_sched::{
-    PoolVersions, RatePart, RateTurn, RolloutLimits, RolloutSight, RolloutStep, ToldVersion,
+    PoolVersions, RateRole, RateShare, ReportedVersion, RolloutLimits, RolloutStep, RolloutView,
     TrialShare, VersionAccess,
 };
 use rstest::rstest;
 
 const NOW: Duration = Duration::from_secs(100);
 const LIMITS: RolloutLimits = RolloutLimits { permille: 50, slack: 25 };
-const WHOLE: RatePart = RatePart { reached: 9, all: 9, turn: RateTurn::Leader };
+const WHOLE: RateShare = RateShare { reached: 9, all: 9, role: RateRole::Leader };
 
-fn reported(version: &str) -> ToldVersion {
+fn reported(version: &str) -> ReportedVersion {
     Some(version.to_string())
 }
 
-fn shown(versions: &[(&str, usize)]) -> BTreeMap<ToldVersion, usize> {
+fn shown(versions: &[(&str, usize)]) -> BTreeMap<ReportedVersion, usize> {
     versions.iter().map(|(version, count)| (reported(version), *count)).collect()
 }
 
@@ -31,12 +31,12 @@
 }
 
 fn record(version: &str, ended: Option<RolloutStage>, revision: u64) -> RolloutRecord {
-    let noted = ended.is_some();
-    RolloutRecord { name: "p".to_string(), order: order(version), ended, noted, revision }
+    let has_status = ended.is_some();
+    RolloutRecord { name: "p".to_string(), order: order(version), ended, has_status, revision }
 }
 
-fn news(version: &str, stage: RolloutStage, revision: u64) -> RolloutNews {
-    RolloutNews {
+fn report(version: &str, stage: RolloutStage, revision: u64) -> RolloutReport {
+    RolloutReport {
         name: "p".to_string(),
         order: order(version),
         stage,
@@ -99,23 +99,23 @@
     #[case] shut: [bool; 2],
 ) {
     let mut versions = in_service();
-    versions.order_told(NOW, &news("v2", stage, 3));
+    versions.merge_report(NOW, &report("v2", stage, 3));
     versions.shown(NOW, &shown(&[("v1", 4), ("v2", 4)]), Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), expected);
-    assert_eq!(["v1", "v2"].map(|name| versions.is_shut(&reported(name))), shut);
+    assert_eq!(["v1", "v2"].map(|name| versions.is_blocked(&reported(name))), shut);
 }
 
 /// Reports of peers and of the platform arrive in any order; a final stage must not be left.
 #[test]
 fn late_reports_do_not_reverse_a_final_stage() {
     let mut versions = in_service();
-    versions.order_told(NOW, &news("v2", RolloutStage::RolledBack, 3));
-    versions.order_told(NOW, &news("v2", RolloutStage::Move, 4));
-    versions.order_shown(NOW, &record("v2", None, 5));
+    versions.merge_report(NOW, &report("v2", RolloutStage::RolledBack, 3));
+    versions.merge_report(NOW, &report("v2", RolloutStage::Move, 4));
+    versions.merge_record(NOW, &record("v2", None, 5));
     assert_eq!(versions.access(&reported("v2")), VersionAccess::Closed);
     // The platform stored that the version is completed before it received the rollback.
-    versions.order_shown(NOW, &record("v2", Some(RolloutStage::Completed), 6));
-    versions.order_told(NOW, &news("v2", RolloutStage::RolledBack, 7));
+    versions.merge_record(NOW, &record("v2", Some(RolloutStage::Completed), 6));
+    versions.merge_report(NOW, &report("v2", RolloutStage::RolledBack, 7));
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Closed, VersionAccess::Open]);
 }
 
@@ -125,44 +125,44 @@
 #[test]
 fn version_that_may_be_completed_is_rolled_back_only_by_the_platform() {
     let mut versions = in_service();
-    versions.order_shown(NOW, &record("v2", None, 3));
-    versions.order_told(NOW, &news("v2", RolloutStage::Move, 3));
+    versions.merge_record(NOW, &record("v2", None, 3));
+    versions.merge_report(NOW, &report("v2", RolloutStage::Move, 3));
     let later = NOW + Duration::from_secs(5);
-    let view = RolloutSight { targets: 4, others: 4, ..RolloutSight::default() };
+    let view = RolloutView { targets: 4, others: 4, ..RolloutView::default() };
     let rollout = versions.rollout_mut().expect("an order");
     assert_eq!(rollout.step(later, &view), Some(RolloutStep::Write(RolloutStage::Completed)));
-    versions.order_told(later, &news("v2", RolloutStage::RolledBack, 3));
+    versions.merge_report(later, &report("v2", RolloutStage::RolledBack, 3));
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Closed, VersionAccess::Open]);
     let rollout = versions.rollout_mut().expect("an order");
     assert_eq!(rollout.step(later, &view), Some(RolloutStep::Write(RolloutStage::RolledBack)));
-    versions.order_shown(later, &record("v2", Some(RolloutStage::RolledBack), 4));
+    versions.merge_record(later, &record("v2", Some(RolloutStage::RolledBack), 4));
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Open, VersionAccess::Closed]);
 }
 
 #[test]
 fn replaced_order_closes_its_version() {
     let mut versions = in_service();
-    versions.order_shown(NOW, &record("v2", None, 3));
-    versions.order_shown(NOW, &record("v3", None, 4));
+    versions.merge_record(NOW, &record("v2", None, 3));
+    versions.merge_record(NOW, &record("v3", None, 4));
     assert_eq!(access(&versions, ["v2", "v3"]), [VersionAccess::Closed, VersionAccess::Trial]);
-    assert!(versions.is_shut(&reported("v2")));
+    assert!(versions.is_blocked(&reported("v2")));
     // An older list has no effect.
-    versions.order_shown(NOW, &record("v2", None, 3));
-    assert!(!versions.order_absent(3));
+    versions.merge_record(NOW, &record("v2", None, 3));
+    assert!(!versions.remove_missing_order(3));
     assert_eq!(versions.access(&reported("v3")), VersionAccess::Trial);
 }
 
 #[test]
 fn rolled_back_version_may_be_ordered_again() {
     let mut versions = in_service();
-    versions.order_shown(NOW, &record("v2", Some(RolloutStage::RolledBack), 3));
-    assert!(versions.is_shut(&reported("v2")));
-    assert!(versions.order_absent(4));
-    versions.order_shown(NOW, &record("v2", None, 5));
+    versions.merge_record(NOW, &record("v2", Some(RolloutStage::RolledBack), 3));
+    assert!(versions.is_blocked(&reported("v2")));
+    assert!(versions.remove_missing_order(4));
+    versions.merge_record(NOW, &record("v2", None, 5));
     assert_eq!(versions.access(&reported("v2")), VersionAccess::Trial);
 }
 
-fn grant_requests(share: &mut TrialShare, requests: u64, share_of_daemons: RatePart) {
+fn grant_requests(share: &mut TrialShare, requests: u64, share_of_daemons: RateShare) {
     for _ in 0..requests {
         let of_version = share.admits(0, share_of_daemons);
         share.note(0, of_version);
@@ -172,11 +172,11 @@
 #[rstest]
 #[case::since_the_order(true, WHOLE, 75)]
 #[case::later_scheduler(false, WHOLE, 50)]
-#[case::of_a_third_of_the_daemons(true, RatePart { reached: 3, ..WHOLE }, 25)]
-#[case::not_first_in_order(true, RatePart { turn: RateTurn::Deputy, ..WHOLE }, 0)]
+#[case::of_a_third_of_the_daemons(true, RateShare { reached: 3, ..WHOLE }, 25)]
+#[case::not_first_in_order(true, RateShare { role: RateRole::Deputy, ..WHOLE }, 0)]
 fn trial_gets_its_share_and_no_more(
     #[case] is_first: bool,
-    #[case] share_of_daemons: RatePart,
+    #[case] share_of_daemons: RateShare,
     #[case] expected: u64,
 ) {
     let mut share = TrialShare::new(LIMITS, is_first);
--- a/crates/sched/tests/streams.rs
+++ b/crates/sched/tests/streams.rs
@@ -180,7 +180,7 @@
     located.targets.get_mut(SLOW).expect("a target").data_centre = "here".to_string();
     run.scheduler.configure(PoolOptions { age_per_work: 1, ..PoolOptions::default() }, &located);
     let here = BTreeMap::from([("e".to_string(), "here".to_string())]);
-    run.scheduler.set_places(here);
+    run.scheduler.set_data_centres(here);
     run.advance(Duration::from_millis(100));
     let (number, actions) = run.request_permit(prompt(1_000));
     assert_eq!(granted(&actions).get(&number).map(String::as_str), Some(expected));
--- a/crates/store/src/fleet.rs
+++ b/crates/store/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use curlewcleat_core::{
     ConfigBundle, DaemonRecord, DiscoveredTarget, ObjectVersion, RequestDigest, RolloutRecord,
-    RolloutWrite, StoreEra, TargetChange, TargetLife, WallTime,
+    RolloutWrite, StoreEra, TargetChange, TargetInstance, WallTime,
 };
 
 use crate::entry_fault::EntryFault;
@@ -59,7 +59,7 @@
     /// The request.
     pub digest: RequestDigest,
     /// The lives of targets that ended under it.
-    pub lives: Vec<TargetLife>,
+    pub instances: Vec<TargetInstance>,
     /// When it was stored, by the clock of whoever stored it.
     pub at: WallTime,
 }
--- a/crates/targets/src/pool.rs
+++ b/crates/targets/src/pool.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use curlewcleat_clock::Moment;
-use curlewcleat_core::{TargetEntry, TargetLife};
+use curlewcleat_core::{TargetEntry, TargetInstance};
 use tokio::net::TcpStream;
 
 use crate::error::{Error, Result};
@@ -45,7 +45,7 @@
     /// `ip:port`.
     pub address: String,
     /// The target there, `None` where only its address is known.
-    life: Option<TargetLife>,
+    instance: Option<TargetInstance>,
 }
 
 #[derive(Debug)]
@@ -99,7 +99,8 @@
         target: &TargetEntry,
         limit: Duration,
     ) -> Result<PooledConnection> {
-        let end = ConnectionEnd { address: target.address.clone(), life: Some(target.life()) };
+        let end =
+            ConnectionEnd { address: target.address.clone(), instance: Some(target.instance()) };
         self.connect_end(end, limit).await
     }
 
@@ -108,7 +109,7 @@
     /// # Errors
     /// [`Error::Connect`] where the connection is not taken within `limit`.
     pub async fn connect(&self, address: &str, limit: Duration) -> Result<PooledConnection> {
-        let end = ConnectionEnd { address: address.to_string(), life: None };
+        let end = ConnectionEnd { address: address.to_string(), instance: None };
         self.connect_end(end, limit).await
     }
 
--- a/crates/targets/tests/exchanges.rs
+++ b/crates/targets/tests/exchanges.rs
@@ -177,7 +177,7 @@
     ];
     for (target, number) in asked {
         let answer = read_from(&pool, &target).await.map_err(std::io::Error::other)?;
-        assert_eq!(answer, number, "{:?}", target.life());
+        assert_eq!(answer, number, "{:?}", target.instance());
     }
     Ok(())
 }
