--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,7 +1,8 @@
 //! Defines the messages between daemons. They are one-way; each may be lost, repeated or delayed without harm.
 //!
-//! The codec (postcard) is positional: names of fields and variants may change; their order, number and types may not.
-//! `acceptance/tests/golden/peer-messages.txt` holds the encoded bytes.
+//! The codec (postcard) is positional: the order, number and types of fields and variants may not change.
+//! `acceptance/tests/golden/peer-messages.txt` holds the encoded bytes. The codec doesn't write names; `serde(rename)`
+//! keeps the outer name of a renamed field or variant stable all the same.
 //!
 //! Owns: the format of peer frames. Relies on: nothing.
 
@@ -97,8 +98,10 @@
     ConfigPart(ConfigPart),
     /// Like [`TargetsPull`](PeerMessage::TargetsPull), but requests the starts of the targets as well. A daemon of an
     /// earlier version drops the frame.
+    #[serde(rename = "TargetLivesPull")]
     TargetInstancesPull(ObjectVersion),
     /// Answers a [`TargetInstancesPull`](PeerMessage::TargetInstancesPull).
+    #[serde(rename = "TargetLivesPush")]
     TargetInstancesPush(TargetInstancesPush),
     /// Requests the reports on requests under which targets terminated. A daemon of an earlier version drops the frame.
     SuspectsPull(SuspectsPull),
@@ -112,6 +115,7 @@
     /// Answers a [`TargetVersionsPull`](PeerMessage::TargetVersionsPull).
     TargetVersionsPush(TargetVersionsPush),
     /// The state of a rollout as the sender knows it.
+    #[serde(rename = "RolloutNews")]
     RolloutReport(RolloutReport),
     /// Observations of target answers that the sender made during a rollout.
     RolloutAnswers(RolloutAnswers),
--- a/crates/core/src/message/lethal.rs
+++ b/crates/core/src/message/lethal.rs
@@ -23,6 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestInterruption {
     /// The target instance.
+    #[serde(rename = "life")]
     pub instance: TargetInstance,
     /// How the request was interrupted.
     pub kind: InterruptionKind,
@@ -34,6 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InterruptionReport {
     /// The instance, and how the request was interrupted there.
+    #[serde(rename = "broke")]
     pub interruption: RequestInterruption,
     /// Whether the instance is known to have terminated.
     pub ended: bool,
@@ -47,6 +49,7 @@
     /// Digest of the request.
     pub digest: RequestDigest,
     /// The interruptions of the request, each at a target instance.
+    #[serde(rename = "breaks")]
     pub interruptions: Vec<InterruptionReport>,
     /// Instances whose interruptions are ignored, because the request was served completely afterwards or an operator
     /// cleared it.
--- a/crates/core/src/message/versions.rs
+++ b/crates/core/src/message/versions.rs
@@ -14,10 +14,12 @@
 /// A [`TargetsPush`] with the starts and versions of its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetVersionsPush {
+    #[serde(rename = "lives")]
     instances: TargetInstancesPush,
     /// The distinct versions of the targets.
     versions: Vec<TargetVersion>,
     /// For each listed target the number of its version in `versions`, from 1; 0 where the target reports none.
+    #[serde(rename = "places")]
     version_numbers: Vec<u32>,
 }
 
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -125,6 +125,7 @@
     /// Estimated work until the first part, in microseconds of a slot.
     pub work: WorkMicros,
     /// The observation.
+    #[serde(rename = "sight")]
     pub observation: AnswerObservation,
 }
 
--- a/crates/core/src/target_notice.rs
+++ b/crates/core/src/target_notice.rs
@@ -74,6 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NoticeReport {
     /// The target instance.
+    #[serde(rename = "life")]
     pub instance: TargetInstance,
     /// Whether the instance is leaving and accepts no new requests.
     pub leaving: bool,
