--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -196,7 +196,7 @@
     #[case] expected: Option<(u16, u64)>,
 ) -> Result<()> {
     let list = client_of(eras).await?.list_targets(ListAge::Newest).await;
-    let place = list.ok().map(|list| StorePosition::of(list.revision));
+    let place = list.ok().map(|list| StorePosition::from_version(list.revision));
     assert_eq!(place.map(|place| (place.era, place.revision)), expected);
     Ok(())
 }
@@ -217,7 +217,7 @@
 async fn old_list_is_at_the_era_before() -> Result<()> {
     let client = client_of(&["2"]).await?;
     let list = client.list_targets(ListAge::Seconds).await?;
-    assert_eq!(StorePosition::of(list.revision).era, 1);
+    assert_eq!(StorePosition::from_version(list.revision).era, 1);
     let watch = client.watch_targets(list.revision, Duration::from_millis(10)).await?;
     assert_eq!(watch, TargetWatch::HistoryGone);
     Ok(())
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -40,11 +40,11 @@
         let wall = Duration::from_secs(1);
         let mut now = Duration::from_millis(1);
         for index in 1..=count {
-            node.handle(now, wall, NodeEvent::Peer(beat_of(index, 4)));
+            node.handle(now, wall, NodeEvent::PeerFrameReceived(beat_of(index, 4)));
         }
         let taken = time_each(200, |number| {
             let frame = beat_of(1 + number as usize % count, 4);
-            black_box(node.handle(now, wall, NodeEvent::Peer(frame)));
+            black_box(node.handle(now, wall, NodeEvent::PeerFrameReceived(frame)));
         });
         now += Duration::from_millis(500);
         let begun = Instant::now();
@@ -105,7 +105,7 @@
                 let PeerMessage::Heartbeat(beat) = message else { continue };
                 beat.answer_wanted = capacity < OWN_CAPACITY;
             }
-            node.handle(now, wall, NodeEvent::Peer(frame));
+            node.handle(now, wall, NodeEvent::PeerFrameReceived(frame));
         }
         let actions = node.handle(now, wall, NodeEvent::Tick);
         if step <= SETTLED * 2 {
--- a/crates/bench/src/scheduler.rs
+++ b/crates/bench/src/scheduler.rs
@@ -27,7 +27,7 @@
             black_box(scheduler.request_permit(Duration::ZERO, daemon(1), ask));
             let end = AttemptEnd::Whole(Duration::from_millis(500));
             let back = PermitReturn { permit, pool: POOL.to_string(), end };
-            black_box(scheduler.give_back(Duration::ZERO, &back));
+            black_box(scheduler.return_permit(Duration::ZERO, &back));
         });
         println!("{count:>13} | {:>10} | {bytes:>8}", each.as_nanos());
     }
@@ -53,7 +53,7 @@
         let back = time_each(held.len() as u32, |number| {
             let end = AttemptEnd::Whole(Duration::from_millis(500));
             let back = PermitReturn { permit: held[number as usize], pool: POOL.to_string(), end };
-            black_box(scheduler.give_back(Duration::ZERO, &back));
+            black_box(scheduler.return_permit(Duration::ZERO, &back));
         });
         println!("{count:>12} | {:>8} | {:>8} | {bytes:>6}", more.as_nanos(), back.as_nanos());
     }
--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -253,7 +253,7 @@
 
     /// Returns the first rule without an account or a header condition that matches host, method and path.
     pub fn route(&self, host: &str, method: &str, path: &str) -> Option<&AdmissionRule> {
-        self.rules.iter().find(|rule| rule.takes(host, method, path)).map(Arc::as_ref)
+        self.rules.iter().find(|rule| rule.matches_route(host, method, path)).map(Arc::as_ref)
     }
 
     /// Returns the rank of the highest tier, 0 where there is none.
--- a/crates/core/src/model/rule.rs
+++ b/crates/core/src/model/rule.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether the rule has no account or header condition and matches host, method and path of a request.
-    pub fn takes(&self, host: &str, method: &str, path: &str) -> bool {
+    pub fn matches_route(&self, host: &str, method: &str, path: &str) -> bool {
         let host_matches =
             self.host.as_deref().is_none_or(|expected| expected.eq_ignore_ascii_case(host));
         host_matches && self.account.is_none() && self.matches(method, path, "", |_| None)
--- a/crates/core/src/store_position.rs
+++ b/crates/core/src/store_position.rs
@@ -26,7 +26,7 @@
 
 impl StorePosition {
     /// Decodes the position from a version.
-    pub fn of(version: ObjectVersion) -> StorePosition {
+    pub fn from_version(version: ObjectVersion) -> StorePosition {
         let revision = version & ((1 << REVISION_BITS) - 1);
         StorePosition { era: (version >> REVISION_BITS) as StoreEra, revision }
     }
--- a/crates/core/src/target_instance.rs
+++ b/crates/core/src/target_instance.rs
@@ -38,7 +38,7 @@
 
 impl InstanceOrder {
     /// Compares the stated start with the known one. Where either is missing, the instances count as the same.
-    pub fn of(stated: Option<TargetStart>, known: Option<TargetStart>) -> InstanceOrder {
+    pub fn compare(stated: Option<TargetStart>, known: Option<TargetStart>) -> InstanceOrder {
         match stated.zip(known).map(|(stated, known)| stated.cmp(&known)) {
             Some(Ordering::Less) => InstanceOrder::Earlier,
             Some(Ordering::Greater) => InstanceOrder::Later,
--- a/crates/core/src/target_notice.rs
+++ b/crates/core/src/target_notice.rs
@@ -45,7 +45,7 @@
     /// The stated value is not a rate.
     Unreadable,
     /// The highest rate that the target accepts from all daemons together.
-    Named(RequestRate),
+    Stated(RequestRate),
 }
 
 /// The notices in the response headers of one answer.
--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -62,7 +62,7 @@
         .map_err(|error| anyhow!("peers: bind {}: {error}", settings.peer_address))?;
     actix_rt::spawn(async move {
         while let Some(frame) = received.recv().await {
-            if sender.send(NodeMessage::Event(NodeEvent::Peer(frame))).is_err() {
+            if sender.send(NodeMessage::Event(NodeEvent::PeerFrameReceived(frame))).is_err() {
                 return;
             }
         }
--- a/crates/daemon/src/node_loop.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -102,7 +102,7 @@
     fn message(&mut self, message: NodeMessage) {
         match message {
             NodeMessage::Event(event) => {
-                if let NodeEvent::Finished(id, ..) | NodeEvent::Cancelled(id) = &event {
+                if let NodeEvent::Finished(id, ..) | NodeEvent::CallerDisconnected(id) = &event {
                     self.callers.remove(id);
                 }
                 self.event(event);
@@ -204,7 +204,7 @@
         if last {
             self.callers.remove(&id);
         } else if !delivered {
-            self.context.tell(NodeEvent::Cancelled(id));
+            self.context.tell(NodeEvent::CallerDisconnected(id));
         }
     }
 }
--- a/crates/daemon/src/node_notes.rs
+++ b/crates/daemon/src/node_notes.rs
@@ -29,7 +29,7 @@
         NodeNote::PeerReplaced(peer) => info!("peer_replaced", kv: { vm = peer.vm.as_str() }),
         NodeNote::TargetInstance(news) => log_life(news),
         NodeNote::TargetRemoved(gone) => {
-            info!("target_gone", kv: { target = gone.target.as_str(), left = gone.left })
+            info!("target_gone", kv: { target = gone.target.as_str(), left = gone.announced_leaving })
         }
         NodeNote::StaleTargetList { at, known } => {
             info!("target_list_late", kv: { at = *at, known = *known })
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -137,7 +137,7 @@
         json!({
             "id": target.id, "in_flight": target.in_flight, "slots": target.slots,
             "slowness_permille": target.slowness, "leaving": target.leaving, "ejected": target.ejected,
-            "limit_per_s": target.limit.map(|limit| limit.as_per_second()), "rests": target.rests,
+            "limit_per_s": target.limit.map(|limit| limit.as_per_second()), "rests": target.is_resting,
         })
     }).collect();
     json!({
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -107,7 +107,7 @@
     /// Tells the node that an attempt did not run; a further decision follows.
     pub fn not_run(&mut self, end: AttemptEnd, retry: RetryReason) {
         self.stalled = false;
-        self.context.tell(NodeEvent::NotRun(self.request, end, retry));
+        self.context.tell(NodeEvent::AttemptNotRun(self.request, end, retry));
     }
 }
 
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         if self.open {
             self.context.metrics.caller_gone();
-            self.context.tell(NodeEvent::Cancelled(self.request));
+            self.context.tell(NodeEvent::CallerDisconnected(self.request));
         }
     }
 }
--- a/crates/daemon/src/request/profile/notice.rs
+++ b/crates/daemon/src/request/profile/notice.rs
@@ -25,7 +25,7 @@
     }
     let (limits, limits_read) = read_values(&head.headers, profile.limit, RequestRate::per_second);
     let limit = match limits.into_iter().min() {
-        Some(rate) => LimitNotice::Named(rate),
+        Some(rate) => LimitNotice::Stated(rate),
         None if limits_read => LimitNotice::Absent,
         None => LimitNotice::Unreadable,
     };
--- a/crates/daemon/src/request/profile/tests/notices.rs
+++ b/crates/daemon/src/request/profile/tests/notices.rs
@@ -27,13 +27,13 @@
 }
 
 #[rstest]
-#[case::decimal(&["1.7"], LimitNotice::Named(RequestRate(1_700)))]
-#[case::whole(&["3"], LimitNotice::Named(RequestRate(3_000)))]
-#[case::zero(&["0"], LimitNotice::Named(RequestRate(0)))]
-#[case::blanks(&[" 2 "], LimitNotice::Named(RequestRate(2_000)))]
-#[case::enormous(&["1e300"], LimitNotice::Named(RequestRate::MAX))]
-#[case::the_lowest_counts(&["5", "2", "9"], LimitNotice::Named(RequestRate(2_000)))]
-#[case::one_that_can_be_read(&["x", "2"], LimitNotice::Named(RequestRate(2_000)))]
+#[case::decimal(&["1.7"], LimitNotice::Stated(RequestRate(1_700)))]
+#[case::whole(&["3"], LimitNotice::Stated(RequestRate(3_000)))]
+#[case::zero(&["0"], LimitNotice::Stated(RequestRate(0)))]
+#[case::blanks(&[" 2 "], LimitNotice::Stated(RequestRate(2_000)))]
+#[case::enormous(&["1e300"], LimitNotice::Stated(RequestRate::MAX))]
+#[case::the_lowest_counts(&["5", "2", "9"], LimitNotice::Stated(RequestRate(2_000)))]
+#[case::one_that_can_be_read(&["x", "2"], LimitNotice::Stated(RequestRate(2_000)))]
 #[case::none(&[], LimitNotice::Absent)]
 #[case::no_number(&["many"], LimitNotice::Unreadable)]
 #[case::empty(&[""], LimitNotice::Unreadable)]
@@ -103,7 +103,7 @@
         let notice = read(503, &headers);
         assert!(notice.rest.is_none_or(|rest| rest <= LONGEST_REST), "{headers:?}");
         assert_eq!(notice.leaving, texts[2].trim() == "1", "{headers:?}");
-        if let LimitNotice::Named(rate) = notice.limit {
+        if let LimitNotice::Stated(rate) = notice.limit {
             assert!(rate <= RequestRate::MAX, "{headers:?}");
         }
     }
--- a/crates/daemon/src/target_notices.rs
+++ b/crates/daemon/src/target_notices.rs
@@ -21,7 +21,7 @@
         heard: &ReceivedNotice,
         request: RequestId,
     ) -> Option<NoticeReport> {
-        let news = self.lock().heard(now, instance, heard);
+        let news = self.lock().apply_notice(now, instance, heard);
         if news.unreadable {
             warn!("target_notice_unreadable", kv: {
                 target = instance.id.as_str(), request = request.to_string()
@@ -30,7 +30,7 @@
         if news.changed {
             log_said(&news.report, request);
         }
-        news.tell.then_some(news.report)
+        news.send_report.then_some(news.report)
     }
 
     /// What would stop a request to a target now.
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -93,7 +93,7 @@
                         answers.extend(state.scheduler.request_permit(state.now, me(), ask))
                     }
                     EntryAction::ReturnPermit(_, back) => {
-                        answers.extend(state.scheduler.give_back(state.now, &back));
+                        answers.extend(state.scheduler.return_permit(state.now, &back));
                     }
                     EntryAction::Dispatch { permit, target } => {
                         state.sent_to_leaving |= state.leaving && target == RESTARTED;
--- a/crates/model/src/lethal.rs
+++ b/crates/model/src/lethal.rs
@@ -120,7 +120,7 @@
 
     /// What a daemon knows reaches another one, which does not answer.
     fn tell(state: &mut LethalState, from: usize, to: usize) {
-        let told = state.daemons[from].since(NOW, 0);
+        let told = state.daemons[from].changes_since(NOW, 0);
         state.daemons[to].merge(NOW, told);
     }
 
@@ -145,7 +145,7 @@
         let unstored: Vec<RequestDigest> =
             state.daemons[index].unstored().copied().filter(|digest| *digest == lethal()).collect();
         for digest in unstored {
-            state.daemons[index].stored(&digest);
+            state.daemons[index].record_stored(&digest);
             state.stored = state.daemons[index].report(NOW, &digest);
         }
     }
@@ -231,7 +231,7 @@
         if self.fault == LethalFault::ServedStaysSuspect {
             return Some(next);
         }
-        next.daemons[index].served(NOW, &bystander());
+        next.daemons[index].record_served(NOW, &bystander());
         LethalModel::tell_reached(&mut next, index);
         Some(next)
     }
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -207,13 +207,13 @@
             if daemon.heard.is_some() && daemon.excused == 0 {
                 state.arrived[SPAN - 1] += 1;
             }
-            let news = daemon.gate.heard(
+            let news = daemon.gate.apply_notice(
                 now,
                 &instance(),
                 &ReceivedNotice { sent: now, notice: notice() },
             );
             daemon.heard = Some(news.report);
-            if news.tell {
+            if news.send_report {
                 (0..DAEMONS).for_each(|other| self.tell(state, entry, other));
             }
         }
@@ -227,7 +227,7 @@
         let now = state.now;
         let target = &mut state.daemons[asked].target;
         let mut granted = 0;
-        while granted < DEMAND && target.has_room(true, 0, now) {
+        while granted < DEMAND && target.has_capacity(true, 0, now) {
             target.request_sent(now);
             granted += 1;
         }
@@ -253,7 +253,7 @@
         // Every daemon has heard the limit, and knows the others.
         for daemon in &mut state.daemons {
             let heard = ReceivedNotice { sent: STEP, notice: notice() };
-            daemon.heard = Some(daemon.gate.heard(STEP, &instance(), &heard).report);
+            daemon.heard = Some(daemon.gate.apply_notice(STEP, &instance(), &heard).report);
         }
         (0..DAEMONS).for_each(|index| self.notice(&mut state, index));
         (0..DAEMONS).for_each(|index| self.tell(&mut state, index, index));
@@ -313,7 +313,7 @@
 
 fn notice() -> TargetNotice {
     let rate = RequestRate(LIMIT * RequestRate::ONE_PER_SECOND);
-    TargetNotice { limit: LimitNotice::Named(rate), ..TargetNotice::default() }
+    TargetNotice { limit: LimitNotice::Stated(rate), ..TargetNotice::default() }
 }
 
 fn instance() -> TargetInstance {
--- a/crates/model/src/rollout.rs
+++ b/crates/model/src/rollout.rs
@@ -134,7 +134,7 @@
         let granting = &mut self.daemons[scheduler];
         let on_trial = granting.versions.access(&told(NEW)) == VersionAccess::Trial;
         let tried = on_trial && granting.share.admits(0, part);
-        granting.share.note(0, tried);
+        granting.share.record(0, tried);
         let is_old = granting.versions.access(&told(OLD)) == VersionAccess::Open;
         if on_trial {
             self.all += 1;
@@ -258,7 +258,7 @@
             revision: 1,
         };
         let mut versions = PoolVersions::default();
-        versions.shown(NOW, &[(told(OLD), 1)].into(), Some(NOW));
+        versions.update_reported(NOW, &[(told(OLD), 1)].into(), Some(NOW));
         versions.merge_record(NOW, &record);
         let daemon = |index| RolloutDaemon {
             versions: versions.clone(),
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -40,19 +40,19 @@
     /// Time has passed.
     Tick,
     /// A frame of a peer.
-    Peer(PeerFrame),
+    PeerFrameReceived(PeerFrame),
     /// A caller's request.
     Admit(Box<RequestSpec>),
     /// A dispatched request has ended and is not retried.
     Finished(RequestId, Verdict, AttemptEnd, Option<KeptAnswer>),
     /// An attempt provably did not run.
-    NotRun(RequestId, AttemptEnd, RetryReason),
+    AttemptNotRun(RequestId, AttemptEnd, RetryReason),
     /// A dispatched request's target is stalled or responds again, or a step of its replacement.
     Replacement(RequestId, ReplacementStep),
     /// The caller of a dispatched request has received a part of its answer.
     AnswerBegun(RequestId),
     /// The caller disconnected while its request waited.
-    Cancelled(RequestId),
+    CallerDisconnected(RequestId),
     /// The configuration that the platform shows.
     ConfigRead(ConfigBundle),
     /// The key table that the platform shows; `None` if it has none.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -173,7 +173,7 @@
         self.wall = wall;
         match event {
             NodeEvent::Tick => self.tick(),
-            NodeEvent::Peer(frame) => self.peer_frame(frame),
+            NodeEvent::PeerFrameReceived(frame) => self.peer_frame(frame),
             NodeEvent::Admit(spec) => self.admit(*spec),
             NodeEvent::RequestInterrupted(digest, interruption) => {
                 self.attempt_interrupted(digest, interruption)
@@ -193,10 +193,10 @@
                 let actions = self.entry.finished(id, verdict, end, answer);
                 self.perform(actions);
             }
-            NodeEvent::NotRun(id, end, retry) => self.attempt_not_run(id, end, retry),
+            NodeEvent::AttemptNotRun(id, end, retry) => self.attempt_not_run(id, end, retry),
             NodeEvent::Replacement(id, step) => self.replacement(id, step),
             NodeEvent::AnswerBegun(id) => self.entry.answer_begun(id),
-            NodeEvent::Cancelled(id) => {
+            NodeEvent::CallerDisconnected(id) => {
                 let actions = self.entry.cancelled(id);
                 self.perform(actions);
             }
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -59,7 +59,7 @@
         let listed = self.targets.shows(instance);
         let announced_leaving =
             self.targets.is_leaving(&instance.id) || self.has_announced_leaving(&instance.id);
-        let leaving = announced_leaving || self.is_shut_target(&instance.id);
+        let leaving = announced_leaving || self.is_blocked_target(&instance.id);
         if leaving || !listed && !names_target(&self.store.active(), instance) {
             return;
         }
@@ -72,7 +72,7 @@
     /// Records that a request was answered in full.
     pub(super) fn answer_completed(&mut self, id: RequestId) {
         let Some(digest) = self.entry.digest_of(id) else { return };
-        if self.lethal.requests.served(self.now, &digest) {
+        if self.lethal.requests.record_served(self.now, &digest) {
             self.send_suspect(&digest);
         }
     }
@@ -176,12 +176,13 @@
 
     /// Answers a pull if the peer has not pulled before or lacks any report.
     pub(super) fn suspects_pulled(&mut self, from: &VmId, pull: SuspectsPull) {
-        let at = self.lethal.requests.at();
-        if pull.known >= at {
+        let change_count = self.lethal.requests.change_count();
+        if pull.known >= change_count {
             return;
         }
-        let SuspectUpdates { at, requests } = self.lethal.requests.news(self.now, pull.known);
-        self.post(from, PeerMessage::SuspectsPush(SuspectsPush { at, requests }));
+        let SuspectUpdates { change_count, requests } =
+            self.lethal.requests.updates(self.now, pull.known);
+        self.post(from, PeerMessage::SuspectsPush(SuspectsPush { at: change_count, requests }));
     }
 
     pub(super) fn suspects_pushed(&mut self, from: &DaemonId, push: SuspectsPush) {
@@ -201,14 +202,14 @@
     /// Records that the platform has stored a refusal.
     pub(super) fn refusal_stored(&mut self, digest: &RequestDigest) {
         self.lethal.store_requested.remove(digest);
-        self.lethal.requests.stored(digest);
+        self.lethal.requests.record_stored(digest);
         self.send_suspect(digest);
     }
 
     /// Sends all reports to daemons that may schedule as of now: the earlier schedulers may have ended without
     /// passing them on, or may have been unable to reach the new ones.
     pub(super) fn send_suspects_to_new_schedulers(&mut self, before: &[DaemonId]) {
-        let requests = self.lethal.requests.since(self.now, 0);
+        let requests = self.lethal.requests.changes_since(self.now, 0);
         if requests.is_empty() {
             return;
         }
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -123,22 +123,22 @@
         report: &TargetReport,
     ) {
         let now = self.now;
-        let actions = self.pool(pool).reported(now, target, report);
+        let actions = self.pool(pool).apply_report(now, target, report);
         self.send_answers(actions);
     }
 
     fn permit_returned(&mut self, returned: &PermitReturn) {
         let now = self.now;
         if let Some(charge) = self.pool(&returned.pool).charge_of_waiting(&returned.permit) {
-            self.rates.give_back(&charge.account, charge.cost);
+            self.rates.refund(&charge.account, charge.cost);
         }
-        let actions = self.pool(&returned.pool).give_back(now, returned);
+        let actions = self.pool(&returned.pool).return_permit(now, returned);
         self.send_answers(actions);
     }
 
     fn permit_held(&mut self, from: &DaemonId, held: PermitHeld) {
         let now = self.now;
-        self.pool(&held.request.pool.clone()).hold(now, from.clone(), held);
+        self.pool(&held.request.pool.clone()).record_held_permit(now, from.clone(), held);
     }
 
     fn shed_requested(&mut self, from: &VmId, raise: ShedRequest) {
@@ -217,7 +217,7 @@
     /// log's costs over ten seconds): the rest was charged to requests that ran nowhere.
     fn return_unused(&mut self, actions: &[SchedulerAction]) {
         for charge in actions.iter().filter_map(|action| action.unused.as_ref()) {
-            self.rates.give_back(&charge.account, charge.cost);
+            self.rates.refund(&charge.account, charge.cost);
         }
     }
 
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -89,7 +89,7 @@
     /// Returns whether a target has announced to any daemon that it leaves, even if the platform does not show it.
     pub(super) fn has_announced_leaving(&self, target: &str) -> bool {
         let states = self.pools.values().filter_map(|pool| pool.targets().get(target));
-        states.into_iter().any(|state| state.word().is_leaving())
+        states.into_iter().any(|state| state.notices().is_leaving())
     }
 
     /// Updates the share of the limits of each pool's targets that this daemon grants: none while another daemon is
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -76,8 +76,8 @@
         }
         let account = self.active.accounts.get(&request.account);
         let Some(rate) = account.and_then(|account| account.shared_rate) else { return Ok(()) };
-        let part = self.rate_share(&request.pool);
-        self.rates.take(self.now, &request.account, &rate, request.cost, part)
+        let rate_share = self.rate_share(&request.pool);
+        self.rates.take(self.now, &request.account, &rate, request.cost, rate_share)
     }
 
     /// Returns the refusal of a permit request that exceeds its account's rate. If the daemon that keeps the rate is
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the same as [`Node::is_blocked`] for a target of which only the name is known.
-    pub(super) fn is_shut_target(&self, target: &str) -> bool {
+    pub(super) fn is_blocked_target(&self, target: &str) -> bool {
         let mut pools = self.active.pools.iter();
         pools.any(|(id, pool)| {
             pool.targets.get(target).is_some_and(|entry| self.is_blocked(id, entry))
@@ -158,10 +158,10 @@
             return self.pool(pool).end_trial();
         };
         let version = rollout.order().version.clone();
-        let (begun, on_trial) = (rollout.begun(), rollout.is_on_trial());
+        let (known_since, on_trial) = (rollout.known_since(), rollout.is_on_trial());
         let scheduler = self.pool(pool);
         match on_trial {
-            true => scheduler.begin_trial(limits, deciding_since <= begun),
+            true => scheduler.begin_trial(limits, deciding_since <= known_since),
             false => scheduler.end_trial(),
         }
         let (targets, others) = scheduler.targets_by_version(&version);
@@ -248,7 +248,7 @@
         for (pool, shown) in shown {
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
             let held = versions.held().count();
-            changed |= versions.shown(now, &shown, read);
+            changed |= versions.update_reported(now, &shown, read);
             if versions.held().count() != held {
                 let held = versions.held().flatten().cloned().collect();
                 self.actions.push(NodeAction::Note(NodeNote::VersionsHeld(pool, held)));
@@ -284,13 +284,13 @@
             pool: pool.clone(),
             version: rollout.order().version.clone(),
             stage: rollout.stage(),
-            age: self.now.saturating_sub(rollout.begun()),
+            age: self.now.saturating_sub(rollout.known_since()),
             time: rollout.order().time,
             requests: trial.map_or(0, |trial| trial.granted()),
-            trial_requests: trial.map_or(0, |trial| trial.tried()),
+            trial_requests: trial.map_or(0, |trial| trial.granted_on_trial()),
             answers: rollout.answers().trial_answers(),
             other_answers: rollout.answers().others().len(),
-            bad_answers: rollout.answers().bad(),
+            bad_answers: rollout.answers().bad_answers(),
         })
     }
 }
--- a/crates/node/src/node/rollouts/answers.rs
+++ b/crates/node/src/node/rollouts/answers.rs
@@ -71,7 +71,7 @@
         }
         if observed.record(sample.clone()) {
             let position = observed.total() - 1;
-            rollout.answered(self.now, &self.options.me, position, &[sample]);
+            rollout.record_answers(self.now, &self.options.me, position, &[sample]);
         }
     }
 
@@ -84,7 +84,7 @@
         let versions = self.rollouts.pools.get_mut(&answers.pool);
         let rollout = versions.and_then(PoolVersions::rollout_mut);
         if let Some(rollout) = rollout.filter(|known| known.order().version == answers.version) {
-            rollout.answered(self.now, from, answers.first, &answers.samples);
+            rollout.record_answers(self.now, from, answers.first, &answers.samples);
         }
     }
 
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -18,7 +18,7 @@
             key_slots: self.home.slots_held(),
             keys: self.home.keys(),
             requests: self.entry.len(),
-            suspects: self.lethal.requests.since(self.now, 0),
+            suspects: self.lethal.requests.changes_since(self.now, 0),
             refused: self.lethal.requests.refused().copied().collect(),
             rollouts: self.rollout_statuses(),
             config_intake: self.configs.intake,
@@ -41,8 +41,8 @@
             slowness: state.slowness(),
             leaving: state.is_leaving(),
             ejected: state.ejected(),
-            limit: state.word().rate(),
-            rests: state.rests(self.now),
+            limit: state.notices().rate(),
+            is_resting: state.rests(self.now),
         });
         // The order contains at least this daemon.
         let order = self.members.scheduler_order(self.scheduling_subject(id));
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -29,7 +29,7 @@
     /// The requests per second that the target accepts from all daemons, as it reports itself, `None` if unlimited.
     pub limit: Option<RequestRate>,
     /// Whether the target has requested rest from any daemon and the rest still lasts.
-    pub rests: bool,
+    pub is_resting: bool,
 }
 
 /// The share of the requested work of one urgency that was granted.
--- a/crates/node/src/target_view.rs
+++ b/crates/node/src/target_view.rs
@@ -56,7 +56,7 @@
     /// The target.
     pub target: TargetId,
     /// Whether the target had announced that it leaves; one that had not has most likely terminated without notice.
-    pub left: bool,
+    pub announced_leaving: bool,
 }
 
 /// The targets at a revision of the platform, and unlisted ones that may return.
@@ -100,7 +100,7 @@
     pub fn shows(&self, instance: &TargetInstance) -> bool {
         let known = self.listed.get(&instance.id).or_else(|| self.missing.get(&instance.id));
         known.is_some_and(|known| {
-            InstanceOrder::of(instance.start, known.entry.start) == InstanceOrder::Same
+            InstanceOrder::compare(instance.start, known.entry.start) == InstanceOrder::Same
         })
     }
 
@@ -211,7 +211,7 @@
         let known = listed.as_ref().or_else(|| self.missing.get(&id));
         let start = known.and_then(|known| known.entry.start);
         let latest = start.max(self.ended.latest(&id));
-        let order = InstanceOrder::of(stated.entry.start, latest);
+        let order = InstanceOrder::compare(stated.entry.start, latest);
         if let (Some((stated, known)), true) =
             (stated.entry.start.zip(latest), order != InstanceOrder::Same)
         {
@@ -234,7 +234,7 @@
 
     fn remove_entry(&mut self, id: TargetId, target: DiscoveredTarget, uncertain: bool) {
         self.ended.record(&id, target.entry.start);
-        self.removed.push(RemovedTarget { target: id.clone(), left: target.leaving });
+        self.removed.push(RemovedTarget { target: id.clone(), announced_leaving: target.leaving });
         if uncertain && !target.leaving {
             self.missing.insert(id, target);
         }
--- a/crates/node/tests/charges.rs
+++ b/crates/node/tests/charges.rs
@@ -45,7 +45,7 @@
     let waiting = SLOTS + 1;
     submit(&mut fleet, waiting, LARGE);
     if withdrawn {
-        fleet.event(0, NodeEvent::Cancelled(RequestId::from_u128(waiting)));
+        fleet.event(0, NodeEvent::CallerDisconnected(RequestId::from_u128(waiting)));
     } else {
         fleet.run(WAIT_LIMIT * 2);
         assert_eq!(reason(&fleet, waiting), Some(RefusalReason::WaitTooLong));
--- a/crates/node/tests/distribution.rs
+++ b/crates/node/tests/distribution.rs
@@ -103,7 +103,7 @@
 fn pulls_after(fleet: &mut Fleet, message: PeerMessage) -> Vec<ConfigPartPull> {
     fleet.now += Duration::from_secs(1);
     let peer = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
-    let event = NodeEvent::Peer(PeerFrame { from: peer, messages: vec![message] });
+    let event = NodeEvent::PeerFrameReceived(PeerFrame { from: peer, messages: vec![message] });
     let actions = fleet.daemons[0].node.handle(fleet.now, fleet.now, event);
     let frames = actions.into_iter().filter_map(|action| match action {
         NodeAction::Send(_, frame) => Some(frame.messages),
@@ -152,7 +152,7 @@
     let mut pushes = 0;
     for step in 0..20 {
         let now = fleet.now + Duration::from_millis(100) * step;
-        let event = NodeEvent::Peer(frame.clone());
+        let event = NodeEvent::PeerFrameReceived(frame.clone());
         for action in fleet.daemons[0].node.handle(now, now, event) {
             let NodeAction::Send(_, frame) = action else { continue };
             let whole = |message: &&PeerMessage| matches!(message, PeerMessage::ConfigPush(_));
--- a/crates/node/tests/hand_over.rs
+++ b/crates/node/tests/hand_over.rs
@@ -28,7 +28,7 @@
         let request = RequestId::from_u128(number);
         let claim = KeyClaim { request, account: "a".to_string(), key, attempt: Some(1) };
         let frame = PeerFrame { from: peer.clone(), messages: vec![PeerMessage::KeyClaim(claim)] };
-        fleet.event(0, NodeEvent::Peer(frame));
+        fleet.event(0, NodeEvent::PeerFrameReceived(frame));
     }
     fleet
 }
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -69,7 +69,7 @@
     match fleet.decision(number) {
         Some(CallerDecision::Refuse(refusal)) => Some(refusal.clone()),
         _ => {
-            fleet.event(index, NodeEvent::Cancelled(support::spec(number).request));
+            fleet.event(index, NodeEvent::CallerDisconnected(support::spec(number).request));
             None
         }
     }
@@ -363,7 +363,11 @@
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let messages = vec![PeerMessage::Heartbeat(heartbeat(1))];
     let now = fleet.now;
-    fleet.daemons[2].node.handle(now, now, NodeEvent::Peer(PeerFrame { from, messages }));
+    fleet.daemons[2].node.handle(
+        now,
+        now,
+        NodeEvent::PeerFrameReceived(PeerFrame { from, messages }),
+    );
     let mut asked = Vec::new();
     for step in 0..200 {
         let now = now + Duration::from_millis(20) * step;
@@ -389,7 +393,8 @@
     let now = fleet.now;
     let mut ask = |known| {
         let pull = PeerMessage::SuspectsPull(SuspectsPull { known });
-        let event = NodeEvent::Peer(PeerFrame { from: from.clone(), messages: vec![pull] });
+        let event =
+            NodeEvent::PeerFrameReceived(PeerFrame { from: from.clone(), messages: vec![pull] });
         fleet.daemons[0].node.handle(now, now, event).len()
     };
     assert_eq!(ask(0), 1, "the first pull is answered");
@@ -413,7 +418,7 @@
 fn answer_to_pull(fleet: &mut Fleet, known: u64) -> SuspectsPush {
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let pull = PeerMessage::SuspectsPull(SuspectsPull { known });
-    let event = NodeEvent::Peer(PeerFrame { from, messages: vec![pull] });
+    let event = NodeEvent::PeerFrameReceived(PeerFrame { from, messages: vec![pull] });
     let actions = fleet.daemons[0].node.handle(fleet.now, fleet.now, event);
     let frames = actions.into_iter().filter_map(|action| match action {
         NodeAction::Send(_, frame) => Some(frame.messages),
--- a/crates/node/tests/notices.rs
+++ b/crates/node/tests/notices.rs
@@ -47,7 +47,7 @@
         let mut fleet = Fleet::new(daemons);
         fleet.targets = (vec![target("x", false)], fleet.targets.1 + 1);
         fleet.run(Duration::from_secs(3));
-        let limit = LimitNotice::Named(RequestRate::per_second(LIMIT).expect("a rate"));
+        let limit = LimitNotice::Stated(RequestRate::per_second(LIMIT).expect("a rate"));
         LimitedFleet {
             fleet,
             gates: BTreeMap::new(),
@@ -90,13 +90,13 @@
         let gate = self.gates.entry(index).or_default();
         if gate.pass(now, &instance()).is_some() {
             let end = curlewcleat_core::AttemptEnd::Unused;
-            let stopped = NodeEvent::NotRun(id, end, RetryReason::TargetUnwilling);
+            let stopped = NodeEvent::AttemptNotRun(id, end, RetryReason::TargetUnwilling);
             return self.fleet.event(index, stopped);
         }
         self.arrived.push(now);
         let change =
-            gate.heard(now, &instance(), &ReceivedNotice { sent: now, notice: self.notice });
-        if change.tell {
+            gate.apply_notice(now, &instance(), &ReceivedNotice { sent: now, notice: self.notice });
+        if change.send_report {
             self.fleet.event(index, NodeEvent::NoticeReceived("p".to_string(), change.report));
         }
         self.fleet.finish(index, id.as_u128());
--- a/crates/node/tests/pull_faults.rs
+++ b/crates/node/tests/pull_faults.rs
@@ -92,7 +92,7 @@
         let bytes = vec![0; 1 << 20];
         let part = ConfigPart { archive: id, offset: index << 20, bytes };
         let messages = vec![PeerMessage::ConfigPart(part)];
-        let event = NodeEvent::Peer(PeerFrame { from: from.clone(), messages });
+        let event = NodeEvent::PeerFrameReceived(PeerFrame { from: from.clone(), messages });
         let now = fleet.now;
         let actions = fleet.daemons[0].node.handle(now, now, event);
         let goes_on = actions.iter().any(|action| {
--- a/crates/node/tests/support/network.rs
+++ b/crates/node/tests/support/network.rs
@@ -56,7 +56,7 @@
                 link.send(frame);
                 None
             }
-            None => Some((index, NodeEvent::Peer(frame))),
+            None => Some((index, NodeEvent::PeerFrameReceived(frame))),
         }
     }
 
@@ -76,14 +76,14 @@
         self.delayed = later;
         let due: Vec<(Duration, usize, PeerFrame)> = due;
         for (_, index, frame) in due {
-            self.event(index, NodeEvent::Peer(frame));
+            self.event(index, NodeEvent::PeerFrameReceived(frame));
         }
     }
 
     pub(super) fn deliver_inbound(&mut self, index: usize) {
         let Some(link) = self.links.get_mut(&index) else { return };
         for frame in link.arrived(self.now) {
-            self.event(index, NodeEvent::Peer(frame));
+            self.event(index, NodeEvent::PeerFrameReceived(frame));
         }
     }
 }
--- a/crates/node/tests/support/scripted.rs
+++ b/crates/node/tests/support/scripted.rs
@@ -99,7 +99,7 @@
     /// Delivers a message of a peer to the first daemon.
     pub fn take(&mut self, index: usize, message: PeerMessage) {
         let from = DaemonId { vm: format!("vm-{index}"), incarnation: 1 };
-        let event = NodeEvent::Peer(PeerFrame { from, messages: vec![message] });
+        let event = NodeEvent::PeerFrameReceived(PeerFrame { from, messages: vec![message] });
         let now = self.fleet.now;
         for action in self.fleet.daemons[0].node.handle(now, now, event) {
             let NodeAction::Send(to, frame) = action else { continue };
--- a/crates/node/tests/target_lives.rs
+++ b/crates/node/tests/target_lives.rs
@@ -171,7 +171,7 @@
             PeerMessage::Heartbeat(support::heartbeat(1)),
             PeerMessage::FreshnessAnswer(answer),
         ];
-        let event = NodeEvent::Peer(PeerFrame { from: from(), messages });
+        let event = NodeEvent::PeerFrameReceived(PeerFrame { from: from(), messages });
         for action in fleet.daemons[0].node.handle(now, now, event) {
             let NodeAction::Send(_, frame) = action else { continue };
             pulls.extend(frame.messages.into_iter().filter(|message| {
@@ -185,7 +185,7 @@
     assert!(pulls.contains(&PeerMessage::TargetsPull(1)), "{pulls:?}");
     let content = TargetsContent::All(vec![target("z", false)]);
     let push = PeerMessage::TargetsPush(TargetsPush { content, at: 50 });
-    let event = NodeEvent::Peer(PeerFrame { from: from(), messages: vec![push] });
+    let event = NodeEvent::PeerFrameReceived(PeerFrame { from: from(), messages: vec![push] });
     fleet.daemons[0].node.handle(now, now, event);
     assert_eq!(fleet.daemons[0].node.config().pools["p"].targets["z"].start, None);
 }
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -162,9 +162,9 @@
         account: &AccountId,
         rate: &SharedRate,
         cost: u64,
-        part: RateShare,
+        rate_share: RateShare,
     ) -> Result<(), Duration> {
-        let limits = self.limits(rate, part);
+        let limits = self.limits(rate, rate_share);
         let since = self.since;
         let bucket =
             self.buckets.entry(account.clone()).or_insert_with(|| SharedBucket::new(since));
@@ -182,13 +182,14 @@
     }
 
     /// Returns the refill rate and the limits of a bucket in a daemon with this share and role.
-    fn limits(&self, rate: &SharedRate, part: RateShare) -> BucketLimits {
+    fn limits(&self, rate: &SharedRate, rate_share: RateShare) -> BucketLimits {
         let share_of = |units: u64| {
-            i128::from(units) * part.reached.min(part.all) as i128 / part.all.max(1) as i128
+            i128::from(units) * rate_share.reached.min(rate_share.all) as i128
+                / rate_share.all.max(1) as i128
         };
         let per_s = share_of(rate.per_s + rate.per_s * self.margin.percent / 100);
         let saved = per_s * SCALE / NON_LEADER_SAVED_DIVISOR;
-        match part.role {
+        match rate_share.role {
             RateRole::Leader => {
                 let whole_burst = share_of(rate.burst + self.margin.units) * SCALE;
                 let limit = (whole_burst / LEADER_SAVED_DIVISOR).min(per_s * SCALE);
@@ -207,7 +208,7 @@
     }
 
     /// Returns the units that were taken for a request that is refused.
-    pub fn give_back(&mut self, account: &AccountId, cost: u64) {
+    pub fn refund(&mut self, account: &AccountId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.units.refund(cost);
         }
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -26,9 +26,9 @@
 
 /// Returns the work per second, from a ratio of microseconds of work to microseconds of time.
 fn per_second(work: &DecayingRatio) -> u64 {
-    let work = DecayingRatio { below: work.below.max(1), ..*work };
-    // `below` is at least 1, so there always is a ratio.
-    work.of(MICROS_PER_SECOND).unwrap_or(0)
+    let work = DecayingRatio { denominator: work.denominator.max(1), ..*work };
+    // `denominator` is at least 1, so there always is a ratio.
+    work.scale(MICROS_PER_SECOND).unwrap_or(0)
 }
 
 /// Work granted and arrived in one pool.
@@ -45,13 +45,13 @@
 impl PoolThroughput {
     /// Records the work of a request that was admitted.
     pub fn arrived(&mut self, tier: TierRank, work: WorkMicros) {
-        self.arrived.entry(tier).or_default().above += work;
+        self.arrived.entry(tier).or_default().numerator += work;
     }
 
     /// Records the work of a request that was granted a permit; `busy` is set if other requests wait.
-    pub fn granted(&mut self, work: WorkMicros, busy: bool) {
+    pub fn record_grant(&mut self, work: WorkMicros, busy: bool) {
         if busy {
-            self.granted.above += work;
+            self.granted.numerator += work;
         }
     }
 
@@ -60,9 +60,9 @@
         let passed = now.saturating_sub(self.last_tick).as_micros() as u64;
         self.last_tick = now;
         if busy {
-            self.granted.below += passed;
+            self.granted.denominator += passed;
         }
-        self.arrived.values_mut().for_each(|work| work.below += passed);
+        self.arrived.values_mut().for_each(|work| work.denominator += passed);
         if now >= self.last_decay + DECAY_INTERVAL {
             self.last_decay = now;
             if busy {
@@ -75,10 +75,10 @@
     /// Returns the work per second that the pool can grant to a tier beside the work of the higher tiers, or `None`
     /// if it cannot be estimated yet.
     pub fn capacity_for(&self, tier: TierRank) -> Option<u64> {
-        let busy = u128::from(self.granted.below);
+        let busy = u128::from(self.granted.denominator);
         // A scheduler that has just taken over may have granted nothing, since the slots are in use by permits that
         // its predecessor granted.
-        if busy < MIN_BUSY_TIME.as_micros() || self.granted.above == 0 {
+        if busy < MIN_BUSY_TIME.as_micros() || self.granted.numerator == 0 {
             return None;
         }
         let capacity = per_second(&self.granted);
--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -83,7 +83,7 @@
     terminations: RecentTerminations,
     served: RecentlyServed,
     /// Number of changes so far.
-    at: u64,
+    change_count: u64,
 }
 
 impl LethalRequests {
@@ -100,10 +100,10 @@
         digest: RequestDigest,
         interruption: RequestInterruption,
     ) -> bool {
-        let at = self.at + 1;
+        let change = self.change_count + 1;
         let suspect = self.suspects.entry(digest).or_default();
         let changed = suspect.record_interruption(now, interruption);
-        self.record_and_classify_if(changed, at, digest);
+        self.record_and_classify_if(changed, change, digest);
         changed
     }
 
@@ -113,7 +113,7 @@
         let mut cleared = Vec::new();
         let mut any_changed = false;
         for report in reports {
-            let at = self.at + 1;
+            let change = self.change_count + 1;
             let digest = report.digest;
             let suspect = self.suspects.entry(digest).or_default();
             let mut changed = suspect.merge(now, report);
@@ -123,7 +123,7 @@
                 changed = true;
             }
             any_changed |= changed;
-            self.record_change_if(changed, at, digest);
+            self.record_change_if(changed, change, digest);
         }
         if any_changed {
             self.classify();
@@ -133,25 +133,25 @@
 
     /// Records that a request was served whole, so that earlier terminations do not count against it. Returns whether
     /// the state changed.
-    pub fn served(&mut self, now: Uptime, digest: &RequestDigest) -> bool {
+    pub fn record_served(&mut self, now: Uptime, digest: &RequestDigest) -> bool {
         self.served.record(now, *digest);
         self.clear(digest)
     }
 
     /// Clears a request of everything recorded against it. Returns whether the state changed.
     pub fn clear(&mut self, digest: &RequestDigest) -> bool {
-        let at = self.at + 1;
+        let change = self.change_count + 1;
         let changed = self.suspects.get_mut(digest).is_some_and(SuspectRequest::clear);
-        self.record_and_classify_if(changed, at, *digest);
+        self.record_and_classify_if(changed, change, *digest);
         changed
     }
 
     /// Records that the platform has stored the refusal of a request.
-    pub fn stored(&mut self, digest: &RequestDigest) {
-        let at = self.at + 1;
+    pub fn record_stored(&mut self, digest: &RequestDigest) {
+        let change = self.change_count + 1;
         let suspect = self.suspects.get_mut(digest);
         let changed = suspect.is_some_and(|suspect| !std::mem::replace(&mut suspect.stored, true));
-        self.record_and_classify_if(changed, at, *digest);
+        self.record_and_classify_if(changed, change, *digest);
     }
 
     /// Advances the clock and checks which instances the platform lists; `targets` is the number of targets it lists.
@@ -174,8 +174,8 @@
         }
         self.review_terminations(now, targets);
         for digest in &changed {
-            let at = self.at + 1;
-            self.record_change_if(true, at, *digest);
+            let change = self.change_count + 1;
+            self.record_change_if(true, change, *digest);
         }
         if !changed.is_empty() {
             self.classify();
@@ -226,8 +226,8 @@
     }
 
     /// Returns the number of changes so far plus one, so that 0 stands for a daemon that has never pulled them.
-    pub fn at(&self) -> u64 {
-        self.at + 1
+    pub fn change_count(&self) -> u64 {
+        self.change_count + 1
     }
 
     /// Returns the report about a request, for other daemons.
@@ -235,8 +235,8 @@
         self.suspects.get(digest).map(|suspect| suspect.report(now, *digest))
     }
 
-    fn record_and_classify_if(&mut self, changed: bool, at: u64, digest: RequestDigest) {
-        self.record_change_if(changed, at, digest);
+    fn record_and_classify_if(&mut self, changed: bool, change: u64, digest: RequestDigest) {
+        self.record_change_if(changed, change, digest);
         if changed {
             self.classify();
         }
@@ -244,13 +244,13 @@
 
     /// Records a change without classifying anew: with 512 suspects that takes 0.2 ms, so callers that record many
     /// changes classify once at the end.
-    fn record_change_if(&mut self, changed: bool, at: u64, digest: RequestDigest) {
+    fn record_change_if(&mut self, changed: bool, change: u64, digest: RequestDigest) {
         if !changed {
             return;
         }
-        self.at = at;
+        self.change_count = change;
         if let Some(suspect) = self.suspects.get_mut(&digest) {
-            suspect.changed_at = at;
+            suspect.changed_at = change;
         }
         self.evict_least();
     }
--- a/crates/sched/src/lethal/updates.rs
+++ b/crates/sched/src/lethal/updates.rs
@@ -22,20 +22,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectUpdates {
     /// Change count up to which these updates are complete.
-    pub at: u64,
+    pub change_count: u64,
     /// Reports about the changed requests.
     pub requests: Vec<SuspectReport>,
 }
 
 impl LethalRequests {
     /// Returns the reports about all requests that changed after this count, 0 for all.
-    pub fn since(&self, now: Uptime, known: u64) -> Vec<SuspectReport> {
+    pub fn changes_since(&self, now: Uptime, known: u64) -> Vec<SuspectReport> {
         let changed = self.changed_after(known);
         changed.map(|(digest, suspect)| suspect.report(now, *digest)).collect()
     }
 
     /// Returns the updates for a daemon that knows all changes up to this count.
-    pub fn news(&self, now: Uptime, known: u64) -> SuspectUpdates {
+    pub fn updates(&self, now: Uptime, known: u64) -> SuspectUpdates {
         let changed = self.changed_after(known);
         let (urgent, mut ordinary): (Vec<_>, Vec<_>) =
             changed.partition(|(_, suspect)| is_urgent(suspect));
@@ -45,7 +45,7 @@
         let report =
             |(digest, suspect): (&RequestDigest, &SuspectRequest)| suspect.report(now, *digest);
         let requests = urgent.into_iter().chain(ordinary).map(report).collect();
-        SuspectUpdates { at: first_omitted.unwrap_or(self.at()), requests }
+        SuspectUpdates { change_count: first_omitted.unwrap_or(self.change_count()), requests }
     }
 
     fn changed_after(&self, known: u64) -> impl Iterator<Item = (&RequestDigest, &SuspectRequest)> {
--- a/crates/sched/src/order/flows.rs
+++ b/crates/sched/src/order/flows.rs
@@ -74,7 +74,7 @@
 
 impl UrgencyFlows {
     /// Records a permit request. A retry is ignored, since its first attempt was counted.
-    pub fn asked(&mut self, request: &PermitRequest) {
+    pub fn record_request(&mut self, request: &PermitRequest) {
         if request.permit.attempt > 0 || request.objectives.is_retry {
             return;
         }
@@ -84,7 +84,7 @@
     }
 
     /// Records that a request was granted a permit.
-    pub fn granted(&mut self, request: &PermitRequest) {
+    pub fn record_grant(&mut self, request: &PermitRequest) {
         let flow = self.flows.entry(urgency_key(request)).or_default();
         flow.granted += work_of(request);
     }
@@ -113,9 +113,10 @@
     pub fn requested_per_second(&self) -> BTreeMap<TierRank, BTreeMap<TierRank, WorkMicros>> {
         let mut requested: BTreeMap<TierRank, BTreeMap<TierRank, WorkMicros>> = BTreeMap::new();
         for ((tier, urgency), flow) in &self.flows {
-            let flow = DecayingRatio { above: flow.capped_work(), below: self.time.max(1) };
+            let flow =
+                DecayingRatio { numerator: flow.capped_work(), denominator: self.time.max(1) };
             // The time is at least 1, so there always is a ratio.
-            let work = flow.of(MICROS_PER_SECOND).unwrap_or(0);
+            let work = flow.scale(MICROS_PER_SECOND).unwrap_or(0);
             requested.entry(*tier).or_default().insert(*urgency, work);
         }
         requested
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -77,15 +77,15 @@
         self.queues.defer_late(now);
         while let Some((permit, target)) = self.next_trial(now).or_else(|| self.next_grant(now)) {
             let Some(waiting) = self.queues.take(&permit) else { return };
-            self.throughput.granted(waiting.work, !self.queues.is_empty());
-            self.flows.granted(&waiting.request);
+            self.throughput.record_grant(waiting.work, !self.queues.is_empty());
+            self.flows.record_grant(&waiting.request);
             let Some(state) = self.targets.get_mut(&target) else { return };
             let estimate = state.estimate(&waiting.request);
             let expected = estimate * 1_000 / state.slowness().max(1);
             state.in_flight += 1;
             if let Some(trial) = &mut self.trial {
                 let on_trial = state.access == VersionAccess::Trial;
-                trial.note(waiting.request.objectives.urgency, on_trial);
+                trial.record(waiting.request.objectives.urgency, on_trial);
             }
             state.request_sent(now);
             let backlog = state.prompt_backlog(now);
@@ -112,7 +112,7 @@
 
     fn next_grant(&self, now: Uptime) -> Option<(PermitId, TargetId)> {
         // If all targets are busy, as in an overload, no request needs to be considered.
-        let has_capacity = |state: &TargetState| state.has_room(true, 0, now);
+        let has_capacity = |state: &TargetState| state.has_capacity(true, 0, now);
         if self.queues.is_empty() || !self.targets.values().any(has_capacity) {
             return None;
         }
@@ -128,7 +128,7 @@
         let top = waiting.request.tier == self.options.top;
         let reserve = self.options.reserve_percent;
         let candidates = self.targets.iter().filter(|(id, state)| {
-            state.has_room(top, reserve, now) && eligible(now, waiting, id, state)
+            state.has_capacity(top, reserve, now) && eligible(now, waiting, id, state)
         });
         let scored = candidates.map(|(id, state)| {
             let fit = self.evaluate(now, waiting, state);
--- a/crates/sched/src/placement/notice.rs
+++ b/crates/sched/src/placement/notice.rs
@@ -49,13 +49,13 @@
 
 impl NoticeState {
     /// Applies a received notice, and returns whether the state changed.
-    pub fn heard(&mut self, now: Uptime, received: &ReceivedNotice) -> bool {
+    pub fn apply_notice(&mut self, now: Uptime, received: &ReceivedNotice) -> bool {
         let before = self.clone();
         self.leaving |= received.notice.leaving;
         let rest_until = received.notice.rest.map(|rest| now + rest);
         self.rest_until = self.rest_until.max(rest_until);
         match received.notice.limit {
-            LimitNotice::Named(rate) => {
+            LimitNotice::Stated(rate) => {
                 self.limit = Some(LimitState { rate: Some(rate), since: now })
             }
             LimitNotice::Absent => self.end_limit(received.sent),
--- a/crates/sched/src/placement/pace.rs
+++ b/crates/sched/src/placement/pace.rs
@@ -53,8 +53,8 @@
     /// Returns the pace that is assumed of a new target in a pool with this pace.
     pub fn of_new_target(&self) -> StreamPace {
         let scaled = |ratio: DecayingRatio| DecayingRatio {
-            above: ratio.above * TARGET_WEIGHT / POOL_WEIGHT,
-            below: ratio.below * TARGET_WEIGHT / POOL_WEIGHT,
+            numerator: ratio.numerator * TARGET_WEIGHT / POOL_WEIGHT,
+            denominator: ratio.denominator * TARGET_WEIGHT / POOL_WEIGHT,
         };
         StreamPace {
             first_part_time: scaled(self.first_part_time),
@@ -74,11 +74,15 @@
         timing: &StreamTiming,
     ) {
         let micros = |time: Duration| time.as_micros() as u64;
-        self.first_part_time.feed(micros(timing.first), prompt + PROMPT_BASE, self.weight);
+        self.first_part_time.add_sample(micros(timing.first), prompt + PROMPT_BASE, self.weight);
         if timing.parts > 1 {
-            self.part_time.feed(micros(timing.rest), u64::from(timing.parts - 1), self.weight);
+            self.part_time.add_sample(
+                micros(timing.rest),
+                u64::from(timing.parts - 1),
+                self.weight,
+            );
         }
-        self.parts_per_work.feed(u64::from(timing.parts), output, self.weight);
+        self.parts_per_work.add_sample(u64::from(timing.parts), output, self.weight);
         if timing.pause >= self.longest_pause(now) {
             self.longest = (timing.pause, now);
         }
@@ -93,13 +97,13 @@
 
     /// Returns the estimated time until the first part, `None` while nothing is known.
     pub fn prompt_time(&self, prompt: WorkMicros) -> Option<WorkMicros> {
-        self.first_part_time.of(prompt + PROMPT_BASE)
+        self.first_part_time.scale(prompt + PROMPT_BASE)
     }
 
     /// Returns the estimated time from the first part to the end, `None` while nothing is known. The number
     /// of parts is estimated from `pool`.
     pub fn output_time(&self, output: WorkMicros, pool: &StreamPace) -> Option<WorkMicros> {
-        self.part_time.of(pool.parts_per_work.of(output)?)
+        self.part_time.scale(pool.parts_per_work.scale(output)?)
     }
 
     /// Returns the longest recent pause, halved for each [`PAUSE_HALF_LIFE`] since it was reported.
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -79,7 +79,7 @@
     /// Share of its recent requests that failed, in thousandths.
     failing: u64,
     /// The merged notices of the target instance.
-    word: NoticeState,
+    notices: NoticeState,
     /// Until when it requires rest from an entry daemon, by the entry daemon's VM.
     rests: BTreeMap<VmId, Uptime>,
     /// This scheduler's share of the limit that the target states, with the limiter of the requests granted; `None`
@@ -108,7 +108,7 @@
             pace: StreamPace::of_pool().of_new_target(),
             prompts_until: Duration::ZERO,
             failing: 0,
-            word: NoticeState::default(),
+            notices: NoticeState::default(),
             rests: BTreeMap::new(),
             limit: None,
         }
@@ -135,7 +135,7 @@
     /// Applies a report of the target. A report is late: it may still count requests that have ended since.
     /// Only the excess over the permits in use at both this report and the previous one is attributed to
     /// others.
-    pub fn reported(&mut self, now: Uptime, report: &TargetReport) {
+    pub fn apply_report(&mut self, now: Uptime, report: &TargetReport) {
         let own = self.in_flight.max(self.previous_in_flight);
         self.previous_in_flight = self.in_flight;
         self.external_load = (report.running.saturating_sub(own), now + REPORT_VALIDITY);
@@ -177,7 +177,7 @@
         report: &NoticeReport,
         rate_share: RateShare,
     ) {
-        self.word.merge(now, report);
+        self.notices.merge(now, report);
         self.rests.retain(|_, until| now < *until);
         if let Some(rest) = report.rest {
             self.rests.insert(from.clone(), now + rest);
@@ -198,12 +198,12 @@
 
     /// Returns whether the target is leaving, according to the platform or to its own notice.
     pub fn is_leaving(&self) -> bool {
-        self.leaving || self.word.is_leaving()
+        self.leaving || self.notices.is_leaving()
     }
 
     /// Sets this scheduler's share of the target's limit.
     pub fn update_rate_share(&mut self, now: Uptime, rate_share: RateShare) {
-        let rate = self.word.rate().map(|rate| share_of(rate, rate_share));
+        let rate = self.notices.rate().map(|rate| share_of(rate, rate_share));
         let limit = self.limit.take();
         // If the share was zero before, other schedulers have used the limit, so the limiter begins empty.
         let pace = limit.filter(|(before, _)| before.0 > 0).map(|(_, pace)| pace);
@@ -232,12 +232,12 @@
     }
 
     /// Returns the merged notices of the target instance.
-    pub fn word(&self) -> &NoticeState {
-        &self.word
+    pub fn notices(&self) -> &NoticeState {
+        &self.notices
     }
 
     /// Returns whether one more request may go to the target. The reserve is kept free unless `top` is set.
-    pub fn has_room(&self, top: bool, reserve_percent: u32, now: Uptime) -> bool {
+    pub fn has_capacity(&self, top: bool, reserve_percent: u32, now: Uptime) -> bool {
         if self.is_leaving() || self.access != VersionAccess::Open {
             return false;
         }
--- a/crates/sched/src/placement/trial.rs
+++ b/crates/sched/src/placement/trial.rs
@@ -69,11 +69,11 @@
         let is_candidate = |waiting: &&WaitingRequest| {
             let request = &waiting.request;
             let is_first = request.permit.attempt == 0 && request.avoid.is_empty();
-            is_first && trial.admits(request.objectives.urgency, self.part)
+            is_first && trial.admits(request.objectives.urgency, self.rate_share)
         };
         let candidates = self.queues.candidates(HEADS_TRIED).filter(is_candidate);
-        let waiting =
-            candidates.min_by_key(|waiting| trial.had(waiting.request.objectives.urgency))?;
+        let waiting = candidates
+            .min_by_key(|waiting| trial.granted_to_urgency(waiting.request.objectives.urgency))?;
         let target = self.trial_target(now, waiting)?;
         Some((waiting.request.permit, target))
     }
--- a/crates/sched/src/pool.rs
+++ b/crates/sched/src/pool.rs
@@ -132,7 +132,7 @@
     /// When the learned state of the targets last decayed.
     pub(crate) last_decay: Uptime,
     /// The share of the targets' limits, and of a trial, that it grants.
-    pub(crate) part: RateShare,
+    pub(crate) rate_share: RateShare,
     /// Requests that it has granted to a version on trial and to others.
     pub(crate) trial: Option<TrialShare>,
 }
@@ -154,7 +154,7 @@
             throughput: PoolThroughput::default(),
             flows: UrgencyFlows::default(),
             last_decay: Duration::ZERO,
-            part: RateShare { reached: 1, all: 1, role: RateRole::Leader },
+            rate_share: RateShare { reached: 1, all: 1, role: RateRole::Leader },
             trial: None,
         }
     }
--- a/crates/sched/src/rollout.rs
+++ b/crates/sched/src/rollout.rs
@@ -42,7 +42,7 @@
     ended: Option<RolloutStage>,
     has_status: bool,
     /// When any daemon first knew the order, and since when the stage holds.
-    begun: Uptime,
+    known_since: Uptime,
     stage_since: Uptime,
     log: AnswerLog,
     evaluated: Uptime,
@@ -67,13 +67,13 @@
 
     /// Returns the state of an order that a peer reports.
     pub fn from_report(now: Uptime, report: RolloutReport) -> PoolRollout {
-        let begun = now.saturating_sub(report.age);
-        PoolRollout::new(now, begun, report.name, report.order, report.stage, report.revision)
+        let known_since = now.saturating_sub(report.age);
+        PoolRollout::new(now, known_since, report.name, report.order, report.stage, report.revision)
     }
 
     fn new(
         now: Uptime,
-        begun: Uptime,
+        known_since: Uptime,
         name: String,
         order: RolloutOrder,
         stage: RolloutStage,
@@ -86,7 +86,7 @@
             stage,
             ended: None,
             has_status: false,
-            begun,
+            known_since,
             stage_since: now,
             log: AnswerLog::default(),
             evaluated: Duration::ZERO,
@@ -132,8 +132,8 @@
     }
 
     /// Returns when any daemon first knew the order.
-    pub fn begun(&self) -> Uptime {
-        self.begun
+    pub fn known_since(&self) -> Uptime {
+        self.known_since
     }
 
     /// Returns the observed answers.
@@ -143,7 +143,7 @@
 
     /// Merges what the platform lists; returns whether the stage changed. A final stage that the platform has stored
     /// overrides any other.
-    pub fn shown(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
+    pub fn merge_record(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
         if record.revision < self.revision {
             return false;
         }
@@ -165,8 +165,8 @@
     }
 
     /// Merges a peer's report; returns whether the stage changed.
-    pub fn told(&mut self, now: Uptime, report: &RolloutReport) -> bool {
-        self.begun = self.begun.min(now.saturating_sub(report.age));
+    pub fn merge_report(&mut self, now: Uptime, report: &RolloutReport) -> bool {
+        self.known_since = self.known_since.min(now.saturating_sub(report.age));
         self.revision = self.revision.max(report.revision);
         report.stage > self.stage && self.ended.is_none() && self.enter_stage(now, report.stage)
     }
@@ -178,14 +178,20 @@
             order: self.order.clone(),
             stage: self.stage,
             revision: self.revision,
-            age: now.saturating_sub(self.begun),
+            age: now.saturating_sub(self.known_since),
         }
     }
 
     /// Records answers that a daemon observed.
-    pub fn answered(&mut self, now: Uptime, from: &DaemonId, first: u64, samples: &[AnswerSample]) {
+    pub fn record_answers(
+        &mut self,
+        now: Uptime,
+        from: &DaemonId,
+        first: u64,
+        samples: &[AnswerSample],
+    ) {
         if !self.stage.is_final() {
-            self.log.take(now, &self.order.version, from, first, samples);
+            self.log.record_answers(now, &self.order.version, from, first, samples);
         }
     }
 
--- a/crates/sched/src/rollout/exposure.rs
+++ b/crates/sched/src/rollout/exposure.rs
@@ -36,7 +36,7 @@
     limits: RolloutLimits,
     /// Requests that were granted any target, and those that were granted a target of the version.
     granted: u64,
-    tried: u64,
+    granted_on_trial: u64,
     /// Requests that were granted a target of the version, for each urgency that was granted any target.
     by_urgency: BTreeMap<TierRank, u64>,
 }
@@ -47,7 +47,7 @@
     pub fn new(limits: RolloutLimits, is_first: bool) -> TrialShare {
         let slack = if is_first { limits.slack } else { 0 };
         let limits = RolloutLimits { slack, ..limits };
-        TrialShare { limits, granted: 0, tried: 0, by_urgency: BTreeMap::new() }
+        TrialShare { limits, granted: 0, granted_on_trial: 0, by_urgency: BTreeMap::new() }
     }
 
     /// Returns the number of requests that were granted any target.
@@ -56,8 +56,8 @@
     }
 
     /// Returns the number of requests that were granted a target of the version.
-    pub fn tried(&self) -> u64 {
-        self.tried
+    pub fn granted_on_trial(&self) -> u64 {
+        self.granted_on_trial
     }
 
     /// Returns whether a request of an urgency may go to the version, at a scheduler that reaches this share of the
@@ -66,14 +66,14 @@
         if share.role != RateRole::Leader {
             return false;
         }
-        let had = self.had(urgency);
-        let has_had_more = self.by_urgency.values().any(|others| *others < had);
+        let granted = self.granted_to_urgency(urgency);
+        let has_had_more = self.by_urgency.values().any(|others| *others < granted);
         let reserve = if has_had_more { RESERVE } else { 0 };
-        self.tried + reserve < self.allowance(share)
+        self.granted_on_trial + reserve < self.allowance(share)
     }
 
     /// Returns the number of requests of an urgency that have gone to the version.
-    pub fn had(&self, urgency: TierRank) -> u64 {
+    pub fn granted_to_urgency(&self, urgency: TierRank) -> u64 {
         self.by_urgency.get(&urgency).copied().unwrap_or(0)
     }
 
@@ -84,12 +84,12 @@
     }
 
     /// Records that a request was granted a target, of the version or another.
-    pub fn note(&mut self, urgency: TierRank, of_version: bool) {
+    pub fn record(&mut self, urgency: TierRank, of_version: bool) {
         self.granted += 1;
-        let had = self.by_urgency.entry(urgency).or_default();
+        let granted = self.by_urgency.entry(urgency).or_default();
         if of_version {
-            self.tried += 1;
-            *had += 1;
+            self.granted_on_trial += 1;
+            *granted += 1;
         }
     }
 }
--- a/crates/sched/src/rollout/plan.rs
+++ b/crates/sched/src/rollout/plan.rs
@@ -124,7 +124,7 @@
         if view.others == 0 && view.targets > 0 {
             return Some((RolloutStage::Move, RolloutReason::NoOthers));
         }
-        if now < self.begun + self.trial_time(time) {
+        if now < self.known_since + self.trial_time(time) {
             return None;
         }
         let has_few_requests = view.requests <= view.slack;
--- a/crates/sched/src/rollout/samples.rs
+++ b/crates/sched/src/rollout/samples.rs
@@ -76,7 +76,7 @@
     /// Number of answers of each daemon that are known.
     known: BTreeMap<DaemonId, u64>,
     /// Number of answers of the version that failed or were interrupted.
-    bad: u64,
+    bad_answers: u64,
 }
 
 impl AnswerLog {
@@ -101,12 +101,12 @@
     }
 
     /// Number of answers of the version that failed or were interrupted.
-    pub fn bad(&self) -> u64 {
-        self.bad
+    pub fn bad_answers(&self) -> u64 {
+        self.bad_answers
     }
 
     /// Records answers that a daemon observed; `first` is the position of the first of them among all that it observed.
-    pub fn take(
+    pub fn record_answers(
         &mut self,
         now: Uptime,
         version: &TargetVersion,
@@ -135,7 +135,7 @@
             observation: sample.observation,
         };
         if sample.version.as_ref() == Some(version) {
-            self.bad += u64::from(answer.is_bad());
+            self.bad_answers += u64::from(answer.is_bad());
             self.trial.push_back(answer);
             if self.trial.len() > TRIAL_LIMIT {
                 self.trial.pop_front();
--- a/crates/sched/src/rollout/versions.rs
+++ b/crates/sched/src/rollout/versions.rs
@@ -93,7 +93,7 @@
 
     /// Records which versions the targets report, with the number of targets of each; `orders_read` is when the orders
     /// were last read. Returns whether the permitted requests of any of them changed.
-    pub fn shown(
+    pub fn update_reported(
         &mut self,
         now: Uptime,
         shown: &BTreeMap<ReportedVersion, usize>,
@@ -165,7 +165,7 @@
     /// Merges an order that the platform lists; returns whether the state changed.
     pub fn merge_record(&mut self, now: Uptime, record: &RolloutRecord) -> bool {
         let changed = match self.known_order(&record.order.version) {
-            Some(known) => known.shown(now, record),
+            Some(known) => known.merge_record(now, record),
             None => self.replace(PoolRollout::from_record(now, record.clone())),
         };
         self.apply_stage(changed)
@@ -174,7 +174,7 @@
     /// Merges a peer's report of an order; returns whether the state changed.
     pub fn merge_report(&mut self, now: Uptime, report: &RolloutReport) -> bool {
         let changed = match self.known_order(&report.order.version) {
-            Some(known) => known.told(now, report),
+            Some(known) => known.merge_report(now, report),
             None => self.replace(PoolRollout::from_report(now, report.clone())),
         };
         self.apply_stage(changed)
@@ -188,7 +188,7 @@
     /// Records that the platform lists no order for the pool at this revision; returns whether the state changed.
     pub fn remove_missing_order(&mut self, at: ObjectVersion) -> bool {
         // Orders keep bare revisions, so that an order that is missing from an older copy of the store stays in force.
-        let at = StorePosition::of(at).revision;
+        let at = StorePosition::from_version(at).revision;
         if self.rollout.as_ref().is_none_or(|known| known.revision() > at) {
             return false;
         }
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -88,7 +88,7 @@
         if self.is_at_target(&request.permit) {
             return self.request_replacement(now, entry, request);
         }
-        self.flows.asked(&request);
+        self.flows.record_request(&request);
         let mut actions = Vec::new();
         let in_time_until = match self.admit(now, &entry, &request, &mut actions) {
             Ok(in_time_until) => in_time_until,
@@ -131,7 +131,7 @@
     }
 
     /// Handles a returned permit or a withdrawn permit request.
-    pub fn give_back(&mut self, now: Uptime, returned: &PermitReturn) -> Vec<SchedulerAction> {
+    pub fn return_permit(&mut self, now: Uptime, returned: &PermitReturn) -> Vec<SchedulerAction> {
         self.queues.remove(&returned.permit);
         if let Some(record) = self.permits.remove(&returned.permit) {
             self.record_end(now, &record, returned.end);
@@ -142,7 +142,7 @@
     }
 
     /// Records a permit in use that another scheduler granted.
-    pub fn hold(&mut self, now: Uptime, entry: DaemonId, held: PermitHeld) {
+    pub fn record_held_permit(&mut self, now: Uptime, entry: DaemonId, held: PermitHeld) {
         self.queues.remove(&held.request.permit);
         if let Some(earlier) = self.permits.remove(&held.request.permit) {
             self.record_end(now, &earlier, AttemptEnd::Unused);
--- a/crates/sched/src/target_gate.rs
+++ b/crates/sched/src/target_gate.rs
@@ -27,7 +27,7 @@
 /// The notices of one target instance, and what was sent and reported of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct GateRecord {
-    word: NoticeState,
+    notices: NoticeState,
     /// When its latest notice was received.
     last_notice: Uptime,
     /// Whether an unreadable notice has been reported to the operators.
@@ -57,7 +57,7 @@
     /// Whether the notice changed them.
     pub changed: bool,
     /// Whether the report is to be sent to other daemons.
-    pub tell: bool,
+    pub send_report: bool,
     /// Whether this is the first unreadable notice of the target instance.
     pub unreadable: bool,
 }
@@ -70,7 +70,7 @@
 
 impl TargetGate {
     /// Applies a notice that has just arrived in a response header.
-    pub fn heard(
+    pub fn apply_notice(
         &mut self,
         now: Uptime,
         instance: &TargetInstance,
@@ -81,31 +81,36 @@
         }
         let record = self.instances.entry(instance.clone()).or_default();
         record.last_notice = now;
-        let changed = record.word.heard(now, received);
+        let changed = record.notices.apply_notice(now, received);
         record.pace = record
-            .word
+            .notices
             .rate()
             .map(|_| record.pace.take().unwrap_or_else(|| SendPace::begin(now, EXTRA_BURST)));
         let due = record.last_report.is_none_or(|reported| now >= reported + REPORT_INTERVAL);
-        let tell = changed || due && record.word.needs_report(now);
-        if tell {
+        let send_report = changed || due && record.notices.needs_report(now);
+        if send_report {
             record.last_report = Some(now);
         }
         let unreadable =
             received.notice.unreadable && !std::mem::replace(&mut record.unreadable_reported, true);
-        NoticeChange { report: record.word.report(now, instance), changed, tell, unreadable }
+        NoticeChange {
+            report: record.notices.report(now, instance),
+            changed,
+            send_report,
+            unreadable,
+        }
     }
 
     /// Returns why a request would be stopped now, `None` if it may be sent.
     pub fn stop(&mut self, now: Uptime, instance: &TargetInstance) -> Option<GateStop> {
         let record = self.instances.get_mut(instance)?;
-        if record.word.is_leaving() {
+        if record.notices.is_leaving() {
             return Some(GateStop::Leaving);
         }
-        if record.word.rest_until().is_some_and(|until| now < until) {
+        if record.notices.rest_until().is_some_and(|until| now < until) {
             return Some(GateStop::Resting);
         }
-        let limit = record.word.rate().zip(record.pace.as_ref());
+        let limit = record.notices.rate().zip(record.pace.as_ref());
         match limit {
             Some((rate, pace)) if !pace.admits(now, rate) => {
                 // The scheduler that granted this request does not know the limit; the next answer is reported to it.
@@ -122,7 +127,7 @@
             return Some(stop);
         }
         let record = self.instances.get_mut(instance)?;
-        if let Some((rate, pace)) = record.word.rate().zip(record.pace.as_mut()) {
+        if let Some((rate, pace)) = record.notices.rate().zip(record.pace.as_mut()) {
             pace.sent(now, rate);
         }
         None
--- a/crates/sched/src/targets.rs
+++ b/crates/sched/src/targets.rs
@@ -36,7 +36,7 @@
 
     fn configure_target(&mut self, entry: &TargetEntry) {
         let known = self.targets.get(&entry.id).map(|state| state.start);
-        match known.map(|known| InstanceOrder::of(entry.start, known)) {
+        match known.map(|known| InstanceOrder::compare(entry.start, known)) {
             // The list entry is of an earlier instance than the known one.
             Some(InstanceOrder::Earlier) => return,
             Some(InstanceOrder::Later) => drop(self.targets.remove(&entry.id)),
@@ -84,14 +84,14 @@
     }
 
     /// Applies a target's report. A report of another instance than the known one is ignored.
-    pub fn reported(
+    pub fn apply_report(
         &mut self,
         now: Uptime,
         target: &TargetInstance,
         report: &TargetReport,
     ) -> Vec<SchedulerAction> {
         if let Some(state) = state_of(&mut self.targets, target) {
-            state.reported(now, report);
+            state.apply_report(now, report);
         }
         let mut actions = Vec::new();
         self.grant(now, &mut actions);
@@ -106,7 +106,7 @@
         from: &VmId,
         report: &NoticeReport,
     ) -> Vec<SchedulerAction> {
-        let rate_share = self.part;
+        let rate_share = self.rate_share;
         if let Some(state) = state_of(&mut self.targets, &report.instance) {
             state.apply_notice_report(now, from, report, rate_share);
         }
@@ -116,12 +116,12 @@
     }
 
     /// Sets this scheduler's share of the limits of its targets.
-    pub fn set_rate_share(&mut self, now: Uptime, part: RateShare) {
-        if self.part == part {
+    pub fn set_rate_share(&mut self, now: Uptime, rate_share: RateShare) {
+        if self.rate_share == rate_share {
             return;
         }
-        self.part = part;
-        self.targets.values_mut().for_each(|state| state.update_rate_share(now, part));
+        self.rate_share = rate_share;
+        self.targets.values_mut().for_each(|state| state.update_rate_share(now, rate_share));
     }
 
     /// Returns the known targets.
@@ -140,5 +140,5 @@
 
 /// Returns whether a state belongs to this instance of its target.
 fn is_same_instance(instance: &TargetInstance, state: &TargetState) -> bool {
-    InstanceOrder::of(instance.start, state.start) == InstanceOrder::Same
+    InstanceOrder::compare(instance.start, state.start) == InstanceOrder::Same
 }
--- a/crates/sched/tests/flows.rs
+++ b/crates/sched/tests/flows.rs
@@ -30,11 +30,11 @@
 fn granted_share_is_counted_for_each_urgency() {
     let mut flows = UrgencyFlows::default();
     for number in 0..4 {
-        flows.asked(&request(number, 1, 1_000));
+        flows.record_request(&request(number, 1, 1_000));
     }
-    flows.asked(&request(10, 0, 500));
-    flows.granted(&request(0, 1, 1_000));
-    flows.granted(&request(10, 0, 500));
+    flows.record_request(&request(10, 0, 500));
+    flows.record_grant(&request(0, 1, 1_000));
+    flows.record_grant(&request(10, 0, 500));
     assert_eq!(granted_percent(&flows, 0), Some(100));
     assert_eq!(granted_percent(&flows, 1), Some(25));
     assert_eq!(granted_percent(&flows, 2), None);
@@ -50,21 +50,21 @@
     let mut attempt = first.clone();
     attempt.permit.attempt = 1;
     for request in [&first, &retry, &attempt] {
-        flows.asked(request);
+        flows.record_request(request);
     }
-    flows.granted(&attempt);
+    flows.record_grant(&attempt);
     assert_eq!(granted_percent(&flows, 0), Some(100));
 }
 
 #[test]
 fn old_requests_decay() {
     let mut flows = UrgencyFlows::default();
-    flows.asked(&request(1, 0, 1_000));
+    flows.record_request(&request(1, 0, 1_000));
     for second in 1..120 {
         flows.tick(Duration::from_secs(second));
     }
-    flows.asked(&request(2, 0, 1_000));
-    flows.granted(&request(2, 0, 1_000));
+    flows.record_request(&request(2, 0, 1_000));
+    flows.record_grant(&request(2, 0, 1_000));
     assert!(granted_percent(&flows, 0) >= Some(99));
 }
 
@@ -75,9 +75,9 @@
     let mut flows = UrgencyFlows::default();
     for second in 1..=4 {
         flows.tick(Duration::from_secs(second));
-        flows.asked(&request(u128::from(second), 0, 1_000_000));
+        flows.record_request(&request(u128::from(second), 0, 1_000_000));
     }
-    flows.asked(&request(10, 1, u64::MAX));
+    flows.record_request(&request(10, 1, u64::MAX));
     flows.tick(Duration::from_secs(5));
     let requested = flows.requested_per_second();
     let of_urgency = |urgency: u8| requested[&0][&urgency];
--- a/crates/sched/tests/lethal.rs
+++ b/crates/sched/tests/lethal.rs
@@ -128,8 +128,8 @@
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1]);
     let mut other = after_terminations(now, &[0, 1]);
-    other.merge(now, requests.since(now, 0));
-    requests.merge(now, other.since(now, 0));
+    other.merge(now, requests.changes_since(now, 0));
+    requests.merge(now, other.changes_since(now, 0));
     requests.record_interruption(now, digest(0), closed(1));
     assert_eq!(requests.interruption_count(&digest(0)), 2);
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
@@ -152,10 +152,10 @@
 fn served_request_is_cleared_of_earlier_interruptions() {
     let now = seconds(100);
     let mut requests = after_terminations(now, &[0, 1]);
-    assert!(requests.served(now, &digest(0)));
-    assert!(!requests.served(now, &digest(0)), "reported once");
+    assert!(requests.record_served(now, &digest(0)));
+    assert!(!requests.record_served(now, &digest(0)), "reported once");
     // A late report of the earlier terminations, one of which was not known here.
-    requests.merge(now, after_terminations(now, &[0, 1, 2]).since(now, 0));
+    requests.merge(now, after_terminations(now, &[0, 1, 2]).changes_since(now, 0));
     assert_eq!(requests.interruption_count(&digest(0)), 0);
     for number in 3..6 {
         requests.record_interruption(now, digest(0), closed(number));
@@ -170,18 +170,18 @@
     let now = seconds(100);
     let mut other = after_terminations(now, &[0, 1, 2]);
     let mut requests = new();
-    requests.served(now + MOMENT, &digest(0));
+    requests.record_served(now + MOMENT, &digest(0));
     let later = now + MOMENT * 5;
-    let cleared = requests.merge(later, other.since(later, 0));
+    let cleared = requests.merge(later, other.changes_since(later, 0));
     assert_eq!(cleared, [digest(0)]);
-    other.merge(later, requests.since(later, 0));
+    other.merge(later, requests.changes_since(later, 0));
     assert_eq!(other.verdict(later, &digest(0)), LethalVerdict::Clear);
     // Later interruptions count.
     for number in 3..6 {
         other.record_interruption(later, digest(0), closed(number));
     }
     review(&mut other, later, InstancePresence::Unlisted);
-    requests.merge(later, other.since(later, 0));
+    requests.merge(later, other.changes_since(later, 0));
     assert_eq!(requests.verdict(later, &digest(0)), LethalVerdict::Refused);
 }
 
@@ -225,7 +225,7 @@
     for number in 0..3 {
         observer.record_interruption(now, digest(0), closed(number));
     }
-    receiver.merge(now, observer.since(now, 0));
+    receiver.merge(now, observer.changes_since(now, 0));
     review(&mut receiver, now + seconds(1), InstancePresence::Unlisted);
     assert!(matches!(receiver.verdict(now + seconds(1), &digest(0)), LethalVerdict::Held(_)));
     review(&mut receiver, now + seconds(3), InstancePresence::Unlisted);
@@ -263,11 +263,11 @@
 fn cleared_instances_are_kept_by_a_daemon_that_only_received_them() {
     let now = seconds(2_000);
     let mut observer = after_terminations(now, &[0, 1]);
-    observer.served(now, &digest(0));
+    observer.record_served(now, &digest(0));
     let mut receiver = new();
-    receiver.merge(now, observer.since(now, 0));
+    receiver.merge(now, observer.changes_since(now, 0));
     review(&mut receiver, now + MOMENT, InstancePresence::Unlisted);
-    receiver.merge(now + MOMENT, after_terminations(now, &[0, 1]).since(now + MOMENT, 0));
+    receiver.merge(now + MOMENT, after_terminations(now, &[0, 1]).changes_since(now + MOMENT, 0));
     assert_eq!(receiver.interruption_count(&digest(0)), 0);
 }
 
@@ -278,10 +278,10 @@
     let mut other = after_terminations(now, &[0, 1, 2]);
     assert!(requests.clear(&digest(0)));
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
-    other.merge(now, requests.since(now, 0));
+    other.merge(now, requests.changes_since(now, 0));
     assert_eq!(other.verdict(now, &digest(0)), LethalVerdict::Clear);
     // A later report of the other daemon has no effect.
-    requests.merge(now, after_terminations(now, &[0, 1, 2]).since(now, 0));
+    requests.merge(now, after_terminations(now, &[0, 1, 2]).changes_since(now, 0));
     assert_eq!(requests.verdict(now, &digest(0)), LethalVerdict::Clear);
 }
 
@@ -308,7 +308,7 @@
     }
     assert!(requests.interruption_count(&digest(0)) <= 12);
     for number in 0..1_000 {
-        requests.served(now, &digest(0));
+        requests.record_served(now, &digest(0));
         requests.record_interruption(now, digest(0), closed(number));
     }
     let report = requests.report(now, &digest(0)).expect("a suspect");
@@ -344,10 +344,10 @@
                     daemons[index].record_interruption(now, digest(request), closed(number));
                 }
                 Step::Served(request) => {
-                    daemons[index].served(now, &digest(request));
+                    daemons[index].record_served(now, &digest(request));
                 }
                 Step::Reports(to) => {
-                    let reports = daemons[index].since(now, 0);
+                    let reports = daemons[index].changes_since(now, 0);
                     daemons[to].merge(now, reports);
                 }
             }
@@ -355,7 +355,7 @@
         for round in 0..2 {
             for from in 0..3 {
                 for to in 0..3 {
-                    let reports = daemons[from].since(now, 0);
+                    let reports = daemons[from].changes_since(now, 0);
                     daemons[to].merge(now, reports);
                 }
                 review(&mut daemons[from], now + MOMENT * round, InstancePresence::Unlisted);
--- a/crates/sched/tests/lethal_crowds.rs
+++ b/crates/sched/tests/lethal_crowds.rs
@@ -208,7 +208,7 @@
                 continue;
             }
             for (_, request) in done {
-                self.lethal.served(now, &request.digest);
+                self.lethal.record_served(now, &request.digest);
             }
         }
     }
--- a/crates/sched/tests/life_reports.rs
+++ b/crates/sched/tests/life_reports.rs
@@ -66,10 +66,10 @@
 fn report_of_another_instance_is_ignored() {
     let mut scheduler = scheduler(Some(2));
     for start in [1, 3] {
-        scheduler.reported(NOW, &instance(start), &report(2, &[(9, 7)]));
+        scheduler.apply_report(NOW, &instance(start), &report(2, &[(9, 7)]));
         assert_eq!(scheduler.targets()["t"].external_load(NOW), 0);
     }
-    scheduler.reported(NOW, &instance(2), &report(2, &[]));
+    scheduler.apply_report(NOW, &instance(2), &report(2, &[]));
     assert_eq!(scheduler.targets()["t"].external_load(NOW), 2);
 }
 
@@ -78,12 +78,12 @@
 #[test]
 fn evictions_of_a_new_instance_are_not_skipped_as_applied() {
     let mut scheduler = scheduler(Some(1));
-    scheduler.reported(NOW, &instance(1), &report(0, &[(40, 1)]));
+    scheduler.apply_report(NOW, &instance(1), &report(0, &[(40, 1)]));
     configure(&mut scheduler, Some(2));
-    scheduler.reported(NOW, &instance(2), &report(0, &[(1, 1)]));
+    scheduler.apply_report(NOW, &instance(2), &report(0, &[(1, 1)]));
     scheduler.request_permit(NOW, entry(), permit_request(1));
     assert!(scheduler.targets()["t"].prefixes.holds(7));
-    scheduler.reported(NOW, &instance(2), &report(0, &[(1, 1), (2, 7)]));
+    scheduler.apply_report(NOW, &instance(2), &report(0, &[(1, 1), (2, 7)]));
     assert!(!scheduler.targets()["t"].prefixes.holds(7));
 }
 
@@ -93,15 +93,15 @@
 fn eviction_numbers_that_go_back_clear_the_cache_of_a_target_without_start() {
     let mut scheduler = scheduler(None);
     let target = TargetInstance { id: "t".to_string(), start: None };
-    scheduler.reported(NOW, &target, &report(0, &[(40, 1)]));
+    scheduler.apply_report(NOW, &target, &report(0, &[(40, 1)]));
     scheduler.request_permit(NOW, entry(), permit_request(1));
-    scheduler.reported(NOW, &target, &report(0, &[]));
+    scheduler.apply_report(NOW, &target, &report(0, &[]));
     assert!(scheduler.targets()["t"].prefixes.holds(7), "nothing was evicted");
-    scheduler.reported(NOW, &target, &report(0, &[(1, 1)]));
+    scheduler.apply_report(NOW, &target, &report(0, &[(1, 1)]));
     assert!(!scheduler.targets()["t"].prefixes.holds(7));
     scheduler.request_permit(NOW, entry(), permit_request(2));
-    scheduler.reported(NOW, &target, &report(0, &[(1, 1)]));
+    scheduler.apply_report(NOW, &target, &report(0, &[(1, 1)]));
     assert!(scheduler.targets()["t"].prefixes.holds(7), "the same report once more");
-    scheduler.reported(NOW, &target, &report(0, &[(1, 1), (2, 7)]));
+    scheduler.apply_report(NOW, &target, &report(0, &[(1, 1), (2, 7)]));
     assert!(!scheduler.targets()["t"].prefixes.holds(7));
 }
--- a/crates/sched/tests/lives.rs
+++ b/crates/sched/tests/lives.rs
@@ -104,13 +104,13 @@
     assert_eq!(granted(&scheduler.request_permit(NOW, entry(), permit_request(4))), [4]);
     assert!(granted(&scheduler.request_permit(NOW, entry(), permit_request(5))).is_empty());
     for number in 1..=2 {
-        assert!(granted(&scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed)))
+        assert!(granted(&scheduler.return_permit(NOW, &permit_return(number, AttemptEnd::Failed)))
             .is_empty());
     }
     assert_eq!(scheduler.targets()["t"].in_flight, 2);
     configure(&mut scheduler, &[("t", Some(2))], 2);
     assert_eq!(scheduler.targets()["t"].in_flight, 2, "the same list entry again");
-    assert_eq!(granted(&scheduler.give_back(NOW, &permit_return(3, AttemptEnd::Unused))), [5]);
+    assert_eq!(granted(&scheduler.return_permit(NOW, &permit_return(3, AttemptEnd::Unused))), [5]);
 }
 
 #[test]
@@ -131,10 +131,10 @@
     let unknown = scheduler.targets()["t"].clone();
     let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     scheduler.request_permit(NOW, entry(), to_t(1));
-    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Whole(MINUTE)));
+    scheduler.return_permit(NOW, &permit_return(1, AttemptEnd::Whole(MINUTE)));
     for number in 2..=4 {
         scheduler.request_permit(NOW, entry(), to_t(number));
-        scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed));
+        scheduler.return_permit(NOW, &permit_return(number, AttemptEnd::Failed));
     }
     scheduler.set_leaving_vms(["t".to_string()].into());
     let learned = &scheduler.targets()["t"];
@@ -153,7 +153,7 @@
     let to_t = |number| PermitRequest { avoid: vec!["u".to_string()], ..permit_request(number) };
     for number in 1..=8 {
         scheduler.request_permit(NOW, entry(), to_t(number));
-        scheduler.give_back(NOW, &permit_return(number, streamed(900)));
+        scheduler.return_permit(NOW, &permit_return(number, streamed(900)));
     }
     scheduler.request_permit(NOW, entry(), to_t(9));
     let learned = &scheduler.targets()["t"];
@@ -165,7 +165,7 @@
     assert_eq!(later.pace.longest_pause(NOW), Duration::ZERO);
     // A stream of the earlier instance updates the pace of the pool, but not that of the target.
     let before = later.clone();
-    scheduler.give_back(NOW, &permit_return(9, streamed(900)));
+    scheduler.return_permit(NOW, &permit_return(9, streamed(900)));
     assert_eq!(scheduler.targets()["t"], before);
 }
 
@@ -178,7 +178,7 @@
     }
     configure(&mut scheduler, &[("t", Some(2)), ("u", Some(1))], 4);
     for number in 1..=3 {
-        scheduler.give_back(NOW, &permit_return(number, AttemptEnd::Failed));
+        scheduler.return_permit(NOW, &permit_return(number, AttemptEnd::Failed));
     }
     let later = &scheduler.targets()["t"];
     assert_eq!((later.ejected(), later.failing()), (false, 0));
@@ -209,7 +209,7 @@
     configure(&mut scheduler, &[("t", after)], 1);
     let kept = &scheduler.targets()["t"];
     assert_eq!((kept.in_flight, kept.prefixes.holds(7)), (1, true));
-    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Failed));
+    scheduler.return_permit(NOW, &permit_return(1, AttemptEnd::Failed));
     let kept = &scheduler.targets()["t"];
     assert_eq!((kept.in_flight, kept.failing() > 0), (0, true));
 }
@@ -223,7 +223,7 @@
     configure(&mut scheduler, &[("t", Some(2))], 1);
     assert_eq!(scheduler.targets()["t"].in_flight, 0);
     scheduler.request_permit(NOW, entry(), permit_request(2));
-    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
+    scheduler.return_permit(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
 }
 
@@ -236,7 +236,7 @@
     configure(&mut scheduler, &[("t", None)], 2);
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
     scheduler.request_permit(NOW, entry(), permit_request(2));
-    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
+    scheduler.return_permit(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
 }
 
@@ -244,9 +244,9 @@
 fn held_permit_counts_for_the_known_instance() {
     let mut scheduler = scheduler(&[("t", Some(2))], 1);
     let held = PermitHeld { request: permit_request(1), target: "t".to_string() };
-    scheduler.hold(NOW, entry(), held);
+    scheduler.record_held_permit(NOW, entry(), held);
     assert_eq!(scheduler.targets()["t"].in_flight, 1);
-    scheduler.give_back(NOW, &permit_return(1, AttemptEnd::Unused));
+    scheduler.return_permit(NOW, &permit_return(1, AttemptEnd::Unused));
     assert_eq!(scheduler.targets()["t"].in_flight, 0);
 }
 
--- a/crates/sched/tests/notices.rs
+++ b/crates/sched/tests/notices.rs
@@ -31,7 +31,7 @@
 }
 
 fn named(per_second: f64) -> TargetNotice {
-    TargetNotice { limit: LimitNotice::Named(rate(per_second)), ..TargetNotice::default() }
+    TargetNotice { limit: LimitNotice::Stated(rate(per_second)), ..TargetNotice::default() }
 }
 
 fn limited(id: &str, per_second: f64) -> NoticeReport {
@@ -107,7 +107,7 @@
         while let Some(number) = granted(&actions).pop() {
             times.push(now);
             actions.retain(|action| action.answer.permit.request.as_u128() != number);
-            actions.extend(scheduler.give_back(now, &served(number)));
+            actions.extend(scheduler.return_permit(now, &served(number)));
         }
     }
     times
@@ -302,15 +302,15 @@
     let mut gate = TargetGate::default();
     let heard = |notice| ReceivedNotice { sent: SECOND, notice };
     let rest = TargetNotice { rest: Some(SECOND * 3), ..TargetNotice::default() };
-    gate.heard(SECOND, &instance("a"), &heard(rest));
+    gate.apply_notice(SECOND, &instance("a"), &heard(rest));
     // A shorter rest does not end a longer one.
     let short = TargetNotice { rest: Some(SECOND), ..TargetNotice::default() };
-    gate.heard(SECOND, &instance("a"), &heard(short));
+    gate.apply_notice(SECOND, &instance("a"), &heard(short));
     assert_eq!(gate.pass(SECOND * 3, &instance("a")), Some(GateStop::Resting));
     assert_eq!(gate.pass(SECOND * 4, &instance("a")), None);
     let leaving = TargetNotice { leaving: true, ..TargetNotice::default() };
-    gate.heard(SECOND * 4, &instance("a"), &heard(leaving));
-    gate.heard(SECOND * 5, &instance("a"), &heard(TargetNotice::default()));
+    gate.apply_notice(SECOND * 4, &instance("a"), &heard(leaving));
+    gate.apply_notice(SECOND * 5, &instance("a"), &heard(TargetNotice::default()));
     assert_eq!(gate.pass(SECOND * 3_000, &instance("a")), Some(GateStop::Leaving));
     let later = TargetInstance { start: Some(TargetStart(2)), ..instance("a") };
     assert_eq!(gate.pass(SECOND * 5, &later), None, "a new instance has no notices");
@@ -350,14 +350,18 @@
 fn gate_allows_no_more_than_the_whole_limit() {
     let mut gate = TargetGate::default();
     let heard = ReceivedNotice { sent: SECOND, notice: named(1.8) };
-    gate.heard(SECOND, &instance("t"), &heard);
+    gate.apply_notice(SECOND, &instance("t"), &heard);
     let mut times = Vec::new();
     for step in 0..1_000 {
         let now = SECOND + STEP * step;
         match gate.pass(now, &instance("t")) {
             None => {
                 times.push(now);
-                gate.heard(now, &instance("t"), &ReceivedNotice { sent: now, notice: named(1.8) });
+                gate.apply_notice(
+                    now,
+                    &instance("t"),
+                    &ReceivedNotice { sent: now, notice: named(1.8) },
+                );
             }
             Some(stop) => assert_eq!(stop, GateStop::Limited),
         }
@@ -371,14 +375,20 @@
 #[test]
 fn limit_ends_with_a_later_request() {
     let mut notices = NoticeState::default();
-    assert!(notices.heard(SECOND * 5, &ReceivedNotice { sent: SECOND * 4, notice: named(2.0) }));
+    assert!(
+        notices.apply_notice(SECOND * 5, &ReceivedNotice { sent: SECOND * 4, notice: named(2.0) })
+    );
     let without_limit = TargetNotice::default();
-    assert!(!notices.heard(SECOND * 6, &ReceivedNotice { sent: SECOND * 3, notice: without_limit }));
+    assert!(!notices
+        .apply_notice(SECOND * 6, &ReceivedNotice { sent: SECOND * 3, notice: without_limit }));
     assert_eq!(notices.rate(), Some(rate(2.0)));
     let unreadable = TargetNotice { limit: LimitNotice::Unreadable, ..without_limit };
-    assert!(!notices.heard(SECOND * 7, &ReceivedNotice { sent: SECOND * 6, notice: unreadable }));
+    assert!(
+        !notices.apply_notice(SECOND * 7, &ReceivedNotice { sent: SECOND * 6, notice: unreadable })
+    );
     assert_eq!(notices.rate(), Some(rate(2.0)));
-    assert!(notices.heard(SECOND * 8, &ReceivedNotice { sent: SECOND * 6, notice: without_limit }));
+    assert!(notices
+        .apply_notice(SECOND * 8, &ReceivedNotice { sent: SECOND * 6, notice: without_limit }));
     assert_eq!(notices.rate(), None);
 }
 
--- a/crates/sched/tests/overload.rs
+++ b/crates/sched/tests/overload.rs
@@ -142,7 +142,7 @@
                 pool: POOL.to_string(),
                 end: AttemptEnd::Streamed(timing),
             };
-            let actions = self.scheduler.give_back(self.now, &returned);
+            let actions = self.scheduler.return_permit(self.now, &returned);
             self.apply(actions);
         }
         while let Some(((due, _), caller)) = self.retries.first_key_value() {
--- a/crates/sched/tests/pools.rs
+++ b/crates/sched/tests/pools.rs
@@ -92,7 +92,7 @@
     let actions = scheduler.request_permit(now, entry(), request(4, 0, "a", LONG));
     assert_eq!(refused(&actions), BTreeMap::from([(2, RefusalReason::ShedForHigherTier)]));
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
-    assert_eq!(granted(&scheduler.give_back(now, &permit_return(1, whole))), [4]);
+    assert_eq!(granted(&scheduler.return_permit(now, &permit_return(1, whole))), [4]);
 }
 
 #[test]
@@ -105,8 +105,8 @@
     let shed = scheduler.request_permit(Duration::ZERO, entry(), request(9, 1, "a", LONG));
     assert_eq!(refused(&shed), BTreeMap::from([(9, RefusalReason::TierShed)]));
     let later = Duration::from_secs(2);
-    scheduler.give_back(later, &permit_return(1, AttemptEnd::Unused));
-    scheduler.give_back(later, &permit_return(2, AttemptEnd::Unused));
+    scheduler.return_permit(later, &permit_return(1, AttemptEnd::Unused));
+    scheduler.return_permit(later, &permit_return(2, AttemptEnd::Unused));
     scheduler.tick(later);
     assert_eq!(granted(&scheduler.request_permit(later, entry(), request(10, 1, "a", LONG))), [10]);
 }
@@ -120,8 +120,8 @@
     }
     scheduler.request_permit(now, entry(), request(100, 1, "quiet", LONG));
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
-    let first = granted(&scheduler.give_back(now, &permit_return(1, whole)));
-    let second = granted(&scheduler.give_back(now, &permit_return(first[0], whole)));
+    let first = granted(&scheduler.return_permit(now, &permit_return(1, whole)));
+    let second = granted(&scheduler.return_permit(now, &permit_return(first[0], whole)));
     assert!(first.contains(&100) || second.contains(&100), "{first:?} {second:?}");
 }
 
@@ -152,7 +152,7 @@
             matches!(&actions[0].answer.decision, PermitDecision::Granted(to) if to == target);
         let end =
             if failed { AttemptEnd::Failed } else { AttemptEnd::Whole(Duration::from_secs(1)) };
-        scheduler.give_back(Duration::ZERO, &permit_return(number, end));
+        scheduler.return_permit(Duration::ZERO, &permit_return(number, end));
         if scheduler.targets()[target].ejected() {
             return number + 1;
         }
@@ -182,7 +182,7 @@
         "one at a time"
     );
     let whole = AttemptEnd::Whole(Duration::from_millis(100));
-    assert_eq!(granted(&scheduler.give_back(later, &permit_return(900, whole))), [901]);
+    assert_eq!(granted(&scheduler.return_permit(later, &permit_return(900, whole))), [901]);
 }
 
 #[test]
@@ -190,7 +190,7 @@
     let mut scheduler = scheduler(PoolOptions::default(), 2, 8);
     for number in 1..=20 {
         scheduler.request_permit(Duration::ZERO, entry(), request(number, 0, "a", LONG));
-        scheduler.give_back(Duration::ZERO, &permit_return(number, AttemptEnd::Failed));
+        scheduler.return_permit(Duration::ZERO, &permit_return(number, AttemptEnd::Failed));
     }
     assert_eq!(scheduler.targets().values().filter(|target| target.ejected()).count(), 1);
     assert_eq!(
@@ -205,7 +205,7 @@
     let short = Duration::from_millis(300);
     for number in 1..=40 {
         scheduler.request_permit(Duration::ZERO, entry(), request(number, 0, "a", LONG));
-        scheduler.give_back(
+        scheduler.return_permit(
             Duration::ZERO,
             &permit_return(number, AttemptEnd::Whole(Duration::from_secs(2))),
         );
@@ -232,8 +232,10 @@
         granted(&scheduler.request_permit(Duration::ZERO, entry(), request(1, 0, "a", LONG))),
         [1]
     );
-    scheduler
-        .give_back(Duration::ZERO, &permit_return(1, AttemptEnd::Whole(Duration::from_secs(1))));
+    scheduler.return_permit(
+        Duration::ZERO,
+        &permit_return(1, AttemptEnd::Whole(Duration::from_secs(1))),
+    );
     assert_eq!(scheduler.targets()["t0"].slowness(), 2_125);
     let fast_busy = scheduler.request_permit(Duration::ZERO, entry(), request(5_000, 0, "a", LONG));
     assert_eq!(granted(&fast_busy), [5_000]);
@@ -259,15 +261,15 @@
 fn load_of_other_senders_counts_until_the_report_of_the_target_is_old() {
     let mut scheduler = scheduler(PoolOptions::default(), 1, 2);
     let target = TargetInstance { id: "t0".to_string(), start: None };
-    scheduler.reported(Duration::ZERO, &target, &report(2, &[]));
+    scheduler.apply_report(Duration::ZERO, &target, &report(2, &[]));
     assert!(granted(&scheduler.request_permit(Duration::ZERO, entry(), request(1, 0, "a", LONG)))
         .is_empty());
     let later = Duration::from_secs(5);
     assert_eq!(granted(&scheduler.tick(later)), [1]);
     // A permit of this scheduler and one that has just ended do not count as load of others.
-    scheduler.reported(later, &target, &report(1, &[]));
-    scheduler.give_back(later, &permit_return(1, AttemptEnd::Unused));
-    scheduler.reported(later, &target, &report(1, &[]));
+    scheduler.apply_report(later, &target, &report(1, &[]));
+    scheduler.return_permit(later, &permit_return(1, AttemptEnd::Unused));
+    scheduler.apply_report(later, &target, &report(1, &[]));
     assert_eq!(granted(&scheduler.request_permit(later, entry(), request(2, 0, "a", LONG))), [2]);
     assert_eq!(granted(&scheduler.request_permit(later, entry(), request(3, 0, "a", LONG))), [3]);
 }
@@ -276,7 +278,7 @@
 fn cache_events_are_applied_once_and_a_gap_clears_the_prefixes() {
     let mut scheduler = scheduler(PoolOptions::default(), 1, 8);
     let target = TargetInstance { id: "t0".to_string(), start: None };
-    scheduler.reported(Duration::ZERO, &target, &report(0, &[(1, 99)]));
+    scheduler.apply_report(Duration::ZERO, &target, &report(0, &[(1, 99)]));
     for prefix in 1..=3u64 {
         let request =
             PermitRequest { prefix: Some(prefix), ..request(u128::from(prefix), 0, "a", LONG) };
@@ -287,11 +289,11 @@
             .filter(|prefix| scheduler.targets()["t0"].prefixes.holds(*prefix))
             .collect::<Vec<_>>()
     };
-    scheduler.reported(Duration::ZERO, &target, &report(0, &[(1, 99), (2, 1)]));
+    scheduler.apply_report(Duration::ZERO, &target, &report(0, &[(1, 99), (2, 1)]));
     assert_eq!(holds(&scheduler), [2, 3]);
-    scheduler.reported(Duration::ZERO, &target, &report(0, &[(1, 2), (2, 3)]));
+    scheduler.apply_report(Duration::ZERO, &target, &report(0, &[(1, 2), (2, 3)]));
     assert_eq!(holds(&scheduler), [2, 3], "events that were already applied");
-    scheduler.reported(Duration::ZERO, &target, &report(0, &[(5, 98)]));
+    scheduler.apply_report(Duration::ZERO, &target, &report(0, &[(5, 98)]));
     assert!(holds(&scheduler).is_empty(), "events 3 and 4 were lost");
 }
 
@@ -392,7 +394,7 @@
         self.held.remove(&id);
         let took = Duration::from_millis(100);
         let end = if whole { AttemptEnd::Whole(took) } else { AttemptEnd::Unused };
-        self.scheduler.give_back(self.now, &permit_return(id, end))
+        self.scheduler.return_permit(self.now, &permit_return(id, end))
     }
 
     fn check_repeated_request(&mut self, id: u128) -> Result<(), TestCaseError> {
@@ -460,7 +462,7 @@
         request: request(1, 0, "a", LONG),
         target: "t0".to_string(),
     };
-    scheduler.hold(Duration::ZERO, entry(), held);
+    scheduler.record_held_permit(Duration::ZERO, entry(), held);
     scheduler.request_permit(Duration::ZERO, entry(), request(2, 0, "a", LONG));
     for step in 1..40 {
         scheduler.tick(Duration::from_millis(20) * step);
--- a/crates/sched/tests/rates.rs
+++ b/crates/sched/tests/rates.rs
@@ -98,7 +98,7 @@
     let account = "a".to_string();
     let now = Duration::from_secs(1);
     assert!(rates.take(now, &account, &RATE, 300_000, WHOLE).is_ok());
-    rates.give_back(&account, 300_000);
+    rates.refund(&account, 300_000);
     assert!(rates.take(now, &account, &RATE, COST, WHOLE).is_ok());
 }
 
--- a/crates/sched/tests/replacement.rs
+++ b/crates/sched/tests/replacement.rs
@@ -145,9 +145,9 @@
             EntryAction::RequestPermit(_, permit_request) => {
                 scheduler.request_permit(self.now, entry, permit_request)
             }
-            EntryAction::ReturnPermit(_, back) => scheduler.give_back(self.now, &back),
+            EntryAction::ReturnPermit(_, back) => scheduler.return_permit(self.now, &back),
             EntryAction::HoldPermit(_, held) => {
-                scheduler.hold(self.now, entry, held);
+                scheduler.record_held_permit(self.now, entry, held);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -506,7 +506,7 @@
     assert!(scheduler.targets()["t0"].ejected());
     for permit in first_permits {
         let end = AttemptEnd::Failed;
-        scheduler.give_back(now, &PermitReturn { permit, pool: POOL.to_string(), end });
+        scheduler.return_permit(now, &PermitReturn { permit, pool: POOL.to_string(), end });
     }
     assert!(scheduler.targets()["t0"].accepts_requests(now + Duration::from_secs(2)));
 }
--- a/crates/sched/tests/rollout_crowds.rs
+++ b/crates/sched/tests/rollout_crowds.rs
@@ -202,7 +202,7 @@
                 target: format!("t{target}"),
                 version: Some(if of_version { "v2" } else { "v1" }.to_string()),
                 work: RULES[rule].1,
-                observation: observation,
+                observation,
             };
             self.next += 1;
             self.observations.insert((now + at, self.next), (target, sample, at == took));
@@ -237,7 +237,7 @@
             let pending = self.observations.split_off(&(now, 0));
             for (_, (target, sample, done)) in std::mem::replace(&mut self.observations, pending) {
                 *self.in_flight.entry(target).or_default() -= usize::from(done);
-                rollout.answered(now, &from, reported, &[sample]);
+                rollout.record_answers(now, &from, reported, &[sample]);
                 reported += 1;
             }
             self.arrive(now);
--- a/crates/sched/tests/rollout_rules.rs
+++ b/crates/sched/tests/rollout_rules.rs
@@ -48,7 +48,7 @@
 /// Returns the versions of a pool whose targets all have `v1`, with no order known.
 fn in_service() -> PoolVersions {
     let mut versions = PoolVersions::default();
-    versions.shown(NOW, &shown(&[("v1", 4)]), Some(NOW));
+    versions.update_reported(NOW, &shown(&[("v1", 4)]), Some(NOW));
     versions
 }
 
@@ -60,23 +60,23 @@
 fn new_version_is_held_until_the_orders_are_read_after_it() {
     let mut versions = in_service();
     let both = shown(&[("v1", 4), ("v2", 1)]);
-    versions.shown(NOW, &both, Some(NOW));
+    versions.update_reported(NOW, &both, Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Open, VersionAccess::Closed]);
     let later = NOW + Duration::from_secs(60);
-    versions.shown(later, &both, Some(NOW + Duration::from_millis(500)));
+    versions.update_reported(later, &both, Some(NOW + Duration::from_millis(500)));
     assert_eq!(
         versions.access(&reported("v2")),
         VersionAccess::Closed,
         "the order may have been created since"
     );
-    versions.shown(later, &both, Some(NOW + Duration::from_secs(2)));
+    versions.update_reported(later, &both, Some(NOW + Duration::from_secs(2)));
     assert_eq!(versions.access(&reported("v2")), VersionAccess::Open);
 }
 
 #[test]
 fn only_version_is_in_service_at_once() {
     let mut versions = in_service();
-    versions.shown(NOW, &shown(&[("v2", 4)]), None);
+    versions.update_reported(NOW, &shown(&[("v2", 4)]), None);
     assert_eq!(versions.access(&reported("v2")), VersionAccess::Open);
 }
 
@@ -84,7 +84,7 @@
 #[test]
 fn version_of_most_targets_is_in_service_until_the_orders_are_read() {
     let mut versions = PoolVersions::default();
-    versions.shown(NOW, &shown(&[("v1", 4), ("v2", 3)]), None);
+    versions.update_reported(NOW, &shown(&[("v1", 4), ("v2", 3)]), None);
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Open, VersionAccess::Closed]);
 }
 
@@ -100,7 +100,7 @@
 ) {
     let mut versions = in_service();
     versions.merge_report(NOW, &report("v2", stage, 3));
-    versions.shown(NOW, &shown(&[("v1", 4), ("v2", 4)]), Some(NOW));
+    versions.update_reported(NOW, &shown(&[("v1", 4), ("v2", 4)]), Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), expected);
     assert_eq!(["v1", "v2"].map(|name| versions.is_blocked(&reported(name))), shut);
 }
@@ -165,7 +165,7 @@
 fn grant_requests(share: &mut TrialShare, requests: u64, share_of_daemons: RateShare) {
     for _ in 0..requests {
         let of_version = share.admits(0, share_of_daemons);
-        share.note(0, of_version);
+        share.record(0, of_version);
     }
 }
 
@@ -182,7 +182,11 @@
     let mut share = TrialShare::new(LIMITS, is_first);
     grant_requests(&mut share, 1_000, share_of_daemons);
     // A request that is granted now is not yet among the requests that its share is taken of.
-    assert!((expected.saturating_sub(1)..=expected).contains(&share.tried()), "{}", share.tried());
+    assert!(
+        (expected.saturating_sub(1)..=expected).contains(&share.granted_on_trial()),
+        "{}",
+        share.granted_on_trial()
+    );
 }
 
 /// Requests of one urgency are twenty times as frequent; the other must be tried too.
@@ -192,8 +196,13 @@
     for number in 0..2_000u64 {
         let urgency = u8::from(number % 20 == 0);
         let of_version = share.admits(urgency, WHOLE);
-        share.note(urgency, of_version);
+        share.record(urgency, of_version);
     }
-    assert!(share.had(1) >= 40, "{} of {}", share.had(1), share.tried());
-    assert!(share.tried() <= 100);
+    assert!(
+        share.granted_to_urgency(1) >= 40,
+        "{} of {}",
+        share.granted_to_urgency(1),
+        share.granted_on_trial()
+    );
+    assert!(share.granted_on_trial() <= 100);
 }
--- a/crates/sched/tests/streams.rs
+++ b/crates/sched/tests/streams.rs
@@ -41,7 +41,7 @@
 
     fn end(&mut self, number: u128, end: AttemptEnd) -> Vec<SchedulerAction> {
         let returned = PermitReturn { permit: permit(number), pool: POOL.to_string(), end };
-        self.scheduler.give_back(self.now, &returned)
+        self.scheduler.return_permit(self.now, &returned)
     }
 
     fn advance(&mut self, time: Duration) -> Vec<SchedulerAction> {
--- a/crates/sched/tests/urgencies.rs
+++ b/crates/sched/tests/urgencies.rs
@@ -153,7 +153,7 @@
                 pool: POOL.to_string(),
                 end: AttemptEnd::Streamed(timing),
             };
-            let actions = self.scheduler.give_back(self.now, &returned);
+            let actions = self.scheduler.return_permit(self.now, &returned);
             self.apply(actions);
         }
         let actions = self.scheduler.tick(self.now);
