--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -1,17 +1,17 @@
-//! A caller's request, from its arrival to the end of its answer.
+//! Serves a caller's request from its arrival to the end of its answer.
 //!
-//! The steps stand in this order, one file each:
+//! The steps, in order, one file each:
 //!
 //! 1. [`protocol`] admits the request: rule, account, tier, pool, deadline ([`admitted`]).
-//! 2. [`body`] reads the body, or as much of it as the estimate of the work needs.
-//! 3. [`run`] waits for a permit of the pool's scheduler and decides after each attempt.
+//! 2. [`body`] reads the body, or as much of it as the work estimate needs.
+//! 3. [`run`] waits for a permit of the pool's scheduler and decides after each attempt how to go on.
 //! 4. [`attempt`] sends the request to one target, once.
-//! 5. [`pass_on`] passes the answer on ([`answer`]), resumes a cut stream ([`form`]) and ends.
+//! 5. [`pass_on`] relays the answer to the caller ([`answer`]) and resumes an interrupted stream ([`form`]).
 //!
-//! What differs between the platform kinds is behind [`CallerProtocol`]: [`own`] speaks the interface
-//! of docs/CALLERS.md, [`profile`] the header names of a fleet's platform.
+//! [`CallerProtocol`] covers the differences between the platform kinds: [`own`] implements the interface
+//! of docs/CALLERS.md, [`profile`] uses the header names of a fleet's platform.
 //!
-//! Owns: the requests in progress on this thread, each in a task of its own. Relies on: the node for
+//! Owns: the requests in progress on this thread, each in its own task. Relies on: the node for
 //! permits ([`DaemonContext::admit`]), `curlewcleat-targets` for exchanges.
 
 mod admitted;
@@ -55,7 +55,7 @@
     protocol: Box<dyn CallerProtocol>,
 }
 
-/// A request as its caller sent it.
+/// A request as the caller sent it.
 pub struct CallerRequest {
     method: Method,
     uri: Uri,
@@ -64,14 +64,14 @@
 }
 
 impl CallerRequest {
-    /// Names the request by what its caller sends again when it repeats it. `None` for a body that is longer than what
-    /// is read before the scheduling: its beginning alone would name other requests too.
+    /// Returns a digest of everything that the caller sends again when it repeats the request. `None` for a body that
+    /// is longer than the part read before scheduling: different requests may have the same beginning.
     fn digest(&self, account: Option<&str>) -> Option<RequestDigest> {
         let identity = RequestIdentity {
             method: self.method.as_str(),
             host: headers::text(&self.headers, "host").unwrap_or_default(),
             path: self.uri.path_and_query().map_or(self.uri.path(), |path| path.as_str()),
-            // A rule that asks for no account may still be sent a token.
+            // A caller may send a token even where the rule requires no account.
             caller: account.or(headers::bearer_token(&self.headers)).unwrap_or_default(),
             body: self.body.beginning(),
         };
@@ -80,12 +80,12 @@
 }
 
 impl RequestService {
-    /// A service for callers that speak `protocol`.
+    /// Creates a service for callers that use `protocol`.
     pub fn new(context: DaemonContext, protocol: Box<dyn CallerProtocol>) -> Rc<RequestService> {
         Rc::new(RequestService { context, protocol })
     }
 
-    /// Finds rule, account, tier, pool and deadline of a request, where there is a configuration.
+    /// Determines rule, account, tier, pool and deadline of a request. Refuses it while there is no configuration.
     fn admit(
         &self,
         id: RequestId,
@@ -136,13 +136,13 @@
         let (channel, parts) = AnswerChannel::new(begin);
         let run = RequestRun::new(self, admitted, caller, pending, channel);
         let guard = TaskGuard(actix_rt::spawn(run.run()));
-        // The task ends without an answer only where it panicked.
+        // The task ends without an answer only if it panicked.
         let answer = begun.await.unwrap_or_else(|_| CallerAnswer::lost());
         answer.into_response(parts, guard)
     }
 }
 
-/// Ends the task of a request when its caller's connection drops the answer.
+/// Aborts the task of a request when the caller's connection drops the answer.
 struct TaskGuard(actix_rt::task::JoinHandle<()>);
 
 impl Drop for TaskGuard {
--- a/crates/daemon/src/request/admitted.rs
+++ b/crates/daemon/src/request/admitted.rs
@@ -1,7 +1,7 @@
-//! A request after its admission.
+//! Holds the properties of an admitted request.
 //!
-//! Owns: what a protocol read out of the request's head and the configuration. Relies on: nothing that
-//! changes later; a newer configuration does not touch an admitted request.
+//! Owns: what a protocol took from the request's head and the configuration. Relies on: nothing that
+//! changes later; a newer configuration does not affect an admitted request.
 
 use std::time::Duration;
 
@@ -12,53 +12,53 @@
 };
 use curlewcleat_sched::RequestSpec;
 
-/// Work of a request as estimated before it runs, in microseconds of a target's slot.
+/// Estimated work of a request, in microseconds of a target's slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkEstimate {
-    /// Work on the prompt, which a cached prefix saves.
+    /// Work on the prompt, which a cached prefix reduces.
     pub prompt: WorkMicros,
-    /// Other work.
+    /// All other work, mainly the output.
     pub output: WorkMicros,
-    /// Hash of the prompt's beginning, `None` where it has none worth caching.
+    /// Hash of the prompt's prefix, `None` where the prompt has no prefix worth caching.
     pub prefix: Option<u64>,
 }
 
-/// What admission gave a request.
+/// A request with everything that its admission determined.
 pub struct AdmittedRequest {
-    /// Its id inside the system.
+    /// Id inside the system.
     pub id: RequestId,
-    /// The caller's own name of this attempt, empty where the protocol has none.
+    /// Id that the caller gave this attempt, empty where the protocol has none.
     pub attempt_id: String,
-    /// When its head had arrived.
+    /// When the head had arrived.
     pub arrived: Moment,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Moment,
-    /// Account that pays, `None` where its rule or the configuration needs none.
+    /// Account that the request is counted against, `None` where the rule or the configuration requires none.
     pub account: Option<AccountId>,
-    /// Rule that took it.
+    /// Rule that matched the request.
     pub rule: AdmissionRule,
-    /// Name of its tier.
+    /// Id of the tier.
     pub tier: TierId,
-    /// Rank by which its pool's scheduler orders it.
+    /// Rank by which the pool's scheduler orders the request.
     pub rank: TierRank,
-    /// Pool that serves it.
+    /// Pool that serves the request.
     pub pool: TargetPool,
     /// Latency objectives and limits.
     pub objectives: LatencyObjectives,
-    /// Targets that it may be sent to, `None` for the daemon's limit.
+    /// Number of targets that the request may be sent to, `None` for the daemon's limit.
     pub attempt_limit: Option<u32>,
-    /// Units that it counts against its account's shared rate.
+    /// Units that the request counts against the account's shared rate.
     pub cost: u64,
-    /// Its work.
+    /// Estimated work.
     pub work: WorkEstimate,
-    /// Names what its caller sent, `None` until its body is read and where that is read only in part.
+    /// Digest of what the caller sent, `None` until the body is read and where only its beginning is read.
     pub digest: Option<RequestDigest>,
-    /// Idempotency key and the caller's count of attempts with it.
+    /// Idempotency key and the caller's attempt number for it.
     pub key: Option<(String, Option<u32>)>,
 }
 
 impl AdmittedRequest {
-    /// The request as the node sees it.
+    /// Returns the specification of the request for the node.
     pub fn spec(&self) -> RequestSpec {
         RequestSpec {
             request: self.id,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Time until the deadline, zero once it has passed.
+    /// Returns the time until the deadline, zero once it has passed.
     pub fn time_left(&self) -> Duration {
         self.deadline.time_left()
     }
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets: the head of an answer, and its parts as they come.
+//! Sends a caller the head of an answer and its parts as they arrive.
 //!
 //! Owns: the channel between a request's task and the body of its answer. Relies on: the caller's
 //! connection dropping that body when it closes.
@@ -17,32 +17,32 @@
 
 use super::TaskGuard;
 
-/// Parts that wait for a caller to read them: small, so that a caller that does not read holds the target's
-/// connection back rather than this daemon's memory.
+/// Parts that may wait for the caller to read them. The queue is short so that a slow caller slows down the target's
+/// connection instead of filling this daemon's memory.
 const PART_QUEUE: usize = 8;
 
 /// What follows the head of an answer.
 pub enum AnswerContent {
-    /// The whole body.
+    /// The complete body.
     Whole(Bytes),
-    /// Parts, with their length in bytes where it is known.
+    /// Parts that follow, with their total length in bytes if it is known.
     Parts(Option<u64>),
 }
 
-/// The beginning of an answer, or all of it.
+/// The head of an answer, with the complete body or parts that follow.
 pub struct CallerAnswer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers of the answer itself; those of the connection are added when it is sent.
+    /// Headers of the answer; connection headers are added when it is sent.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// What follows.
+    /// Body.
     pub content: AnswerContent,
-    /// Whether the connection closes after it.
+    /// Whether the connection closes after the answer.
     pub close: bool,
 }
 
 impl CallerAnswer {
-    /// The answer where the task of a request has ended without one.
+    /// Returns an empty 502 for a request whose task ended without an answer.
     pub fn lost() -> CallerAnswer {
         CallerAnswer {
             status: StatusCode::BAD_GATEWAY,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// The answer with its whole body instead of parts.
+    /// Replaces the content by the complete body.
     pub fn with_body(self, body: Bytes) -> CallerAnswer {
         CallerAnswer { content: AnswerContent::Whole(body), ..self }
     }
 
-    /// The response for an answer that has no parts.
+    /// Returns the response for an answer without parts.
     pub fn into_whole_response(self) -> Response<BoxBody> {
         let body = match &self.content {
             AnswerContent::Whole(body) => body.clone(),
@@ -66,7 +66,7 @@
         self.head().set_body(body).map_into_boxed_body()
     }
 
-    /// The response. Its body ends the task of its request when it is dropped.
+    /// Returns the response. Dropping its body aborts the task of the request.
     pub(super) fn into_response(self, parts: AnswerParts, guard: TaskGuard) -> Response<BoxBody> {
         let AnswerContent::Parts(length) = self.content else { return self.into_whole_response() };
         let stream = parts.map(move |part| {
@@ -94,13 +94,13 @@
     }
 }
 
-/// The answer ended before it was whole; the caller's connection is cut too.
+/// The answer ended before it was complete; the caller's connection is closed too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("answer: cut before its end")]
+#[error("answer was cut before its end")]
 pub struct AnswerCut;
 
 /// The sending end of an answer. An answer that is dropped before [`finish`](AnswerChannel::finish)
-/// ends with [`AnswerCut`], so that no caller takes a part for the whole.
+/// ends with [`AnswerCut`], so that no caller mistakes a partial answer for a complete one.
 pub struct AnswerChannel {
     begin: Option<oneshot::Sender<CallerAnswer>>,
     parts: mpsc::Sender<Bytes>,
@@ -115,7 +115,7 @@
 }
 
 impl AnswerChannel {
-    /// Both ends; the head of the answer goes into `begin`.
+    /// Creates both ends; the head of the answer is sent to `begin`.
     pub fn new(begin: oneshot::Sender<CallerAnswer>) -> (AnswerChannel, AnswerParts) {
         let (sender, receiver) = mpsc::channel(PART_QUEUE);
         let whole = Rc::new(Cell::new(false));
@@ -123,26 +123,26 @@
         (channel, AnswerParts { parts: receiver, whole, ended: false })
     }
 
-    /// Whether the head has left.
+    /// Returns whether the head was sent.
     pub fn has_begun(&self) -> bool {
         self.begin.is_none()
     }
 
-    /// Sends the head; a second one is ignored.
+    /// Sends the head; later calls are ignored.
     pub fn begin(&mut self, answer: CallerAnswer) {
         if let Some(begin) = self.begin.take() {
-            // A caller that has gone ends the task of its request by itself.
+            // If the caller has disconnected, its connection aborts the task of the request.
             let _ = begin.send(answer);
         }
     }
 
-    /// Sends a part; waits while the caller does not read.
+    /// Sends a part; waits while the queue is full because the caller does not read.
     pub async fn send(&self, part: Bytes) {
-        // A caller that has gone ends the task of its request by itself.
+        // If the caller has disconnected, its connection aborts the task of the request.
         let _ = self.parts.send(part).await;
     }
 
-    /// The parts sent so far are the whole answer.
+    /// Marks the answer as complete with the parts sent so far.
     pub fn finish(&self) {
         self.whole.set(true);
     }
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request is sent to one target, once.
+//! Sends a request to one target once and waits for the head of the answer.
 //!
-//! Owns: the exchange up to the head of the answer. Relies on: [`CallerProtocol`] for the head and its
-//! limits, `curlewcleat-targets` for what may have been written.
+//! Owns: the exchange up to the head of the answer. Relies on: [`CallerProtocol`] for the request's head and the
+//! time limits, `curlewcleat-targets` to report whether anything may have been written.
 //!
 //! [`CallerProtocol`]: super::CallerProtocol
 
@@ -18,19 +18,19 @@
 use super::target_wait::{GrantedTarget, TargetWait, WaitEnd};
 use crate::context::DaemonContext;
 
-/// How an attempt began.
+/// Result of an attempt up to the head of the answer.
 pub enum AttemptStart {
-    /// The target answers.
+    /// The target has sent the head of its answer.
     Answer(Box<TargetAnswer>),
-    /// Provably nothing ran.
+    /// The target provably did not run the request.
     NotRun(RetryReason, AttemptCause),
-    /// It may have run and there is no answer.
+    /// The request may have run and there is no answer.
     Failed(RefusalReason, AttemptCause),
-    /// Its target was stalled and is left for this one.
+    /// The target stalled; the request moves to this one.
     Replaced(Box<GrantedTarget>),
 }
 
-/// Sends a request to its target, by `connection` where there is one, and waits for the head of the answer.
+/// Sends a request to its target, over `connection` if there is one, and waits for the head of the answer.
 pub async fn send(
     attempt: TargetAttempt<'_>,
     connection: Option<PooledConnection>,
@@ -63,7 +63,7 @@
     judge(protocol, request, answer, notice)
 }
 
-/// The connection by which the request may be sent now: one that stands, and a target whose own word does not exclude it.
+/// Returns an established connection to a target whose notices allow the request to be sent now.
 async fn connect(
     attempt: &TargetAttempt<'_>,
     connection: Option<PooledConnection>,
@@ -81,10 +81,10 @@
             protocol.connections(&request.pool).connect_to(attempt.target, limit).await
         }
     };
-    // Nothing is written before the connection stands.
+    // Nothing is written before the connection is established.
     let failed = AttemptStart::NotRun(RetryReason::ConnectFailed, AttemptCause::ConnectFailed);
     let connection = connected.map_err(|_| failed)?;
-    // The target may have spoken while the connection was made.
+    // A notice of the target may have arrived while the connection was established.
     match context.gate.pass(context.uptime(), &life) {
         Some(stop) => {
             connection.put_back();
@@ -94,7 +94,7 @@
     }
 }
 
-/// What the target says of itself counts before anything of its answer is passed on.
+/// Applies the target's notice at the gate before any of the answer is relayed, and reports it to the node.
 fn hear(context: &DaemonContext, attempt: &TargetAttempt<'_>, heard: &HeardNotice) {
     let (life, request) = (attempt.target.life(), attempt.request);
     if let Some(report) = context.gate.heard(context.uptime(), &life, heard, request.id) {
@@ -102,6 +102,7 @@
     }
 }
 
+/// Decides from the head of the answer whether the target runs the request.
 fn judge(
     protocol: &dyn CallerProtocol,
     request: &AdmittedRequest,
@@ -124,16 +125,16 @@
     }
 }
 
-/// The target's own word excludes it.
+/// Counts an attempt that the gate stopped because of the target's notices.
 fn stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
     let cause = AttemptCause::from(stop);
     context.metrics.gate_stop(cause.code());
     AttemptStart::NotRun(RetryReason::TargetUnwilling, cause)
 }
 
-/// Until when the head of the answer is waited for. Where a request is cut at its deadline, the wait
-/// ends no later: at the same instant this limit is looked at first, so that a target that says nothing
-/// is always the reason, however long it took to connect.
+/// Returns when the wait for the head of the answer ends. Where a request is cut at its deadline, the wait
+/// ends no later than that. If both expire at the same instant, this limit has priority, so that the refusal
+/// always names the unresponsive target as the reason, however long it took to connect.
 fn head_limit(protocol: &dyn CallerProtocol, request: &AdmittedRequest, head_by: Moment) -> Moment {
     match protocol.options().cuts_at_deadline {
         true => head_by.min(request.deadline),
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of a caller's request: its beginning is read before the scheduling, the rest streams.
+//! Reads the beginning of a caller's body before scheduling and streams the rest to the target.
 //!
 //! Owns: the bytes read so far and the caller's payload. Relies on: nothing; the limits come from the
 //! request's rule and protocol.
@@ -17,15 +17,15 @@
 
 use crate::headers;
 
-/// Time between two parts of a caller's body.
+/// Longest time between two parts of a caller's body.
 const PART_LIMIT: Duration = Duration::from_secs(10);
 
-/// How bodies are read and sent on.
+/// How bodies are read and forwarded.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyOptions {
-    /// Bytes read before the scheduling. A body that is longer can be sent only once.
+    /// Bytes read before scheduling. A longer body can be sent only once.
     pub peek_limit: usize,
-    /// How an empty body is framed towards a target.
+    /// Body size with which an empty body is sent to a target.
     pub empty: BodySize,
 }
 
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyFault {
     /// Longer than the rule allows.
-    #[error("body: longer than its rule allows")]
+    #[error("request body is longer than its rule allows")]
     TooLarge,
-    /// The caller stopped sending.
-    #[error("body: the caller stopped sending")]
+    /// The caller stopped sending before the end.
+    #[error("caller stopped sending the request body before its end")]
     Incomplete,
 }
 
 impl BodyFault {
-    /// The reason given to the caller.
+    /// Returns the refusal reason that the caller gets.
     pub fn reason(self) -> RefusalReason {
         match self {
             BodyFault::TooLarge => RefusalReason::BodyTooLarge,
@@ -51,16 +51,16 @@
 }
 
 struct BodyState {
-    /// `None` where the beginning is all.
+    /// `None` where the beginning is the complete body.
     rest: Option<Payload>,
-    /// Bytes of the rest that are still allowed.
+    /// Bytes that the rest may still have.
     allowed: usize,
-    /// Whether some of the rest was taken, after which the body cannot be sent again.
+    /// Whether the rest was read, after which the body cannot be sent again.
     taken: bool,
     fault: Option<BodyFault>,
 }
 
-/// A body that can be sent again as long as nothing but its beginning was taken.
+/// A body that can be sent again as long as only its beginning was read.
 #[derive(Clone)]
 pub struct RequestBody {
     beginning: Bytes,
@@ -70,7 +70,7 @@
 }
 
 impl RequestBody {
-    /// Reads the beginning of a request's body; the whole may have `limit` bytes.
+    /// Reads the beginning of a request's body; the complete body may have `limit` bytes.
     pub async fn read(
         request: &mut Request,
         limit: usize,
@@ -105,41 +105,41 @@
         })
     }
 
-    /// The bytes read before the scheduling.
+    /// Returns the bytes read before scheduling.
     pub fn beginning(&self) -> &Bytes {
         &self.beginning
     }
 
-    /// Whether the beginning is all.
+    /// Returns whether the complete body was read before scheduling.
     pub fn is_whole(&self) -> bool {
         self.state.borrow().rest.is_none()
     }
 
-    /// Length of the whole body in bytes, where it is known.
+    /// Returns the length of the complete body in bytes, if it is known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether the body can be sent (again).
+    /// Returns whether the body can be sent, or sent again.
     pub fn is_intact(&self) -> bool {
         !self.state.borrow().taken
     }
 
-    /// What went wrong while the rest streamed.
+    /// Returns the error that occurred while the rest was streamed.
     pub fn fault(&self) -> Option<BodyFault> {
         self.state.borrow().fault
     }
 
-    /// The body for one sending.
+    /// Returns the body as a stream for one attempt.
     pub fn sending(&self) -> BodySending {
         BodySending { body: self.clone(), begun: false }
     }
 }
 
-/// One sending of a body.
+/// The body of one attempt.
 pub struct BodySending {
     body: RequestBody,
-    /// Whether the beginning was handed out.
+    /// Whether the beginning was sent.
     begun: bool,
 }
 
--- a/crates/daemon/src/request/cause.rs
+++ b/crates/daemon/src/request/cause.rs
@@ -1,6 +1,6 @@
-//! Why an attempt ended without an answer for its caller.
+//! Lists the causes for which an attempt ends without an answer for its caller.
 //!
-//! Owns: the codes, which stand in log lines and are stable. Relies on: nothing.
+//! Owns: the codes in log lines, which are stable. Relies on: nothing.
 
 use curlewcleat_core::{AnswerSight, AttemptEnd, BreakKind};
 use curlewcleat_sched::GateStop;
@@ -8,34 +8,35 @@
 /// Why an attempt ended without an answer for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptCause {
-    /// No connection stood within its limit, or the target refused it.
+    /// No connection was established within the limit, or the target refused it.
     ConnectFailed,
-    /// The target said that it did not start the request.
+    /// The target reported that it did not start the request.
     NotStarted,
-    /// The head of the answer did not come within its limit.
+    /// The head of the answer did not arrive within its limit.
     HeadTimeout,
-    /// The next part of the answer did not come within its limit.
+    /// The next part of the answer did not arrive within its limit.
     PartTimeout,
-    /// The target ended the connection before the end of its answer.
+    /// The target closed the connection before the end of its answer.
     Closed,
     /// The answer could not be read, or belongs to another request.
     Unreadable,
-    /// The target answered that it failed.
+    /// The target answered with a server error.
     Failed,
-    /// The body that the caller sent is at fault.
+    /// The caller's body was too long or incomplete.
     CallerBody,
-    /// The target did not start the request, and asked for rest.
+    /// The target did not start the request and requested a rest.
     AskedForRest,
-    /// Nothing was sent: the target has said that it leaves.
+    /// Nothing was sent: the target has reported that it is leaving.
     TargetLeaving,
-    /// Nothing was sent: the target has asked this daemon for rest.
+    /// Nothing was sent: the target has requested a rest from this daemon.
     TargetResting,
-    /// Nothing was sent: as many requests have gone to the target as it takes.
+    /// Nothing was sent: the target's request limit is reached.
     TargetLimited,
 }
 
 impl AttemptCause {
-    /// How the request broke off at its target, `None` where that says nothing of the target's end.
+    /// Returns how the request was interrupted, `None` where the cause gives no reason to suspect that the request
+    /// terminated its target.
     pub fn break_kind(self) -> Option<BreakKind> {
         match self {
             AttemptCause::Closed => Some(BreakKind::Closed),
@@ -52,7 +53,8 @@
         }
     }
 
-    /// What it says of the target's version, `None` where the target had no part in it or said that nothing ran.
+    /// Returns the observation about the target's version, `None` where the target did not cause the failure or
+    /// reported that nothing ran.
     pub fn answer_sight(self) -> Option<AnswerSight> {
         match self {
             AttemptCause::Failed => Some(AnswerSight::Failed),
@@ -70,8 +72,8 @@
         }
     }
 
-    /// What the scheduler learns of the target. One that says that it takes no more has not failed; of that the scheduler
-    /// learns by what the target says.
+    /// Returns the result that is reported to the scheduler. A target that accepts no more requests has not failed;
+    /// the scheduler receives that through the target's notices.
     pub fn attempt_end(self) -> AttemptEnd {
         match self {
             AttemptCause::AskedForRest
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The code used in logs.
+    /// Returns the code for log lines.
     pub fn code(self) -> &'static str {
         match self {
             AttemptCause::ConnectFailed => "connect_failed",
--- a/crates/daemon/src/request/form.rs
+++ b/crates/daemon/src/request/form.rs
@@ -1,4 +1,4 @@
-//! How the parts of an answer are passed on, and what is known of a stream that breaks.
+//! Splits an answer into the parts that are relayed, and tracks the position from which an interrupted stream resumes.
 //!
 //! Owns: the position in the answer of one request, over all its attempts. Relies on: the pool's
 //! `end_event` and `resumable` ([`ByteForm`]), numbered events ([`EventForm`]).
@@ -10,51 +10,51 @@
 
 use crate::headers;
 
-/// Longest answer in bytes that is kept with its idempotency key: a record of the services is about 800 bytes.
+/// Longest answer in bytes that is kept with its idempotency key. A record of the services has about 800 bytes.
 const KEPT_LIMIT: usize = 4 << 10;
-/// Resumptions of one stream at most.
+/// Maximum number of resumptions of one stream.
 const RESUME_LIMIT: u32 = 3;
-/// Header with which an engine names a stream that can be resumed.
+/// Header with the id of a stream that its engine can resume.
 const STREAM_ID: &str = "stream-id";
-/// Bytes kept before the data of the end event: its field name and line ends.
-/// `data: ` and two line ends need ten.
+/// Bytes kept in addition to the data of the end event, for its field name and line ends: `data: ` and two line ends
+/// need ten.
 const END_EVENT_MARGIN: usize = 16;
 
-/// The form of an answer.
+/// Splits the answer of one request into parts that may be relayed.
 pub trait AnswerForm {
-    /// A target has begun to answer.
+    /// Starts the answer of an attempt with its head.
     fn begin(&mut self, head: &ResponseHead);
 
-    /// Whether the head is held back until the first part can be passed on, because until then a
+    /// Returns whether the head is delayed until the first part can be relayed, because until then a
     /// further attempt may replace the answer.
     fn holds_head(&self) -> bool;
 
-    /// Takes a part and gives what can be passed on now.
+    /// Adds a part and returns the bytes that can be relayed now.
     fn push(&mut self, part: Bytes) -> Bytes;
 
-    /// Whether the end of the body is the end of the answer.
+    /// Returns whether the answer is complete if its body ends now.
     fn is_whole(&self) -> bool;
 
-    /// What is left to pass on after the end.
+    /// Returns the remaining bytes after the end of the body.
     fn rest(&mut self) -> Bytes;
 
-    /// A request to the same target for the rest of a cut answer, `None` where it has none.
+    /// Builds a request to the same target for the rest of an interrupted answer, `None` if it cannot be resumed.
     fn resumption(&mut self) -> Option<RequestHead>;
 
-    /// The attempt broke; a further one may begin the answer anew after the last event.
+    /// Prepares for another attempt after an interruption; that attempt may continue after the last event.
     fn restart(&mut self);
 
-    /// Number of the last event that was passed on.
+    /// Returns the number of the last event that was relayed.
     fn last_event(&self) -> Option<u64>;
 
-    /// Whether the times of the parts tell the target's pace.
+    /// Returns whether the times of the parts are reported as the target's streaming speed.
     fn is_paced(&self) -> bool;
 
-    /// The whole answer, where it is small enough to be kept with its idempotency key.
+    /// Returns the complete answer if it is short enough to be kept with its idempotency key.
     fn kept_answer(&mut self) -> Option<KeptAnswer>;
 }
 
-/// Bytes as they come. A cut stream is resumed at its offset by the target that runs it.
+/// Relays bytes as they arrive. The target that runs the request resumes an interrupted stream at its offset.
 pub struct ByteForm {
     end_event: Option<String>,
     resumable: bool,
@@ -63,13 +63,13 @@
     stream_id: Option<String>,
     offset: u64,
     resumed: u32,
-    /// The last bytes, in which the end event is looked for.
+    /// The last bytes, which are searched for the end event.
     tail: Vec<u8>,
     kept: Option<Vec<u8>>,
 }
 
 impl ByteForm {
-    /// The form of an answer from `pool`; `keyed` where it is kept with an idempotency key.
+    /// Creates the form of an answer from `pool`; `keyed` if the answer is kept with an idempotency key.
     pub fn new(pool: &TargetPool, keyed: bool) -> ByteForm {
         ByteForm {
             end_event: pool.end_event.clone(),
@@ -121,7 +121,7 @@
         part
     }
 
-    /// An event stream is whole after its end event; other answers carry their length.
+    /// An event stream is complete after its end event. Other answers have a length, so the end of the body suffices.
     fn is_whole(&self) -> bool {
         match &self.end_event {
             Some(end) if self.content_type.starts_with("text/event-stream") => {
@@ -143,7 +143,7 @@
         self.resumed += 1;
         let mut head = RequestHead::default();
         head.method = Method::GET;
-        // An engine whose stream id makes no path cannot be asked for the rest.
+        // A stream cannot be resumed if its id does not form a valid path.
         head.uri = format!("/v1/streams/{id}?offset={}", self.offset).parse().ok()?;
         Some(head)
     }
@@ -165,7 +165,7 @@
     }
 }
 
-/// Whole events. A broken stream goes on after its last event in an attempt at another target.
+/// Relays complete events. An attempt at another target continues an interrupted stream after its last event.
 #[derive(Default)]
 pub struct EventForm {
     events: EventSplitter,
--- a/crates/daemon/src/request/own.rs
+++ b/crates/daemon/src/request/own.rs
@@ -1,6 +1,6 @@
-//! The product's own interface towards callers and targets, as docs/CALLERS.md tells it.
+//! Implements the built-in interface for callers and targets, described in docs/CALLERS.md.
 //!
-//! Owns: the connections of its thread to the targets of each pool. Relies on: files applied by
+//! Owns: the connections of this thread to the targets of each pool. Relies on: files applied by
 //! operators for rules, pools and targets.
 
 mod prompt;
@@ -29,11 +29,11 @@
 
 /// Header with the urgency of a request (RFC 9218).
 const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Lowest urgency that the header can tell (RFC 9218).
+/// Lowest urgency that the header can express (RFC 9218).
 const LOWEST_URGENCY: u8 = 7;
 
-/// 64 KiB hold the whole of all but the longest prompts; the rest streams. One
-/// second is the least that `Retry-After` can tell in whole seconds.
+/// 64 KiB hold all but the longest prompts completely; the rest of a longer body streams. One second is the shortest
+/// wait that `Retry-After` can express in whole seconds.
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: 64 << 10, empty: BodySize::None },
     retry_after: Duration::from_secs(1),
@@ -41,10 +41,10 @@
     cuts_at_deadline: false,
 };
 
-/// Callers and targets that speak the product's own interface.
+/// Protocol of callers and targets that use the built-in interface.
 #[derive(Default)]
 pub struct OwnProtocol {
-    /// Connections by pool and whether they are used again. Pools share none, so that no request
+    /// Connections by pool and by whether they are reused. Pools share no connections, so that no request
     /// waits behind one of another pool.
     connections: RefCell<BTreeMap<(PoolId, bool), ConnectionPool>>,
 }
@@ -161,7 +161,7 @@
         None
     }
 
-    /// A cut answer is resumed by the target that runs it; nothing is sent a second time.
+    /// Never: only the target that runs a request resumes its answer, and no request is sent a second time.
     fn may_repeat(&self, _: &AdmittedRequest) -> bool {
         false
     }
@@ -191,7 +191,7 @@
         let mut answer = problem_answer(id, status_of(refusal.reason), refusal);
         add_request_id(&mut answer, id);
         if let Some(wait) = refusal.retry_after {
-            // The header counts whole seconds; rounding up never calls the caller back too early.
+            // The header has whole seconds. Rounding up keeps the caller from retrying too early.
             let seconds = wait.as_millis().div_ceil(1_000).max(1) as u64;
             answer.headers.push((header::RETRY_AFTER, HeaderValue::from(seconds)));
         }
@@ -215,7 +215,7 @@
         RefusalReason::Unauthorized => StatusCode::UNAUTHORIZED,
         RefusalReason::NoRule => StatusCode::NOT_FOUND,
         RefusalReason::BadHeader | RefusalReason::BodyIncomplete => StatusCode::BAD_REQUEST,
-        // The caller is to change the request, not to come back with it.
+        // The caller must change the request rather than retry it.
         RefusalReason::RequestLethal => StatusCode::UNPROCESSABLE_ENTITY,
         RefusalReason::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
         RefusalReason::AccountRate | RefusalReason::AccountQueue => StatusCode::TOO_MANY_REQUESTS,
--- a/crates/daemon/src/request/own/prompt.rs
+++ b/crates/daemon/src/request/own/prompt.rs
@@ -1,6 +1,6 @@
-//! What the scheduling reads out of a request's body: prompt size, prefix, asked output.
+//! Estimates the work of a request from its body: prompt size, prompt prefix and requested output.
 //!
-//! Owns: the estimate for callers that send no token counts. Relies on: the pool's costs of a token.
+//! Owns: the estimate for callers that send no token counts. Relies on: the pool's costs per token.
 
 use std::borrow::Cow;
 use std::hash::Hasher;
@@ -12,11 +12,11 @@
 use crate::request::admitted::WorkEstimate;
 use crate::request::body::RequestBody;
 
-/// Bytes of a prompt that count as one token: the usual rule of thumb for English text.
+/// Bytes of a prompt that count as one token, the usual estimate for English text.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes of a prompt that make its prefix; shorter prompts have none.
+/// Length of a prompt's prefix in bytes; shorter prompts have none.
 const PREFIX_BYTES: usize = 1_024;
-/// Tokens assumed where the request does not ask for a number.
+/// Output tokens assumed where the request states no `max_tokens`.
 const DEFAULT_OUTPUT: u64 = 256;
 
 #[derive(Deserialize)]
@@ -27,13 +27,13 @@
     max_tokens: Option<u64>,
 }
 
-/// Estimates the work of a request from as much of its body as has been read.
+/// Estimates the work of a request from the part of its body that was read.
 pub fn estimate(pool: &TargetPool, body: &RequestBody) -> WorkEstimate {
     if pool.kind == PoolKind::Service {
         return WorkEstimate { prompt: 0, output: pool.base_us, prefix: None };
     }
     let beginning: &[u8] = body.beginning();
-    // A body that is no such document is estimated by its length.
+    // A body that cannot be parsed is estimated by its length.
     let fields = match body.is_whole() {
         true => serde_json::from_slice::<PromptFields<'_>>(beginning).ok(),
         false => None,
--- a/crates/daemon/src/request/pass_on.rs
+++ b/crates/daemon/src/request/pass_on.rs
@@ -1,7 +1,7 @@
-//! The answer of a target on its way to the caller.
+//! Relays the answer of a target to the caller.
 //!
-//! Owns: the choice between passing parts on as they come and holding an answer until it is whole, and
-//! what a break in it means. Relies on: [`AnswerForm`](super::form::AnswerForm) for the position.
+//! Owns: the choice between relaying parts as they arrive and buffering an answer until it is complete, and the
+//! handling of interrupted answers. Relies on: [`AnswerForm`](super::form::AnswerForm) for the position in the answer.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 use super::run::{AttemptVerdict, RequestRun};
 use super::target_wait::{GrantedTarget, WaitEnd};
 
-/// Longest answer in bytes that is held back until it is whole: the platform's values have a megabyte at most.
+/// Longest answer in bytes that is buffered until it is complete: the platform's values have a megabyte at most.
 const WHOLE_LIMIT: usize = 1 << 20;
-/// Time to connect for a resumption.
+/// Time to connect when a stream is resumed.
 const RESUME_CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// What follows in an answer.
+/// Next event in an answer.
 enum NextPart {
-    /// A part of it.
+    /// A part of the answer.
     Part(Bytes),
-    /// Its end.
+    /// The end of the answer.
     End,
-    /// Its target is stalled and is left for this one.
+    /// The target stalled and is replaced by this one.
     Replaced(Box<GrantedTarget>),
-    /// It ends before its end.
+    /// The answer was interrupted before its end.
     Broken(AttemptCause),
 }
 
 impl RequestRun {
-    /// Passes an answer on; it was sent for then.
+    /// Relays an answer to the caller; `sent` is when its request was sent.
     pub(super) async fn pass_on(
         &mut self,
         answer: TargetAnswer,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Passes an answer on once it is whole; one that says that the target failed is kept as a
-    /// fallback where a further attempt may do better.
+    /// Relays an answer once it is complete. A server error is kept as a fallback if the request may be
+    /// sent to another target.
     async fn pass_whole(
         &mut self,
         answer: TargetAnswer,
@@ -67,7 +67,7 @@
             }
         };
         if self.answer.has_begun() {
-            // The answer has begun at another target and cannot become this one.
+            // The caller has the beginning of another target's answer, which this one cannot continue.
             return self.broken(RefusalReason::TargetProtocol, AttemptCause::Unreadable);
         }
         let whole = self.protocol().caller_answer(self.request.id, &head).with_body(bytes);
@@ -81,7 +81,7 @@
         AttemptVerdict::Served(AttemptEnd::Whole(sent.elapsed()))
     }
 
-    /// Passes parts on as they come.
+    /// Relays parts as they arrive.
     async fn pass_parts(
         &mut self,
         answer: TargetAnswer,
@@ -118,7 +118,7 @@
             }
             self.note_answer(target, self.progress.part_sight());
         }
-        // An answer without a single part begins here.
+        // Sends the head of an answer that has no parts.
         self.begin_answer(&head);
         self.finish_parts(sent).await
     }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Passes on what the form has held back, and ends the answer.
+    /// Relays what the form has buffered, and finishes the answer.
     async fn finish_parts(&mut self, sent: Moment) -> AttemptVerdict {
         let rest = self.form.rest();
         if !rest.is_empty() && !self.pass(rest).await {
@@ -172,14 +172,14 @@
         self.answer.begin(answer);
     }
 
-    /// Passes a part on; `false` where the caller has not read for too long.
+    /// Relays a part; returns `false` if the caller has not read for `stall_limit`.
     async fn pass(&mut self, part: Bytes) -> bool {
         self.progress.note_part(part.len());
         let limit = self.service.context.settings.stall_limit;
         tokio::time::timeout(limit, self.answer.send(part)).await.is_ok()
     }
 
-    /// Asks the target for the rest of a cut answer; nothing runs again.
+    /// Requests the rest of an interrupted answer from the same target, which does not run the request again.
     async fn resume(&mut self, target: &TargetEntry, limit: Duration) -> Option<AnswerBody> {
         let connections = self.protocol().connections(&self.request.pool);
         while let Some(head) = self.form.resumption() {
@@ -190,7 +190,7 @@
             };
             match tokio::time::timeout(limit, exchange).await {
                 Ok(Ok(answer)) if answer.head.status.is_success() => return Some(answer.body),
-                // Each failure uses one of the resumptions up.
+                // Each failure counts as one resumption, and the form limits their number.
                 _ => {}
             }
         }
--- a/crates/daemon/src/request/problem.rs
+++ b/crates/daemon/src/request/problem.rs
@@ -1,6 +1,6 @@
-//! Problem documents (RFC 9457): the body of every refusal.
+//! Writes problem documents (RFC 9457), the body of every refusal.
 //!
-//! Owns: the form of docs/CALLERS.md. Statuses and headers are each protocol's own.
+//! Owns: the format described in docs/CALLERS.md. Relies on: each protocol for statuses and headers.
 
 use actix_http::header::{self, HeaderName, HeaderValue};
 use actix_http::StatusCode;
@@ -26,7 +26,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The answer for a refusal, without the headers that protocols add.
+/// Builds the answer for a refusal, without the headers that protocols add.
 pub fn problem_answer(id: RequestId, status: StatusCode, refusal: &Refusal) -> CallerAnswer {
     let document = ProblemDocument {
         r#type: "about:blank",
@@ -46,7 +46,7 @@
         status,
         headers: vec![(header::CONTENT_TYPE, content_type)],
         content: AnswerContent::Whole(Bytes::from(body)),
-        // The rest of the body would be taken for the next request.
+        // On an open connection the unread rest of the body would be read as the next request.
         close: matches!(
             refusal.reason,
             RefusalReason::BodyTooLarge | RefusalReason::BodyIncomplete
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -1,6 +1,6 @@
-//! Callers and targets of a fleet, whose platform names the headers ([`WireProfile`]).
+//! Implements the protocol of a fleet, whose platform defines the header names ([`WireProfile`]).
 //!
-//! Owns: the connections to all targets, and what the admission has learned of callers' times.
+//! Owns: the connections to all targets, and the longest timeout that callers of each rule have sent.
 //! Relies on: the platform's routes as rules, [`ConfigFreshness`] for the age of the configuration.
 
 mod admission;
@@ -36,24 +36,25 @@
 use crate::context::DaemonContext;
 use crate::headers;
 
-/// Time for which a connection to a target is kept where the target does not say.
+/// Time for which an idle connection to a target is kept if the target states none.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
-/// A target closes an idle connection about when it says; the connection is not used in the last part of that time.
+/// Time before the stated end of an idle connection in which it is no longer used, since a target closes it only
+/// roughly at the stated time.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
-/// Divides the latency objective into the time to connect.
+/// The time to connect is the latency objective divided by this.
 const CONNECT_DIVISOR: u32 = 4;
-/// Least time to connect: many round trips between data centres.
+/// Minimum time to connect: many round trips between data centres.
 const CONNECT_LEAST: Duration = Duration::from_millis(100);
-/// Latency objectives after which a target that says nothing counts as stalled, so that another one is asked
-/// for. Twelve days of overload and faults on six daemons (four days, three seeds, no processor time charged) are
-/// worth .533, .535 and .529 in the mean with 1, 2 and 4.
+/// Number of latency objectives after which an unresponsive target counts as stalled, so that another one is
+/// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each), the mean value is .535 with 2,
+/// .533 with 1 and .529 with 4.
 const STALL_OBJECTIVES: u32 = 2;
-/// Bounds of the time after which a target counts as stalled: targets at work pause for 0.6 to 2 s while they read a
-/// long prompt (log of a day with 78 daemons).
+/// Bounds of the time after which a target counts as stalled. A working target pauses for 0.6 to 2 s while it reads a
+/// long prompt (in a fleet of 78 daemons).
 const STALL_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
-/// Bodies are read whole, so that any attempt can send them again. Callers that retry after `retry_after` are still
-/// in time for their objective.
+/// Bodies are read completely, so that any attempt can send them again. Callers that retry after `retry_after` can
+/// still meet their objective.
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: usize::MAX, empty: BodySize::Sized(0) },
     retry_after: Duration::from_millis(200),
@@ -61,18 +62,18 @@
     cuts_at_deadline: true,
 };
 
-/// Callers and targets that speak with the names of a profile.
+/// Protocol of callers and targets that use the header names of a profile.
 pub struct ProfileProtocol {
     context: DaemonContext,
     profile: WireProfile,
     connections: ConnectionPool,
     freshness: Rc<ConfigFreshness>,
-    /// Longest time that callers of each rule have given.
+    /// Longest timeout that callers of each rule have sent.
     longest: RefCell<BTreeMap<String, Duration>>,
 }
 
 impl ProfileProtocol {
-    /// The protocol of a fleet's platform.
+    /// Creates the protocol of a fleet's platform.
     pub fn new(
         context: DaemonContext,
         profile: WireProfile,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Time after which a target counts as stalled; one that cannot be replaced has all the time left.
+    /// Returns the time after which a target counts as stalled. A target that cannot be replaced has all the
+    /// remaining time.
     fn stall_limit(&self, request: &AdmittedRequest) -> Duration {
         let left = request.time_left();
         if !request.rule.repeatable {
@@ -102,7 +104,7 @@
         (objective * STALL_OBJECTIVES).clamp(STALL_RANGE.0, STALL_RANGE.1).min(left)
     }
 
-    /// An idle connection is used only for as long as its target says that it keeps it.
+    /// Limits the reuse of the connection to the idle time that the target states in `Keep-Alive`.
     fn note_idle_limit(&self, answer: &mut TargetAnswer) {
         let Some(text) = headers::text(&answer.head.headers, "keep-alive") else { return };
         let seconds = text.split([',', ';']).find_map(|part| {
@@ -131,11 +133,11 @@
     }
 
     fn attempt_id<'r>(&self, headers: &'r HeaderMap) -> &'r str {
-        // It goes into a log line only.
+        // A missing id is logged as empty; nothing else uses this value.
         headers::text(headers, self.profile.attempt_id).unwrap_or_default()
     }
 
-    /// Callers state the token counts in the head.
+    /// Does nothing: callers state the token counts in the head.
     fn estimate(&self, _: &mut AdmittedRequest, _: &RequestBody) {}
 
     fn check_sendable(&self, request: &AdmittedRequest) -> Result<(), RefusalReason> {
@@ -234,7 +236,7 @@
         }
     }
 
-    /// `Retry-After` is sent only where the request has not run.
+    /// Sends `Retry-After` only if the request did not run.
     fn refusal_answer(&self, id: RequestId, refusal: &Refusal) -> CallerAnswer {
         let retry_after = refusal.retry_after.filter(|_| refusal.verdict == Verdict::NotRun);
         let refusal = Refusal { retry_after, ..refusal.clone() };
@@ -254,7 +256,7 @@
     }
 }
 
-/// Statuses that imply that nothing ran are used only for requests that did not run.
+/// Returns the status of a refusal. Statuses that imply that nothing ran are used only for requests that did not run.
 fn status_of(refusal: &Refusal) -> StatusCode {
     if refusal.verdict != Verdict::NotRun {
         return match refusal.reason {
@@ -270,7 +272,7 @@
         RefusalReason::BadHeader | RefusalReason::BodyIncomplete => StatusCode::BAD_REQUEST,
         RefusalReason::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
         RefusalReason::AccountRate => StatusCode::TOO_MANY_REQUESTS,
-        // The caller is to change the request, not to come back with it.
+        // The caller must change the request rather than retry it.
         RefusalReason::RequestLethal => StatusCode::BAD_REQUEST,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     }
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -1,10 +1,13 @@
-//! Is a request of a fleet admitted? Rule, account, proof of the configuration, deadline.
+//! Decides whether a fleet's request is admitted, by rule, account, age of the configuration and deadline.
 //!
-//! A request goes on if a rule takes its host, method and path; if its rule is public, or the
-//! configuration has no accounts, or its token belongs to an account and the configuration is proved
-//! young enough; and if it carries a name of its attempt and a readable time. An unknown token
-//! or path is refused for good only while the configuration is proved the newest; otherwise the caller
-//! gets a `Retry-After`. What the request may use then is decided by the pool's scheduler.
+//! A request is admitted if all of these hold:
+//! - a rule matches its host, method and path;
+//! - the rule is public, or the configuration has no accounts, or its token belongs to an account and the
+//!   configuration is proved recent enough;
+//! - it has an attempt id, and its timeout, if there is one, is readable.
+//!
+//! An unknown token or path is refused without a `Retry-After` only while the configuration is proved the newest;
+//! otherwise the caller is told to retry. The pool's scheduler then decides what the admitted request may use.
 //!
 //! Owns: nothing. Relies on: the configuration in force, `ConfigFreshness` for its age.
 
@@ -23,14 +26,14 @@
 use crate::headers;
 use crate::request::admitted::AdmittedRequest;
 
-/// `Retry-After` where the daemon itself cannot serve: about the time in which another read of the platform may have
-/// succeeded.
+/// `Retry-After` while the daemon itself cannot serve: about the time within which the next read of the platform may
+/// succeed.
 pub(super) const UNSERVED_WAIT: Duration = Duration::from_millis(300);
-/// Deadline of a request that names none and whose rule names none.
+/// Timeout of a request if neither the caller nor the rule states one.
 const DEADLINE: Duration = Duration::from_secs(30);
 
 impl ProfileProtocol {
-    /// Finds rule, account and pool of a request.
+    /// Determines rule, account and pool of a request.
     pub(super) fn admit_request(
         &self,
         config: &ActiveConfig,
@@ -49,7 +52,7 @@
         let time = asked.into_iter().chain(rule.service.timeout).min().unwrap_or(DEADLINE);
         let pool = config.pools.get(rule.pool_for(rand::random()));
         let pool = pool.ok_or_else(|| self.denied(RefusalReason::NoRule))?;
-        // The check of the configuration has found the tier of each rule.
+        // The tier exists: the configuration was checked for the tier of each rule.
         let tier_rank = config.tiers.get(&rule.tier).map(|tier| tier.rank).unwrap_or_default();
         let account_rank = account.and_then(|account| account.rank);
         let tokens = work::token_counts(head, self.profile.tokens);
@@ -73,7 +76,7 @@
         })
     }
 
-    /// The account of a request, `None` where the rule or the configuration needs none.
+    /// Returns the account of a request, `None` where the rule or the configuration requires none.
     fn account<'c>(
         &self,
         config: &'c ActiveConfig,
@@ -92,12 +95,13 @@
         Ok(Some(account))
     }
 
-    /// Whether the configuration is proved young enough for requests with a token.
+    /// Returns whether the configuration is proved recent enough for requests with a token.
     pub(super) fn is_config_fresh(&self) -> bool {
         self.freshness.allows(self.context.bounds().config_age_limit)
     }
 
-    /// An unknown token or path is refused for good only while the configuration is proved the newest.
+    /// Builds the refusal of an unknown token or path. It is final only while the configuration is proved the newest;
+    /// otherwise the caller gets a `Retry-After`.
     fn denied(&self, reason: RefusalReason) -> Refusal {
         if self.freshness.is_within(self.context.bounds().config_apply_limit) {
             return Refusal::not_run(reason, None);
@@ -105,19 +109,20 @@
         unserved(RefusalReason::ConfigurationStale)
     }
 
+    /// Reads the caller's timeout in milliseconds, `None` if it sends none.
     fn asked_time(&self, head: &HeaderMap) -> Result<Option<Duration>, ParseFloatError> {
         let Some(text) = headers::text(head, self.profile.time_left) else { return Ok(None) };
         let millis: f64 = text.trim().parse()?;
         let asked = Duration::try_from_secs_f64(millis / 1_000.0).unwrap_or_else(|error| {
-            // A negative or infinite time counts as none left, so that the request is refused as too
-            // late.
+            // A negative or infinite timeout counts as zero, so that the request is refused because its deadline
+            // has passed.
             debug!("time_out_of_range", kv: { time = text, error = error.to_string() });
             Duration::ZERO
         });
         Ok(Some(asked))
     }
 
-    /// Records the time that a caller gives and returns the longest that was given for its rule.
+    /// Records the timeout that a caller sends and returns the longest that was sent for its rule.
     fn note_time(&self, rule: &AdmissionRule, asked: Option<Duration>) -> Duration {
         let (Some(asked), Some(_)) = (asked, rule.service.objective) else { return Duration::ZERO };
         let mut longest = self.longest.borrow_mut();
@@ -127,6 +132,7 @@
     }
 }
 
+/// Builds a refusal after which the caller may retry.
 fn unserved(reason: RefusalReason) -> Refusal {
     Refusal::not_run(reason, Some(UNSERVED_WAIT))
 }
@@ -135,9 +141,9 @@
     Refusal::not_run(RefusalReason::BadHeader, None)
 }
 
-/// Host of a request without its port.
+/// Returns the host of a request without its port.
 fn host_name(head: &HeaderMap) -> &str {
-    // A request without a readable host matches only rules that name none.
+    // A request without a readable host matches only rules without a host.
     let host = head.get(header::HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
--- a/crates/daemon/src/request/profile/forwarding.rs
+++ b/crates/daemon/src/request/profile/forwarding.rs
@@ -1,9 +1,9 @@
-//! Which headers of a caller reach a target?
+//! Selects the headers of a caller's request that are forwarded to a target.
 //!
-//! All but those of one connection, those that the daemon sets itself, and those with which only a daemon
-//! orders a target about ([`WireProfile::reserved`]): passed on, these let a caller take places and memory
-//! before others, and had 649 of 3,093 requests refused by sound targets (counted on one run of 34 s), each
-//! at the price of a second attempt.
+//! These are all but the headers of one connection, those that the daemon sets itself, and the reserved ones with which
+//! only a daemon may control a target ([`WireProfile::reserved`]). If reserved headers were forwarded, a caller could
+//! take slots and memory before others; healthy targets then refused 649 of 3,093 requests within 34 s, each of which
+//! needed a second attempt.
 //!
 //! Owns: nothing; pure functions. Relies on: nothing.
 
@@ -12,7 +12,7 @@
 
 use crate::headers;
 
-/// Number of headers of a caller with which only a daemon orders a target about.
+/// Returns the number of reserved headers in a caller's request.
 pub fn reserved_headers(profile: &WireProfile, caller: &HeaderMap) -> usize {
     caller.keys().filter(|name| is_reserved(profile, name)).count()
 }
@@ -21,7 +21,7 @@
     profile.reserved.contains(&name.as_str())
 }
 
-/// The headers of a caller's request that its target gets.
+/// Returns the headers of a caller's request that are forwarded to its target.
 pub fn forwarded_headers(profile: &WireProfile, caller: &HeaderMap) -> HeaderMap {
     let own = [profile.time_left, profile.account, profile.instance];
     let mut forwarded = HeaderMap::new();
--- a/crates/daemon/src/request/profile/notice.rs
+++ b/crates/daemon/src/request/profile/notice.rs
@@ -1,10 +1,10 @@
-//! What a target says of itself in the head of an answer, as a fleet's platform names it.
+//! Reads the notices of a target from the headers of an answer, with the header names of a fleet's platform.
 //!
-//! The rules for values that cannot be meant: what is no number, below zero, infinite or empty says nothing, and the
-//! operators are told. A rest is cut at [`REST_LIMIT`], so that no word but leaving shuts a target out for good. Of several
-//! limits the lowest counts, of several rests the longest.
+//! Rules for invalid values: one that is not a number, negative, infinite or empty is ignored, and the notice is marked
+//! as unreadable for the operators. A rest is shortened to [`REST_LIMIT`], so that only the notice that it is leaving
+//! excludes a target permanently. Of several limits the lowest applies, of several rests the longest.
 //!
-//! Owns: these rules. Relies on: [`WireProfile`] for the names.
+//! Owns: these rules. Relies on: [`WireProfile`] for the header names.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use curlewcleat_core::{LimitNotice, RequestRate, TargetNotice};
 use curlewcleat_store::WireProfile;
 
-/// Longest rest. A target that wants more is asked again after that time.
+/// Longest rest. A target that requests a longer one gets requests again after this time.
 const REST_LIMIT: Duration = Duration::from_secs(300);
-/// What a target that leaves says.
+/// Header value of a target that is leaving.
 const LEAVES: &str = "1";
 
-/// What the head of an answer says of the target that was meant; `None` where another one has answered.
+/// Reads the notice of the intended target; `None` if another target has answered.
 pub fn read_notice(profile: &WireProfile, head: &ResponseHead) -> Option<TargetNotice> {
     if head.status.as_u16() == profile.misdirected_status {
         return None;
@@ -38,19 +38,19 @@
     Some(TargetNotice { leaving, rest, limit, unreadable: !(limits_read && rests_read) })
 }
 
-/// Whether a status says that the target takes no request now. That one request is one too many speaks of that request or its
-/// account.
+/// Returns whether a status means that the target accepts no requests now. 429 is not one: it concerns the single
+/// request or its account.
 fn turns_away(status: StatusCode) -> bool {
     status == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// The texts of a header; one that is no text is empty.
+/// Returns the values of a header as text; a value that is not text becomes empty.
 fn texts<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a str> {
-    // What is no text is no number either.
+    // An empty text is not a number, so it counts as unreadable.
     headers.get_all(name).map(|value| value.to_str().unwrap_or_default().trim())
 }
 
-/// The values of a header that can be read, and whether all can.
+/// Returns the readable values of a header, and whether all values are readable.
 fn read_values<T>(
     headers: &HeaderMap,
     name: &str,
@@ -67,7 +67,7 @@
     (values, all_read)
 }
 
-/// A time in seconds, at most [`REST_LIMIT`]; `None` for what is none.
+/// Converts seconds to a rest of at most [`REST_LIMIT`]; `None` for a negative or infinite value.
 fn seconds(seconds: f64) -> Option<Duration> {
     if !seconds.is_finite() || seconds < 0.0 {
         return None;
--- a/crates/daemon/src/request/profile/objectives.rs
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -1,32 +1,31 @@
-//! How long may a request wait for a target? Its latency objectives, from its rule and its headers.
+//! Computes the latency objectives of a request, which limit its wait for a target, from its rule and its headers.
 //!
-//! Inputs: the rule's objective (time to the first part that counts as in time), the time that the
-//! caller gives, the longest that callers of the rule have given, the time until the deadline; all are
-//! durations.
+//! Inputs, all durations: the rule's objective (longest time to the first part that counts as in time), the timeout
+//! that the caller sends, the longest timeout that callers of the rule have sent, the time until the deadline.
 //!
-//! The rule: a request may wait for its objective, but for no more than [`WAIT_PERCENT`] of its time. A
-//! new request is refused at once where its forecast wait is above [`FORECAST_PERCENT`] of the objective,
-//! so that its caller can retry in time; a retry (it gives less time than others,
-//! [`RETRY_TIME_PERCENT`]) is refused only where the forecast is above the whole wait. Its objective counts
-//! from the caller's first attempt: what has passed since is the time that it gives less. A rule without an
-//! objective lets requests wait until their deadline.
+//! A request may wait for the length of its objective, but for no more than [`WAIT_PERCENT`] of the time until its
+//! deadline. A new request is refused at once if its forecast wait exceeds [`FORECAST_PERCENT`] of the objective, so
+//! that its caller can retry in time. A request with a shorter timeout than others ([`RETRY_TIME_PERCENT`]) is a
+//! retry; it is refused only if the forecast exceeds its longest wait. The objective of a retry counts from the
+//! caller's first attempt: the difference of the timeouts is the time that has passed since. Under a rule without an
+//! objective, requests may wait until their deadline.
 //!
-//! Owns: nothing; a pure function. Relies on: callers that give less time when they retry.
+//! Owns: nothing; a pure function. Relies on: callers that send a shorter timeout when they retry.
 
 use std::time::Duration;
 
 use curlewcleat_core::{AdmissionRule, LatencyObjectives, TierRank};
 
-/// Part of its time for which a request may wait, in percent; a longer wait only keeps its caller from
-/// a better use of the time.
+/// Longest wait of a request, in percent of the time until its deadline. A longer wait only keeps the caller from
+/// using the time better.
 const WAIT_PERCENT: u32 = 40;
 /// Forecast wait above which a new request is refused at once, in percent of its objective.
 const FORECAST_PERCENT: u32 = 60;
-/// A caller that gives less than this part of the longest time, in percent, retries after a refusal: callers that
-/// retry have lost at least the advised wait.
+/// A request whose timeout is below this percentage of the longest one is a retry after a refusal: callers that retry
+/// have spent at least the `Retry-After` of the refusal.
 const RETRY_TIME_PERCENT: u32 = 95;
 
-/// The objectives and limits of a request.
+/// Returns the objectives and limits of a request.
 pub fn objectives(
     rule: &AdmissionRule,
     asked: Option<Duration>,
--- a/crates/daemon/src/request/profile/tests/mod.rs
+++ b/crates/daemon/src/request/profile/tests/mod.rs
@@ -1,5 +1,4 @@
-//! Rules of the admission of a fleet's requests as tables: inputs and outcome. Times are in
-//! milliseconds.
+//! Tests the admission rules of a fleet's requests as tables of inputs and results. Times are in milliseconds.
 
 mod notices;
 
@@ -65,9 +64,8 @@
     headers.collect()
 }
 
-/// How long may a request with an objective of 800 wait, above which forecast is it refused, when does its
-/// answer have to begin to be in time, and is it taken for a retry? Callers of its rule have given 10,000
-/// at most.
+/// Guards the wait limit, the forecast limit, the time until the first part and the detection of retries, for requests
+/// with an objective of 800. The longest timeout that callers of the rule have sent is 10,000.
 #[rstest]
 #[case::new_one(10_000, 800, 480, 800, false)]
 #[case::a_little_less_than_others(9_500, 800, 480, 800, false)]
@@ -89,7 +87,7 @@
     assert_eq!(objectives.is_retry, is_retry);
 }
 
-/// Without an objective, or where the caller gives no time, a request waits until its deadline.
+/// Without an objective, or if the caller sends no timeout, a request may wait until its deadline.
 #[rstest]
 #[case::no_objective(None, Some(ms(800)))]
 #[case::no_time(Some(ms(500)), None)]
@@ -110,7 +108,7 @@
     assert_eq!(token_counts(&head(&[("tokens", text)]), PROFILE.tokens), counts);
 }
 
-/// What does a request of 120 and 40 tokens, or without counts, cost its account?
+/// Cost of a request of 120 prompt and 40 output tokens, or without counts, for each unit of the account's rate.
 #[rstest]
 #[case::no_rate(None, true, 1)]
 #[case::rate_in_requests(Some(RateUnit::Request), true, 1)]
@@ -130,7 +128,7 @@
     assert_eq!(cost(&account, counts), expected);
 }
 
-/// Work in microseconds, where a prompt token takes 2, an answer token 10 and a request 5 besides.
+/// Work in microseconds, if a prompt token takes 2, an output token 10 and each request another 5.
 #[rstest]
 #[case::engine(PoolKind::Engine, &[], (240, 405), false)]
 #[case::engine_with_a_hint(PoolKind::Engine, &[("hint", "7.9")], (240, 75), false)]
@@ -157,7 +155,7 @@
     assert_eq!(estimate.prefix.is_some(), has_prefix);
 }
 
-/// Which status does a refusal get? Only what may have run is told as 502 or 504.
+/// A request that may have run must be answered 502 or 504: the other statuses imply that nothing ran.
 #[rstest]
 #[case(Verdict::NotRun, RefusalReason::Unauthorized, 401)]
 #[case(Verdict::NotRun, RefusalReason::NoRule, 404)]
--- a/crates/daemon/src/request/profile/tests/notices.rs
+++ b/crates/daemon/src/request/profile/tests/notices.rs
@@ -1,4 +1,4 @@
-//! Heads of answers and what they are taken to say of their target.
+//! Tests which notices are read from the heads of answers.
 
 use std::time::Duration;
 
@@ -76,14 +76,15 @@
     assert_eq!(read(503, &headers).leaving, leaves);
 }
 
-/// Another target at the same address says nothing of the one that was meant.
+/// The headers of another target at the same address must not be applied to the intended one.
 #[test]
 fn answer_of_another_target_says_nothing() {
     let said = [("leaving", "1"), ("limit", "0"), ("retry-after", "9")];
     assert_eq!(read_notice(&PROFILE, &head(421, &said)), None);
 }
 
-/// Whatever stands in the headers, no rest is endless and no limit beyond what is told apart.
+/// No header value may give a rest above the longest or a rate above the maximum, and only the exact leaving value may
+/// count as leaving: otherwise a malformed header could exclude a target permanently.
 #[test]
 fn no_value_shuts_a_target_out_for_good() {
     let mut random = StdRng::seed_from_u64(4_801);
--- a/crates/daemon/src/request/profile/work.rs
+++ b/crates/daemon/src/request/profile/work.rs
@@ -1,7 +1,7 @@
-//! What does a request cost? Its work, and its units of the account's rate, from its headers.
+//! Computes the cost of a request from its headers: its work, and its units of the account's rate.
 //!
-//! Owns: nothing; pure functions. Relies on: callers that state the token counts of a request. A
-//! missing or unreadable count is zero for the work, and the account's plain cost for the rate.
+//! Owns: nothing; pure functions. Relies on: callers that state the token counts of a request. If they are missing or
+//! unreadable, the work counts zero tokens and the rate counts the account's plain cost.
 
 use std::hash::Hasher;
 
@@ -13,26 +13,26 @@
 use crate::headers;
 use crate::request::admitted::WorkEstimate;
 
-/// The shared parts of a prompt make its prefix where they are at least one part in this many of it: a smaller prefix
-/// saves less than a busier target costs.
+/// The shared parts of a prompt are its prefix if they are at least one half of it (the prompt divided by this): a
+/// smaller prefix saves less than waiting for a busier target costs.
 const PREFIX_DIVISOR: u64 = 2;
 
 /// Token counts of a request as its caller states them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt: u64,
-    /// Of the answer at most.
+    /// Maximum tokens of the answer.
     pub output: u64,
 }
 
-/// The token counts in a header, `None` where it is missing or unreadable.
+/// Reads the token counts from a header, `None` if it is missing or unreadable.
 pub fn token_counts(head: &HeaderMap, name: &str) -> Option<TokenCounts> {
     let (prompt, output) = headers::text(head, name)?.split_once(',')?;
     Some(TokenCounts { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
 }
 
-/// Units that a request counts against its account's shared rate.
+/// Returns the units that a request counts against its account's shared rate.
 pub fn cost(account: &ClientAccount, tokens: Option<TokenCounts>) -> u64 {
     match account.shared_rate.map(|rate| rate.unit) {
         Some(RateUnit::Tokens(plain)) => {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Work of a request.
+/// Estimates the work of a request.
 pub fn estimate(
     profile: &WireProfile,
     pool: &TargetPool,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Hash of a prompt's shared parts, where they are a large part of it.
+/// Returns the hash of a prompt's shared parts if they are large enough, see [`PREFIX_DIVISOR`].
 fn shared_prefix(parts: &str, prompt: u64) -> Option<u64> {
     let (shared, _) = parts.rsplit_once(',')?;
     let sizes =
--- a/crates/daemon/src/request/progress.rs
+++ b/crates/daemon/src/request/progress.rs
@@ -1,16 +1,16 @@
-//! What was seen of a request on its way, for its log line and for the scheduler's view of the target.
+//! Records times and sizes of a request's attempts, for its log line and for the scheduler's view of the target.
 //!
-//! Owns: times of the attempts and parts of one request.
+//! Owns: times of the attempts and parts of one request. Relies on: nothing.
 
 use std::time::Duration;
 
 use curlewcleat_clock::Moment;
 use curlewcleat_core::{AnswerSight, AttemptEnd, StreamTiming, TargetId};
 
-/// Parts from which the mean time between two says something of the target.
+/// Number of parts after which the mean time between two parts is reported.
 const PACED_PARTS: u32 = 8;
 
-/// What was seen of a request.
+/// Progress of a request over all its attempts.
 #[derive(Default)]
 pub struct RequestProgress {
     /// Attempts sent.
@@ -19,22 +19,22 @@
     pub target: Option<TargetId>,
     /// When the latest attempt was sent.
     pub sent: Option<Moment>,
-    /// When the first part of the answer came.
+    /// When the first part of the answer arrived.
     pub first: Option<Moment>,
     /// Longest time between two parts.
     pub longest_pause: Duration,
-    /// Parts passed on.
+    /// Parts relayed to the caller.
     pub parts: u64,
-    /// Bytes passed on.
+    /// Bytes relayed to the caller.
     pub bytes: u64,
     latest: Option<Moment>,
     attempt: AttemptProgress,
 }
 
-/// What was seen of the latest attempt.
+/// Progress of the latest attempt.
 #[derive(Default)]
 struct AttemptProgress {
-    /// Whether the target has answered that it failed.
+    /// Whether the target answered with a server error.
     failed: bool,
     first: Option<Moment>,
     parts: u32,
@@ -42,7 +42,7 @@
 }
 
 impl RequestProgress {
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub fn note_sent(&mut self, target: &TargetId) {
         self.attempts += 1;
         self.target = Some(target.clone());
@@ -50,7 +50,7 @@
         self.attempt = AttemptProgress::default();
     }
 
-    /// A part of the answer is passed on.
+    /// Records that a part of the answer is relayed.
     pub fn note_part(&mut self, bytes: usize) {
         let now = Moment::now();
         if let Some(latest) = self.latest {
@@ -68,12 +68,13 @@
         self.bytes += bytes as u64;
     }
 
-    /// The target has answered with a status that says that it failed.
+    /// Records that the target answered with a server error.
     pub fn note_failed(&mut self) {
         self.attempt.failed = true;
     }
 
-    /// What is seen of the latest attempt now that a part of its answer came, where that tells anything new.
+    /// Returns the observation that the newest part allows: the time to the first part, or the mean interval once
+    /// [`PACED_PARTS`] have arrived.
     pub fn part_sight(&self) -> Option<AnswerSight> {
         let (first, latest) = self.attempt.first.zip(self.latest)?;
         match self.attempt.parts {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What is seen of the latest attempt, which was answered whole.
+    /// Returns the observations of the latest attempt once its answer is complete.
     pub fn end_sights(&self) -> Vec<AnswerSight> {
         if self.attempt.failed {
             return vec![AnswerSight::Failed];
@@ -96,18 +97,18 @@
         begun.into_iter().chain([AnswerSight::Whole(took)]).collect()
     }
 
-    /// Parts that came in the latest attempt.
+    /// Returns the number of parts that arrived in the latest attempt.
     pub fn attempt_parts(&self) -> u32 {
         self.attempt.parts
     }
 
-    /// Time since the latest attempt was sent or had a part.
+    /// Returns the time since the latest attempt was sent or received a part.
     pub fn unheard_for(&self) -> Duration {
         let part = self.latest.filter(|_| self.attempt.parts > 0);
         part.or(self.sent).map_or(Duration::ZERO, |heard| heard.elapsed())
     }
 
-    /// What the target's scheduler learns of the latest attempt, which was sent then and is whole.
+    /// Returns the timing of the latest attempt's complete stream, which the target's scheduler gets.
     pub fn stream_end(&self, sent: Moment) -> AttemptEnd {
         let attempt = &self.attempt;
         let (Some(first), Some(latest)) = (attempt.first, self.latest) else {
--- a/crates/daemon/src/request/protocol.rs
+++ b/crates/daemon/src/request/protocol.rs
@@ -1,7 +1,7 @@
-//! What differs between the callers and targets of the two platform kinds.
+//! Defines the interface that covers the differences between the callers and targets of the two platform kinds.
 //!
-//! Owns: the border towards protocols. Each difference is one method or one field of
-//! [`ProtocolOptions`]; docs/DESIGN.md says why it is kept.
+//! Owns: [`CallerProtocol`]. Each difference is one method or one field of [`ProtocolOptions`]; docs/DESIGN.md
+//! gives its reason.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 /// Fixed properties of a protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolOptions {
-    /// How bodies of requests are read and sent.
+    /// How request bodies are read and sent.
     pub body: BodyOptions,
     /// `Retry-After` where this daemon or a target failed a request.
     pub retry_after: Duration,
-    /// `Retry-After` where there is no configuration yet.
+    /// `Retry-After` while there is no configuration.
     pub unserved_wait: Duration,
     /// Whether an answer that is still in progress at the deadline is cut.
     pub cuts_at_deadline: bool,
@@ -37,13 +37,13 @@
 pub struct AttemptLimits {
     /// Time to connect.
     pub connect: Duration,
-    /// Time from the sending to the head of the answer.
+    /// Time from sending the request to the head of the answer.
     pub head: Duration,
     /// Time between two parts of the answer.
     pub between_parts: Duration,
 }
 
-/// What the head of a target's answer says.
+/// What the head of a target's answer means for the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadVerdict {
     /// The answer belongs to the request.
@@ -54,24 +54,24 @@
     Foreign,
 }
 
-/// One attempt, as a protocol writes its head.
+/// What a protocol needs to write the head of a request to a target.
 pub struct TargetAttempt<'a> {
     /// The request.
     pub request: &'a AdmittedRequest,
-    /// As its caller sent it.
+    /// The request as the caller sent it.
     pub caller: &'a CallerRequest,
-    /// Where it goes.
+    /// Target of the attempt.
     pub target: &'a TargetEntry,
-    /// Last event that its caller already has.
+    /// Number of the last event that the caller already has.
     pub last_event: Option<u64>,
 }
 
-/// How callers and targets speak: headers, keys, what an answer means and how it is resumed.
+/// Protocol of callers and targets: headers, idempotency keys, the meaning of answers and how they are resumed.
 pub trait CallerProtocol {
-    /// Fixed properties.
+    /// Returns the fixed properties.
     fn options(&self) -> &ProtocolOptions;
 
-    /// Finds rule, account, tier, pool and deadline of a request in the configuration in force.
+    /// Determines rule, account, tier, pool and deadline of a request from the configuration in force.
     fn admit(
         &self,
         config: &ActiveConfig,
@@ -80,49 +80,49 @@
         request: &Request,
     ) -> Result<AdmittedRequest, Refusal>;
 
-    /// The caller's own name of an attempt, for the log line of a request that was not admitted.
+    /// Returns the id that the caller gave an attempt, for the log line of a request that was not admitted.
     fn attempt_id<'r>(&self, headers: &'r HeaderMap) -> &'r str;
 
-    /// Completes the estimate of a request's work with what its body says.
+    /// Completes the estimate of a request's work from its body.
     fn estimate(&self, request: &mut AdmittedRequest, body: &RequestBody);
 
-    /// Whether the request may still be sent. Asked right before each sending, since the process may
+    /// Checks whether the request may still be sent. Called right before each attempt, since the process may
     /// have been paused since the permit was granted.
     fn check_sendable(&self, request: &AdmittedRequest) -> Result<(), RefusalReason>;
 
-    /// Connections to the targets of a pool.
+    /// Returns the connections to the targets of a pool.
     fn connections(&self, pool: &TargetPool) -> ConnectionPool;
 
-    /// Time limits of an attempt that begins or goes on now.
+    /// Returns the time limits of an attempt that begins or continues now.
     fn limits(&self, request: &AdmittedRequest) -> AttemptLimits;
 
-    /// Head of the request to a target.
+    /// Builds the head of the request to a target.
     fn target_head(&self, attempt: &TargetAttempt<'_>) -> RequestHead;
 
-    /// How the answer is distinguished from answers to earlier requests.
+    /// Returns how the answer is distinguished from answers to earlier requests.
     fn exchange_options(&self, request: &AdmittedRequest) -> ExchangeOptions;
 
-    /// What the head of an answer says; notes how long the target keeps its connection.
+    /// Evaluates the head of an answer, and may record how long the target keeps an idle connection.
     fn judge_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict;
 
-    /// What the head of an answer says of its target; `None` where it says nothing of the one that was meant.
+    /// Reads the target's notice from the head of an answer; `None` where it is not a notice of the intended target.
     fn target_notice(&self, head: &ResponseHead) -> Option<TargetNotice>;
 
-    /// Whether a request that may have run may be sent to a further target.
+    /// Returns whether a request that may have run may be sent to another target.
     fn may_repeat(&self, request: &AdmittedRequest) -> bool;
 
-    /// Whether an answer is held back until it is whole, so that a failed one can be replaced.
+    /// Returns whether an answer is buffered until it is complete, so that a failed one can be replaced.
     fn holds_answer(&self, request: &AdmittedRequest, status: StatusCode) -> bool;
 
-    /// How the parts of a request's answer are passed on.
+    /// Creates the form in which the parts of a request's answer are relayed.
     fn answer_form(&self, request: &AdmittedRequest) -> Box<dyn AnswerForm>;
 
-    /// Head of the answer to a caller, whose parts follow.
+    /// Builds the head of the answer to the caller; its parts follow.
     fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer;
 
-    /// The answer for a refusal.
+    /// Builds the answer for a refusal.
     fn refusal_answer(&self, id: RequestId, refusal: &Refusal) -> CallerAnswer;
 
-    /// Age of the proof that the configuration is the newest, `None` where there is none.
+    /// Returns the age of the proof that the configuration is the newest, `None` if there is none.
     fn config_age(&self) -> Option<Duration>;
 }
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -1,6 +1,6 @@
-//! The decisions about one request: it waits for a permit, is sent, is sent again or is given up.
+//! Runs one request: waits for a permit, sends it to a target, and retries or refuses it after a failed attempt.
 //!
-//! Owns: the request until its end. It alone sends it, and a further attempt is made only after proof
+//! Owns: the request until its end. Only this module sends it, and it makes a further attempt only after proof
 //! that the earlier one did not run, or where the rule lets requests run more than once.
 //! Relies on: the node, which grants permits and counts attempts ([`PendingRequest`]).
 
@@ -33,53 +33,53 @@
 
 pub use self::log::note_refusal;
 
-/// Header that marks an answer which an earlier attempt with the same idempotency key got.
+/// Header that marks an answer replayed from an earlier attempt with the same idempotency key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
 
-/// How an attempt ended for its request.
+/// Result of an attempt, which decides how the request goes on.
 pub enum AttemptVerdict {
-    /// The request has its answer.
+    /// The caller has the complete answer.
     Served(AttemptEnd),
-    /// It goes to a further target, if the node has one.
+    /// The request is sent to another target if the node grants one.
     Again(RetryReason, AttemptCause),
-    /// Its target was stalled for as long as this cause says and is left for another one.
+    /// The target stalled in the phase that the cause names; the request moves to this other target.
     Replaced(Box<GrantedTarget>, AttemptCause),
-    /// It was not sent and is given up.
+    /// The request was not sent and is refused.
     NotSent(RefusalReason),
-    /// It was sent and is given up.
+    /// The request was sent, failed, and is refused.
     Failed(AttemptEnd, RefusalReason, AttemptCause),
-    /// The caller no longer reads its answer.
+    /// The caller stopped reading its answer.
     Stalled,
 }
 
-/// What the node decided.
+/// The node's decision about a request that waits for a permit.
 enum PermitOutcome {
     /// The request may be sent to this target.
     Granted(Box<GrantedTarget>),
-    /// The node refuses it.
+    /// The node refuses the request.
     Refused(Refusal),
-    /// An earlier attempt with the same idempotency key got this answer.
+    /// This answer was kept from an earlier attempt with the same idempotency key.
     Replayed(KeptAnswer),
 }
 
-/// One request on its way.
+/// One admitted request in progress.
 pub struct RequestRun {
     pub(super) service: Rc<RequestService>,
     pub(super) request: AdmittedRequest,
     caller: CallerRequest,
-    /// `None` once the node knows the end.
+    /// `None` once the node knows that the request has ended.
     pending: Option<PendingRequest>,
     pub(super) answer: AnswerChannel,
     pub(super) form: Box<dyn AnswerForm>,
-    /// Whether any attempt may have run.
+    /// Whether any attempt so far ran or may have run.
     pub(super) verdict: Verdict,
-    /// A target's answer that the caller gets if no later attempt has a better one.
+    /// A target's server error, which the caller gets if no later attempt succeeds.
     pub(super) fallback: Option<CallerAnswer>,
     pub(super) progress: RequestProgress,
 }
 
 impl RequestRun {
-    /// A run of an admitted request.
+    /// Creates the run of an admitted request.
     pub(super) fn new(
         service: Rc<RequestService>,
         request: AdmittedRequest,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Runs until the caller has its whole answer, or a final refusal.
+    /// Runs until the caller has the complete answer or a final refusal.
     pub async fn run(mut self) {
         if !self.protocol().options().cuts_at_deadline {
             return self.follow().await;
@@ -109,7 +109,8 @@
         let context = self.service.context.clone();
         let deadline = context.until(self.request.deadline);
         let passed = tokio::select! {
-            // At the same moment the limits within go first: they name the reason.
+            // If a limit of the attempt expires together with the deadline, the limit has priority: it names the
+            // reason of the refusal.
             biased;
             () = self.follow() => false,
             () = deadline => true,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The target that the node grants, `None` where it has decided the end itself.
+    /// Waits for the target that the node grants; `None` where the node refused the request or replayed an answer.
     async fn next_target(&mut self) -> Option<Box<GrantedTarget>> {
         match self.wait_for_permit().await {
             PermitOutcome::Granted(granted) => return Some(granted),
@@ -198,7 +199,7 @@
 
     fn again(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
         self.log_attempt(&target.id, reason.code(), cause);
-        // Before the node decides about another attempt.
+        // The node needs the report before it decides about another attempt.
         self.note_break(target, cause);
         let begun = self.answer.has_begun();
         if let Some(pending) = &mut self.pending {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// The request may be the reason for which its target ended.
+    /// Reports an interrupted attempt to the node: the request may be what terminated its target.
     fn note_break(&self, target: &TargetEntry, cause: AttemptCause) {
         self.note_answer(target, cause.answer_sight());
         if let (Some(digest), Some(kind)) = (self.request.digest, cause.break_kind()) {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// What the scheduler learns of the target that has the request at its deadline.
+    /// Returns what is reported to the scheduler about the target that still runs the request at its deadline.
     fn end_at_deadline(&self) -> AttemptEnd {
         match self.pending.as_ref().is_some_and(PendingRequest::is_stalled) {
             true => AttemptEnd::Failed,
@@ -227,14 +228,14 @@
         }
     }
 
-    /// The node decided the end itself.
+    /// Closes the request at the node without a report: the node ended it itself.
     fn forget(&mut self) {
         if let Some(pending) = self.pending.take() {
             pending.close();
         }
     }
 
-    /// Tells the node how the request ended.
+    /// Reports to the node how the request ended.
     fn end(&mut self, end: AttemptEnd) {
         let Some(pending) = self.pending.take() else { return };
         let request = &self.request;
@@ -246,7 +247,7 @@
         pending.finish(NodeEvent::Finished(request.id, self.verdict, end, kept));
     }
 
-    /// The caller does not read: dropping the request cancels it at the node and cuts its answer.
+    /// Gives up a request whose caller stopped reading: dropping it cancels it at the node and cuts its answer.
     fn give_up_caller(&mut self) {
         warn!("caller_stalled", kv: {
             request = self.request.id.to_string(), offset = self.progress.bytes
@@ -260,8 +261,8 @@
         self.refuse_with(Refusal { reason, verdict: self.verdict, retry_after });
     }
 
-    /// Gives the caller its final answer, which says whether the request may have run. An answer that
-    /// has begun is cut, which dropping its channel does.
+    /// Sends the caller the final refusal, which states whether the request may have run, or the fallback answer.
+    /// An answer that has begun is cut when its channel is dropped.
     fn refuse_with(&mut self, mut refusal: Refusal) {
         refusal.verdict = refusal.verdict.join(self.verdict);
         let request = &self.request;
@@ -276,11 +277,11 @@
     }
 }
 
-/// The answer that an earlier attempt with the same idempotency key got.
+/// Builds the answer that was kept from an earlier attempt with the same idempotency key.
 fn replayed_answer(id: RequestId, kept: KeptAnswer) -> CallerAnswer {
-    // Both were taken from a target's answer; what cannot be read any more is left out.
+    // Status and content type come from a target's answer. An invalid status becomes 200.
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    // As above.
+    // An invalid content type is left out.
     let content_type = HeaderValue::from_str(&kept.content_type).ok();
     let mut headers = vec![(REPLAYED, HeaderValue::from_static("true"))];
     headers.extend(content_type.map(|value| (header::CONTENT_TYPE, value)));
--- a/crates/daemon/src/request/run/attempts.rs
+++ b/crates/daemon/src/request/run/attempts.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request, and what its end means.
+//! Makes one attempt of a request and decides what its result means for the request.
 //!
 //! Owns: nothing; these are methods of [`RequestRun`]. Relies on: [`send`] for what may have been written.
 
@@ -13,7 +13,7 @@
 use crate::request::target_wait::TargetWait;
 
 impl RequestRun {
-    /// Sends the request to a target, by `connection` where there is one, and passes its answer on.
+    /// Sends the request to a target, over `connection` if there is one, and relays the answer to the caller.
     pub(super) async fn attempt(
         &mut self,
         target: &TargetEntry,
@@ -27,8 +27,8 @@
         metrics.waited(waited, &self.request.tier, &self.request.pool.id);
         let sent = Moment::now();
         self.progress.note_sent(&target.id);
-        // Whatever ends the wait from here on, the request may have run until its target says
-        // otherwise.
+        // From here on the request may have run, however the wait ends, until the target reports that it did
+        // not.
         let before = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
         match self.send(target, connection).await {
             AttemptStart::Answer(answer) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A wait for a target that has the request.
+    /// Creates a wait for the target that runs the request.
     pub(in crate::request) fn target_wait<'a>(
         &'a mut self,
         target: &'a TargetEntry,
@@ -88,14 +88,14 @@
         TargetWait { context, pending, protocol, request: &self.request, target }
     }
 
-    /// The target has sent something.
+    /// Reports that the target has sent data and is not stalled.
     pub(in crate::request) fn note_heard(&mut self) {
         if let Some(pending) = &mut self.pending {
             pending.target_heard();
         }
     }
 
-    /// The attempt may have run and has no whole answer.
+    /// Decides how to go on after an attempt that may have run but gave no complete answer.
     pub(in crate::request) fn broken(
         &mut self,
         reason: RefusalReason,
@@ -103,7 +103,7 @@
     ) -> AttemptVerdict {
         self.form.restart();
         if let Some(fault) = self.caller.body.fault() {
-            // The target is not to blame for what the caller sent.
+            // The caller's body was at fault, so the target is not counted as failed.
             let (end, cause) = (AttemptEnd::Unused, AttemptCause::CallerBody);
             return AttemptVerdict::Failed(end, fault.reason(), cause);
         }
--- a/crates/daemon/src/request/run/log.rs
+++ b/crates/daemon/src/request/run/log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a request: one line for each attempt that failed, and one for its end.
+//! Logs a request: one line for each failed attempt and one for the end.
 //!
 //! Owns: the lines `request_served`, `attempt_failed`, `answer_cut`, `request_refused`. Relies on: the run's
 //! progress.
@@ -20,7 +20,7 @@
                 then.saturating_duration_since(request.arrived).as_millis() as i64
             })
         };
-        // A public rule asks for no account.
+        // A public rule requires no account.
         let account = request.account.as_deref().unwrap_or_default();
         info!("request_served", kv: {
             request = request.id.to_string(), attempt = request.attempt_id.as_str(), account,
@@ -44,9 +44,9 @@
         });
     }
 
-    /// An answer that has begun is cut, since the request is given up for this reason.
+    /// Logs that an answer was cut after its beginning, because the request was refused for `reason`.
     pub(super) fn log_cut(&self, reason: RefusalReason) {
-        // An answer that has begun had a target.
+        // An answer that has begun comes from a target, so the default is never used.
         let target = self.progress.target.as_deref().unwrap_or_default();
         warn!("answer_cut", kv: {
             request = self.request.id.to_string(), target,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The digest of a request, empty where it has none.
+/// Returns the digest of a request as text, empty if it has none.
 fn digest_text(request: &AdmittedRequest) -> String {
     request.digest.map(|digest| digest.to_string()).unwrap_or_default()
 }
@@ -71,7 +71,7 @@
     let tier = request.map_or("", |request| request.tier.as_str());
     let pool = request.map_or("", |request| request.pool.id.as_str());
     let rule = request.map_or("", |request| request.rule.id.as_str());
-    // Unknown before the admission, and not asked for by a public rule.
+    // The account is unknown before admission, and a public rule requires none.
     let account = request.and_then(|request| request.account.as_deref()).unwrap_or_default();
     let digest = request.map(digest_text).unwrap_or_default();
     let config_age = service.protocol.config_age();
--- a/crates/daemon/src/request/run/sample.rs
+++ b/crates/daemon/src/request/run/sample.rs
@@ -1,6 +1,7 @@
-//! What an answer says of its target's version, while the pool is being rolled out.
+//! Reports observations of answers to the node while a rollout of the pool is in progress.
 //!
-//! Owns: nothing; these are methods of [`RequestRun`]. Relies on: the node, which tells the daemon that decides.
+//! Owns: nothing; these are methods of [`RequestRun`]. Relies on: the node, which forwards them to the daemon that
+//! decides about the rollout.
 
 use curlewcleat_core::{AnswerSample, AnswerSight, PoolKind, TargetEntry};
 use curlewcleat_node::NodeEvent;
@@ -8,7 +9,7 @@
 use super::RequestRun;
 
 impl RequestRun {
-    /// Tells the node what is seen of an answer of a target.
+    /// Reports observations of a target's answer to the node, if the pool has a rollout in progress.
     pub(in crate::request) fn note_answer(
         &self,
         target: &TargetEntry,
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -1,7 +1,8 @@
-//! The wait for the next sign of a target that has the request.
+//! Waits for the next data from the target that runs the request.
 //!
-//! Owns: the rule when a stalled target is left: where the request may be repeated, only for another one that the
-//! node has granted and that takes a connection. Relies on: the node, which grants one or says nothing.
+//! Owns: the rule when a stalled target is replaced: only if the request may be repeated, and only by a target that
+//! the node has granted and that accepts a connection. Relies on: the node, which grants a replacement if there is one
+//! and otherwise sends no decision.
 
 use std::future::{pending, Future};
 use std::pin::Pin;
@@ -17,43 +18,44 @@
 use crate::context::DaemonContext;
 use crate::pending::PendingRequest;
 
-/// Least time after which another target is asked for: where no time is left, the deadline comes first.
+/// Minimum wait before another target is requested, so that a request without remaining time ends at its deadline
+/// first.
 const LEAST_PAUSE: Duration = Duration::from_millis(10);
 
-/// A target that was granted, with the connection to it where one stands.
+/// A target that was granted, with the connection to it if one is established.
 pub struct GrantedTarget {
     pub entry: TargetEntry,
     pub connection: Option<PooledConnection>,
 }
 
-/// How a wait ended.
+/// Result of a wait.
 pub enum WaitEnd<T> {
-    /// What was waited for has come.
+    /// The expected value arrived.
     Came(T),
-    /// The target is left for this one.
+    /// The target stalled and is replaced by this one.
     Replaced(Box<GrantedTarget>),
-    /// The limit has passed and the request may not go elsewhere.
+    /// The limit has passed and the request may not move to another target.
     TimedOut,
 }
 
-/// Waits for a target.
+/// A wait for the target that runs a request.
 pub struct TargetWait<'a> {
     pub context: &'a DaemonContext,
-    /// `None` where the request may not go to another target; then the limit ends the wait.
+    /// `None` where the request may not move to another target; then the limit ends the wait.
     pub pending: Option<&'a mut PendingRequest>,
     pub protocol: &'a dyn CallerProtocol,
     pub request: &'a AdmittedRequest,
     pub target: &'a TargetEntry,
 }
 
-/// Another target that was granted and is being connected to.
+/// A granted replacement to which a connection is being established.
 struct OfferedTarget {
     permit: PermitId,
     entry: TargetEntry,
     connecting: Pin<Box<dyn Future<Output = Result<PooledConnection>>>>,
 }
 
-/// What happens next in a wait that may end at another target.
+/// Next event in a wait during which the target may be replaced.
 enum WaitStep<T> {
     Came(T),
     Granted(PermitId, TargetEntry),
@@ -61,7 +63,7 @@
     Stalled,
 }
 
-/// A wait that may end at another target.
+/// A wait during which the target may be replaced.
 struct ReplaceableWait<'a> {
     context: &'a DaemonContext,
     pending: &'a mut PendingRequest,
@@ -72,9 +74,9 @@
 }
 
 impl TargetWait<'_> {
-    /// Waits for `expected`, for `limit` where the request may not go elsewhere. Where it may, another target is
-    /// asked for after `limit`, again after twice as long and so on, and the wait goes on meanwhile. Dropped with
-    /// its exchange, it leaves the target.
+    /// Waits for `expected`, at most for `limit` if the request may not move to another target. If it may, the wait
+    /// requests another target after `limit`, doubles the interval after each such request, and goes on until
+    /// `expected` arrives or a replacement is connected. Dropping the wait with its exchange abandons the target.
     pub async fn wait<T>(self, limit: Duration, expected: impl Future<Output = T>) -> WaitEnd<T> {
         let TargetWait { context, pending, protocol, request, target } = self;
         match pending {
@@ -137,7 +139,7 @@
             biased;
             value = expected => WaitStep::Came(value),
             result = connected => WaitStep::Connected(result),
-            // While the request is at a target the node decides nothing else.
+            // While the request is at a target, the node sends no other kind of decision.
             Some(CallerDecision::Dispatch(permit, entry)) = self.pending.decision(), if free => {
                 WaitStep::Granted(permit, entry)
             }
@@ -145,6 +147,7 @@
         }
     }
 
+    /// Requests another target from the node.
     fn ask(&mut self, stalled: Duration) {
         info!("target_silent", kv: {
             request = self.pending.id().to_string(), target = self.target.id.as_str(),
@@ -153,8 +156,9 @@
         self.pending.target_stalled();
     }
 
-    /// The stalled target is not left before the other one takes a connection: where that fails, an answer that
-    /// has begun could only be cut, though its target may be at work.
+    /// Starts to connect to the replacement, or declines it if the request no longer needs it or may not be sent to
+    /// it. The stalled target is kept until the replacement accepts a connection: if connecting failed after the
+    /// target was abandoned, an answer that has begun could only be cut, though its target may still be working.
     fn consider(&mut self, permit: PermitId, entry: TargetEntry) {
         let excluded = self.context.gate.stop(self.context.uptime(), &entry.life()).is_some();
         let sendable = self.protocol.check_sendable(self.request).is_ok();
@@ -168,6 +172,7 @@
         self.offered = Some(OfferedTarget { permit, entry, connecting });
     }
 
+    /// Accepts the replacement if the connection was established; otherwise the request stays at the stalled target.
     fn connected(&mut self, result: Result<PooledConnection>) -> Option<GrantedTarget> {
         let entry = self.offered.take()?.entry;
         match result {
@@ -186,7 +191,8 @@
         }
     }
 
-    /// The grant stands until the next wait, which declines it, or until an attempt that broke off is followed by it.
+    /// Keeps a replacement that is not yet connected as the next decision: the next wait declines it, or the attempt
+    /// that follows an interruption uses it.
     fn put_offer_back(&mut self) {
         if let Some(OfferedTarget { permit, entry, .. }) = self.offered.take() {
             self.pending.put_back(CallerDecision::Dispatch(permit, entry));
