--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -6,9 +6,9 @@
 //! 2. [`body`] reads the body, or as much of it as the work estimate needs.
 //! 3. [`run`] waits for a permit of the pool's scheduler and decides after each attempt how to go on.
 //! 4. [`attempt`] sends the request to one target, once.
-//! 5. [`pass_on`] relays the answer to the caller ([`answer`]) and resumes an interrupted stream ([`form`]).
+//! 5. [`relay`] relays the answer to the caller ([`answer`]) and resumes an interrupted stream ([`framing`]).
 //!
-//! [`CallerProtocol`] covers the differences between the platform kinds: [`own`] implements the interface
+//! [`CallerProtocol`] covers the differences between the platform kinds: [`builtin`] implements the interface
 //! of docs/CALLERS.md, [`profile`] uses the header names of a fleet's platform.
 //!
 //! Owns: the requests in progress on this thread, each in its own task. Relies on: the node for
@@ -18,14 +18,14 @@
 mod answer;
 mod attempt;
 mod body;
+mod builtin;
 mod cause;
-mod form;
-mod own;
-mod pass_on;
+mod framing;
 mod problem;
 mod profile;
 mod progress;
 mod protocol;
+mod relay;
 mod run;
 mod target_wait;
 
@@ -45,7 +45,7 @@
 use body::RequestBody;
 use run::RequestRun;
 
-pub use own::OwnProtocol;
+pub use builtin::OwnProtocol;
 pub use profile::ProfileProtocol;
 pub use protocol::CallerProtocol;
 
@@ -75,7 +75,7 @@
             caller: account.or(headers::bearer_token(&self.headers)).unwrap_or_default(),
             body: self.body.beginning(),
         };
-        self.body.is_whole().then(|| identity.digest())
+        self.body.is_fully_read().then(|| identity.digest())
     }
 }
 
@@ -94,7 +94,7 @@
     ) -> Result<AdmittedRequest, Refusal> {
         let config = self.context.config();
         if config.generation == 0 {
-            let wait = self.protocol.options().unserved_wait;
+            let wait = self.protocol.options().no_config_retry_after;
             return Err(Refusal::not_run(RefusalReason::NoConfiguration, Some(wait)));
         }
         self.protocol.admit(&config, id, arrived, request)
@@ -108,8 +108,8 @@
             Ok(admitted) => admitted,
             Err(refusal) => {
                 let attempt = self.protocol.attempt_id(request.headers());
-                run::note_refusal(&self, id, attempt, None, &refusal);
-                return self.protocol.refusal_answer(id, &refusal).into_whole_response();
+                run::record_refusal(&self, id, attempt, None, &refusal);
+                return self.protocol.refusal_answer(id, &refusal).into_complete_response();
             }
         };
         self.context.metrics.request(&admitted.tier, &admitted.pool.id);
@@ -117,10 +117,10 @@
         let options = self.protocol.options().body;
         let body = match RequestBody::read(&mut request, limit, options).await {
             Ok(body) => body,
-            Err(fault) => {
-                let refusal = Refusal::not_run(fault.reason(), None);
-                run::note_refusal(&self, id, &admitted.attempt_id, Some(&admitted), &refusal);
-                return self.protocol.refusal_answer(id, &refusal).into_whole_response();
+            Err(error) => {
+                let refusal = Refusal::not_run(error.reason(), None);
+                run::record_refusal(&self, id, &admitted.attempt_id, Some(&admitted), &refusal);
+                return self.protocol.refusal_answer(id, &refusal).into_complete_response();
             }
         };
         self.protocol.estimate(&mut admitted, &body);
@@ -132,12 +132,12 @@
         };
         admitted.digest = caller.digest(admitted.account.as_deref());
         let pending = self.context.admit(admitted.spec());
-        let (begin, begun) = oneshot::channel();
-        let (channel, parts) = AnswerChannel::new(begin);
+        let (head_sender, head_receiver) = oneshot::channel();
+        let (channel, parts) = AnswerChannel::new(head_sender);
         let run = RequestRun::new(self, admitted, caller, pending, channel);
         let guard = TaskGuard(actix_rt::spawn(run.run()));
         // The task ends without an answer only if it panicked.
-        let answer = begun.await.unwrap_or_else(|_| CallerAnswer::lost());
+        let answer = head_receiver.await.unwrap_or_else(|_| CallerAnswer::bad_gateway());
         answer.into_response(parts, guard)
     }
 }
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -24,7 +24,7 @@
 /// What follows the head of an answer.
 pub enum AnswerContent {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Parts that follow, with their total length in bytes if it is known.
     Parts(Option<u64>),
 }
@@ -43,24 +43,24 @@
 
 impl CallerAnswer {
     /// Returns an empty 502 for a request whose task ended without an answer.
-    pub fn lost() -> CallerAnswer {
+    pub fn bad_gateway() -> CallerAnswer {
         CallerAnswer {
             status: StatusCode::BAD_GATEWAY,
             headers: Vec::new(),
-            content: AnswerContent::Whole(Bytes::new()),
+            content: AnswerContent::Complete(Bytes::new()),
             close: true,
         }
     }
 
     /// Replaces the content by the complete body.
     pub fn with_body(self, body: Bytes) -> CallerAnswer {
-        CallerAnswer { content: AnswerContent::Whole(body), ..self }
+        CallerAnswer { content: AnswerContent::Complete(body), ..self }
     }
 
     /// Returns the response for an answer without parts.
-    pub fn into_whole_response(self) -> Response<BoxBody> {
+    pub fn into_complete_response(self) -> Response<BoxBody> {
         let body = match &self.content {
-            AnswerContent::Whole(body) => body.clone(),
+            AnswerContent::Complete(body) => body.clone(),
             AnswerContent::Parts(_) => Bytes::new(),
         };
         self.head().set_body(body).map_into_boxed_body()
@@ -68,7 +68,9 @@
 
     /// Returns the response. Dropping its body aborts the task of the request.
     pub(super) fn into_response(self, parts: AnswerParts, guard: TaskGuard) -> Response<BoxBody> {
-        let AnswerContent::Parts(length) = self.content else { return self.into_whole_response() };
+        let AnswerContent::Parts(length) = self.content else {
+            return self.into_complete_response();
+        };
         let stream = parts.map(move |part| {
             // The closure owns the guard, so the task ends with the body.
             let _ = &guard;
@@ -102,49 +104,53 @@
 /// The sending end of an answer. An answer that is dropped before [`finish`](AnswerChannel::finish)
 /// ends with [`AnswerCut`], so that no caller mistakes a partial answer for a complete one.
 pub struct AnswerChannel {
-    begin: Option<oneshot::Sender<CallerAnswer>>,
+    head_sender: Option<oneshot::Sender<CallerAnswer>>,
     parts: mpsc::Sender<Bytes>,
-    whole: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
 }
 
 /// The receiving end: the body of the answer.
 pub struct AnswerParts {
     parts: mpsc::Receiver<Bytes>,
-    whole: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
     ended: bool,
 }
 
 impl AnswerChannel {
-    /// Creates both ends; the head of the answer is sent to `begin`.
-    pub fn new(begin: oneshot::Sender<CallerAnswer>) -> (AnswerChannel, AnswerParts) {
+    /// Creates both ends; the head of the answer is sent to `head_sender`.
+    pub fn new(head_sender: oneshot::Sender<CallerAnswer>) -> (AnswerChannel, AnswerParts) {
         let (sender, receiver) = mpsc::channel(PART_QUEUE);
-        let whole = Rc::new(Cell::new(false));
-        let channel = AnswerChannel { begin: Some(begin), parts: sender, whole: Rc::clone(&whole) };
-        (channel, AnswerParts { parts: receiver, whole, ended: false })
+        let complete = Rc::new(Cell::new(false));
+        let channel = AnswerChannel {
+            head_sender: Some(head_sender),
+            parts: sender,
+            complete: Rc::clone(&complete),
+        };
+        (channel, AnswerParts { parts: receiver, complete, ended: false })
     }
 
     /// Returns whether the head was sent.
     pub fn has_begun(&self) -> bool {
-        self.begin.is_none()
+        self.head_sender.is_none()
     }
 
     /// Sends the head; later calls are ignored.
-    pub fn begin(&mut self, answer: CallerAnswer) {
-        if let Some(begin) = self.begin.take() {
+    pub fn send_head(&mut self, answer: CallerAnswer) {
+        if let Some(head_sender) = self.head_sender.take() {
             // If the caller has disconnected, its connection aborts the task of the request.
-            let _ = begin.send(answer);
+            let _ = head_sender.send(answer);
         }
     }
 
     /// Sends a part; waits while the queue is full because the caller does not read.
-    pub async fn send(&self, part: Bytes) {
+    pub async fn send_part(&self, part: Bytes) {
         // If the caller has disconnected, its connection aborts the task of the request.
         let _ = self.parts.send(part).await;
     }
 
     /// Marks the answer as complete with the parts sent so far.
     pub fn finish(&self) {
-        self.whole.set(true);
+        self.complete.set(true);
     }
 }
 
@@ -160,7 +166,7 @@
             Poll::Ready(Some(part)) => Poll::Ready(Some(Ok(part))),
             Poll::Ready(None) => {
                 self.ended = true;
-                Poll::Ready((!self.whole.get()).then_some(Err(AnswerCut)))
+                Poll::Ready((!self.complete.get()).then_some(Err(AnswerCut)))
             }
         }
     }
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -43,13 +43,13 @@
     };
     let head = protocol.target_head(&attempt);
     let options = protocol.exchange_options(request);
-    let exchange = connection.exchange_with(head, attempt.caller.body.sending(), &options);
+    let exchange = connection.exchange_with(head, attempt.caller.body.outgoing(), &options);
     let sent = Moment::now();
-    let head_by = head_limit(protocol, request, sent + protocol.limits(request).head);
-    let limit = head_by.saturating_duration_since(Moment::now());
+    let head_deadline = cap_head_deadline(protocol, request, sent + protocol.limits(request).head);
+    let limit = head_deadline.saturating_duration_since(Moment::now());
     let answer = match wait.wait(limit, exchange).await {
-        WaitEnd::Came(Ok(answer)) => answer,
-        WaitEnd::Came(Err(error)) => return exchange_failed(attempt.target, &error),
+        WaitEnd::Arrived(Ok(answer)) => answer,
+        WaitEnd::Arrived(Err(error)) => return exchange_failed(attempt.target, &error),
         WaitEnd::Replaced(target) => return AttemptStart::Replaced(target),
         WaitEnd::TimedOut => {
             return AttemptStart::Failed(RefusalReason::FirstByteTimeout, AttemptCause::HeadTimeout)
@@ -57,10 +57,10 @@
     };
     let notice = protocol.target_notice(&answer.head);
     if let Some(notice) = notice {
-        let heard = HeardNotice { sent: context.uptime_at(sent), notice };
-        hear(context, &attempt, &heard);
+        let received = HeardNotice { sent: context.uptime_at(sent), notice };
+        apply_notice(context, &attempt, &received);
     }
-    judge(protocol, request, answer, notice)
+    evaluate_answer(protocol, request, answer, notice)
 }
 
 /// Returns an established connection to a target whose notices allow the request to be sent now.
@@ -72,7 +72,7 @@
     let (context, protocol, request) = (wait.context, wait.protocol, attempt.request);
     let life = attempt.target.life();
     if let Some(stop) = context.gate.stop(context.uptime(), &life) {
-        return Err(stopped(context, stop));
+        return Err(gate_stopped(context, stop));
     }
     let connected = match connection {
         Some(connection) => Ok(connection),
@@ -88,45 +88,45 @@
     match context.gate.pass(context.uptime(), &life) {
         Some(stop) => {
             connection.put_back();
-            Err(stopped(context, stop))
+            Err(gate_stopped(context, stop))
         }
         None => Ok(connection),
     }
 }
 
 /// Applies the target's notice at the gate before any of the answer is relayed, and reports it to the node.
-fn hear(context: &DaemonContext, attempt: &TargetAttempt<'_>, heard: &HeardNotice) {
+fn apply_notice(context: &DaemonContext, attempt: &TargetAttempt<'_>, received: &HeardNotice) {
     let (life, request) = (attempt.target.life(), attempt.request);
-    if let Some(report) = context.gate.heard(context.uptime(), &life, heard, request.id) {
+    if let Some(report) = context.gate.heard(context.uptime(), &life, received, request.id) {
         context.tell(NodeEvent::TargetSaid(request.pool.id.clone(), report));
     }
 }
 
 /// Decides from the head of the answer whether the target runs the request.
-fn judge(
+fn evaluate_answer(
     protocol: &dyn CallerProtocol,
     request: &AdmittedRequest,
     mut answer: TargetAnswer,
     notice: Option<TargetNotice>,
 ) -> AttemptStart {
-    match protocol.judge_head(request, &mut answer) {
+    match protocol.evaluate_head(request, &mut answer) {
         HeadVerdict::Accepted => AttemptStart::Answer(Box::new(answer)),
         HeadVerdict::NotRun => {
-            let asks_for_rest = notice.is_some_and(|notice| notice.rest.is_some());
-            let cause = match asks_for_rest {
-                true => AttemptCause::AskedForRest,
+            let requests_rest = notice.is_some_and(|notice| notice.rest.is_some());
+            let cause = match requests_rest {
+                true => AttemptCause::RestRequested,
                 false => AttemptCause::NotStarted,
             };
             AttemptStart::NotRun(RetryReason::TargetNotStarted, cause)
         }
-        HeadVerdict::Foreign => {
+        HeadVerdict::OtherRequest => {
             AttemptStart::Failed(RefusalReason::TargetProtocol, AttemptCause::Unreadable)
         }
     }
 }
 
 /// Counts an attempt that the gate stopped because of the target's notices.
-fn stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
+fn gate_stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
     let cause = AttemptCause::from(stop);
     context.metrics.gate_stop(cause.code());
     AttemptStart::NotRun(RetryReason::TargetUnwilling, cause)
@@ -135,10 +135,14 @@
 /// Returns when the wait for the head of the answer ends. Where a request is cut at its deadline, the wait
 /// ends no later than that. If both expire at the same instant, this limit has priority, so that the refusal
 /// always names the unresponsive target as the reason, however long it took to connect.
-fn head_limit(protocol: &dyn CallerProtocol, request: &AdmittedRequest, head_by: Moment) -> Moment {
+fn cap_head_deadline(
+    protocol: &dyn CallerProtocol,
+    request: &AdmittedRequest,
+    head_deadline: Moment,
+) -> Moment {
     match protocol.options().cuts_at_deadline {
-        true => head_by.min(request.deadline),
-        false => head_by,
+        true => head_deadline.min(request.deadline),
+        false => head_deadline,
     }
 }
 
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -31,7 +31,7 @@
 
 /// Why a body cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BodyFault {
+pub enum BodyError {
     /// Longer than the rule allows.
     #[error("request body is longer than its rule allows")]
     TooLarge,
@@ -40,12 +40,12 @@
     Incomplete,
 }
 
-impl BodyFault {
+impl BodyError {
     /// Returns the refusal reason that the caller gets.
     pub fn reason(self) -> RefusalReason {
         match self {
-            BodyFault::TooLarge => RefusalReason::BodyTooLarge,
-            BodyFault::Incomplete => RefusalReason::BodyIncomplete,
+            BodyError::TooLarge => RefusalReason::BodyTooLarge,
+            BodyError::Incomplete => RefusalReason::BodyIncomplete,
         }
     }
 }
@@ -56,8 +56,8 @@
     /// Bytes that the rest may still have.
     allowed: usize,
     /// Whether the rest was read, after which the body cannot be sent again.
-    taken: bool,
-    fault: Option<BodyFault>,
+    rest_read: bool,
+    error: Option<BodyError>,
 }
 
 /// A body that can be sent again as long as only its beginning was read.
@@ -75,11 +75,11 @@
         request: &mut Request,
         limit: usize,
         options: BodyOptions,
-    ) -> Result<RequestBody, BodyFault> {
-        let announced = headers::text(request.headers(), "content-length");
-        let announced = announced.and_then(|text| text.parse::<u64>().ok());
-        if announced.is_some_and(|length| length > limit as u64) {
-            return Err(BodyFault::TooLarge);
+    ) -> Result<RequestBody, BodyError> {
+        let stated_length = headers::text(request.headers(), "content-length");
+        let stated_length = stated_length.and_then(|text| text.parse::<u64>().ok());
+        if stated_length.is_some_and(|length| length > limit as u64) {
+            return Err(BodyError::TooLarge);
         }
         let mut payload = request.take_payload();
         let mut beginning = BytesMut::new();
@@ -88,19 +88,19 @@
             match tokio::time::timeout(PART_LIMIT, payload.next()).await {
                 Ok(Some(Ok(bytes))) => beginning.extend_from_slice(&bytes),
                 Ok(None) => ended = true,
-                Ok(Some(Err(_))) | Err(_) => return Err(BodyFault::Incomplete),
+                Ok(Some(Err(_))) | Err(_) => return Err(BodyError::Incomplete),
             }
             if beginning.len() > limit {
-                return Err(BodyFault::TooLarge);
+                return Err(BodyError::TooLarge);
             }
         }
         let size = beginning.len();
         let rest = (!ended).then_some(payload);
-        let state = BodyState { rest, allowed: limit - size, taken: false, fault: None };
+        let state = BodyState { rest, allowed: limit - size, rest_read: false, error: None };
         Ok(RequestBody {
             beginning: beginning.freeze(),
             state: Rc::new(RefCell::new(state)),
-            length: if ended { Some(size as u64) } else { announced },
+            length: if ended { Some(size as u64) } else { stated_length },
             empty: options.empty,
         })
     }
@@ -111,7 +111,7 @@
     }
 
     /// Returns whether the complete body was read before scheduling.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_read(&self) -> bool {
         self.state.borrow().rest.is_none()
     }
 
@@ -121,30 +121,30 @@
     }
 
     /// Returns whether the body can be sent, or sent again.
-    pub fn is_intact(&self) -> bool {
-        !self.state.borrow().taken
+    pub fn can_be_sent(&self) -> bool {
+        !self.state.borrow().rest_read
     }
 
     /// Returns the error that occurred while the rest was streamed.
-    pub fn fault(&self) -> Option<BodyFault> {
-        self.state.borrow().fault
+    pub fn error(&self) -> Option<BodyError> {
+        self.state.borrow().error
     }
 
     /// Returns the body as a stream for one attempt.
-    pub fn sending(&self) -> BodySending {
-        BodySending { body: self.clone(), begun: false }
+    pub fn outgoing(&self) -> OutgoingBody {
+        OutgoingBody { body: self.clone(), beginning_sent: false }
     }
 }
 
 /// The body of one attempt.
-pub struct BodySending {
+pub struct OutgoingBody {
     body: RequestBody,
     /// Whether the beginning was sent.
-    begun: bool,
+    beginning_sent: bool,
 }
 
-impl MessageBody for BodySending {
-    type Error = BodyFault;
+impl MessageBody for OutgoingBody {
+    type Error = BodyError;
 
     fn size(&self) -> BodySize {
         match self.body.length {
@@ -157,9 +157,9 @@
     fn poll_next(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BodyFault>>> {
-        if !self.begun {
-            self.begun = true;
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
+        if !self.beginning_sent {
+            self.beginning_sent = true;
             if !self.body.beginning.is_empty() {
                 return Poll::Ready(Some(Ok(self.body.beginning.clone())));
             }
@@ -167,7 +167,7 @@
         let mut state = self.body.state.borrow_mut();
         let Some(rest) = state.rest.as_mut() else { return Poll::Ready(None) };
         let polled = Pin::new(rest).poll_next(context);
-        state.taken = true;
+        state.rest_read = true;
         match polled {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => Poll::Ready(None),
@@ -176,16 +176,16 @@
                     state.allowed = allowed;
                     Poll::Ready(Some(Ok(bytes)))
                 }
-                None => Poll::Ready(Some(Err(state.fail(BodyFault::TooLarge)))),
+                None => Poll::Ready(Some(Err(state.fail(BodyError::TooLarge)))),
             },
-            Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(state.fail(BodyFault::Incomplete)))),
+            Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(state.fail(BodyError::Incomplete)))),
         }
     }
 }
 
 impl BodyState {
-    fn fail(&mut self, fault: BodyFault) -> BodyFault {
-        self.fault = Some(fault);
-        fault
+    fn fail(&mut self, error: BodyError) -> BodyError {
+        self.error = Some(error);
+        error
     }
 }
--- a/crates/daemon/src/request/own.rs
+++ b/crates/daemon/src/request/builtin.rs
@@ -22,7 +22,7 @@
 use super::admitted::{AdmittedRequest, WorkEstimate};
 use super::answer::{AnswerContent, CallerAnswer};
 use super::body::{BodyOptions, RequestBody};
-use super::form::{AnswerForm, ByteForm};
+use super::framing::{AnswerFraming, ByteFraming};
 use super::problem::{problem_answer, REQUEST_ID};
 use super::protocol::{AttemptLimits, CallerProtocol, HeadVerdict, ProtocolOptions, TargetAttempt};
 use crate::headers;
@@ -37,7 +37,7 @@
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: 64 << 10, empty: BodySize::None },
     retry_after: Duration::from_secs(1),
-    unserved_wait: Duration::from_secs(1),
+    no_config_retry_after: Duration::from_secs(1),
     cuts_at_deadline: false,
 };
 
@@ -146,10 +146,10 @@
         ExchangeOptions::default()
     }
 
-    fn judge_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
-        let named = headers::text(&answer.head.headers, REQUEST_ID.as_str());
-        if named.is_some_and(|named| named != request.id.to_string()) {
-            return HeadVerdict::Foreign;
+    fn evaluate_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
+        let echoed_id = headers::text(&answer.head.headers, REQUEST_ID.as_str());
+        if echoed_id.is_some_and(|echoed_id| echoed_id != request.id.to_string()) {
+            return HeadVerdict::OtherRequest;
         }
         match Some(answer.head.status.as_u16()) == request.pool.not_started_status {
             true => HeadVerdict::NotRun,
@@ -166,12 +166,12 @@
         false
     }
 
-    fn holds_answer(&self, _: &AdmittedRequest, _: StatusCode) -> bool {
+    fn buffers_answer(&self, _: &AdmittedRequest, _: StatusCode) -> bool {
         false
     }
 
-    fn answer_form(&self, request: &AdmittedRequest) -> Box<dyn AnswerForm> {
-        Box::new(ByteForm::new(&request.pool, request.key.is_some()))
+    fn answer_framing(&self, request: &AdmittedRequest) -> Box<dyn AnswerFraming> {
+        Box::new(ByteFraming::new(&request.pool, request.key.is_some()))
     }
 
     fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer {
--- a/crates/daemon/src/request/own/prompt.rs
+++ b/crates/daemon/src/request/builtin/prompt.rs
@@ -34,7 +34,7 @@
     }
     let beginning: &[u8] = body.beginning();
     // A body that cannot be parsed is estimated by its length.
-    let fields = match body.is_whole() {
+    let fields = match body.is_fully_read() {
         true => serde_json::from_slice::<PromptFields<'_>>(beginning).ok(),
         false => None,
     };
--- a/crates/daemon/src/request/cause.rs
+++ b/crates/daemon/src/request/cause.rs
@@ -25,7 +25,7 @@
     /// The caller's body was too long or incomplete.
     CallerBody,
     /// The target did not start the request and requested a rest.
-    AskedForRest,
+    RestRequested,
     /// Nothing was sent: the target has reported that it is leaving.
     TargetLeaving,
     /// Nothing was sent: the target has requested a rest from this daemon.
@@ -37,7 +37,7 @@
 impl AttemptCause {
     /// Returns how the request was interrupted, `None` where the cause gives no reason to suspect that the request
     /// terminated its target.
-    pub fn break_kind(self) -> Option<BreakKind> {
+    pub fn interruption_kind(self) -> Option<BreakKind> {
         match self {
             AttemptCause::Closed => Some(BreakKind::Closed),
             AttemptCause::HeadTimeout | AttemptCause::PartTimeout => Some(BreakKind::Stalled),
@@ -46,7 +46,7 @@
             | AttemptCause::Unreadable
             | AttemptCause::Failed
             | AttemptCause::CallerBody
-            | AttemptCause::AskedForRest
+            | AttemptCause::RestRequested
             | AttemptCause::TargetLeaving
             | AttemptCause::TargetResting
             | AttemptCause::TargetLimited => None,
@@ -55,7 +55,7 @@
 
     /// Returns the observation about the target's version, `None` where the target did not cause the failure or
     /// reported that nothing ran.
-    pub fn answer_sight(self) -> Option<AnswerSight> {
+    pub fn answer_observation(self) -> Option<AnswerSight> {
         match self {
             AttemptCause::Failed => Some(AnswerSight::Failed),
             AttemptCause::HeadTimeout
@@ -65,7 +65,7 @@
             AttemptCause::ConnectFailed
             | AttemptCause::NotStarted
             | AttemptCause::CallerBody
-            | AttemptCause::AskedForRest
+            | AttemptCause::RestRequested
             | AttemptCause::TargetLeaving
             | AttemptCause::TargetResting
             | AttemptCause::TargetLimited => None,
@@ -76,7 +76,7 @@
     /// the scheduler receives that through the target's notices.
     pub fn attempt_end(self) -> AttemptEnd {
         match self {
-            AttemptCause::AskedForRest
+            AttemptCause::RestRequested
             | AttemptCause::TargetLeaving
             | AttemptCause::TargetResting
             | AttemptCause::TargetLimited => AttemptEnd::Unused,
@@ -95,7 +95,7 @@
             AttemptCause::Unreadable => "unreadable",
             AttemptCause::Failed => "failed",
             AttemptCause::CallerBody => "caller_body",
-            AttemptCause::AskedForRest => "asked_for_rest",
+            AttemptCause::RestRequested => "asked_for_rest",
             AttemptCause::TargetLeaving => "target_leaving",
             AttemptCause::TargetResting => "target_resting",
             AttemptCause::TargetLimited => "target_limited",
--- a/crates/daemon/src/request/form.rs
+++ b/crates/daemon/src/request/framing.rs
@@ -1,7 +1,7 @@
 //! Splits an answer into the parts that are relayed, and tracks the position from which an interrupted stream resumes.
 //!
 //! Owns: the position in the answer of one request, over all its attempts. Relies on: the pool's
-//! `end_event` and `resumable` ([`ByteForm`]), numbered events ([`EventForm`]).
+//! `end_event` and `resumable` ([`ByteFraming`]), numbered events ([`EventFraming`]).
 
 use actix_http::{Method, RequestHead, ResponseHead};
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use crate::headers;
 
 /// Longest answer in bytes that is kept with its idempotency key. A record of the services has about 800 bytes.
-const KEPT_LIMIT: usize = 4 << 10;
+const KEPT_ANSWER_LIMIT: usize = 4 << 10;
 /// Maximum number of resumptions of one stream.
 const RESUME_LIMIT: u32 = 3;
 /// Header with the id of a stream that its engine can resume.
@@ -21,25 +21,25 @@
 const END_EVENT_MARGIN: usize = 16;
 
 /// Splits the answer of one request into parts that may be relayed.
-pub trait AnswerForm {
+pub trait AnswerFraming {
     /// Starts the answer of an attempt with its head.
     fn begin(&mut self, head: &ResponseHead);
 
     /// Returns whether the head is delayed until the first part can be relayed, because until then a
     /// further attempt may replace the answer.
-    fn holds_head(&self) -> bool;
+    fn delays_head(&self) -> bool;
 
     /// Adds a part and returns the bytes that can be relayed now.
     fn push(&mut self, part: Bytes) -> Bytes;
 
     /// Returns whether the answer is complete if its body ends now.
-    fn is_whole(&self) -> bool;
+    fn is_complete(&self) -> bool;
 
     /// Returns the remaining bytes after the end of the body.
-    fn rest(&mut self) -> Bytes;
+    fn take_remaining(&mut self) -> Bytes;
 
     /// Builds a request to the same target for the rest of an interrupted answer, `None` if it cannot be resumed.
-    fn resumption(&mut self) -> Option<RequestHead>;
+    fn resume_request(&mut self) -> Option<RequestHead>;
 
     /// Prepares for another attempt after an interruption; that attempt may continue after the last event.
     fn restart(&mut self);
@@ -48,43 +48,43 @@
     fn last_event(&self) -> Option<u64>;
 
     /// Returns whether the times of the parts are reported as the target's streaming speed.
-    fn is_paced(&self) -> bool;
+    fn reports_timing(&self) -> bool;
 
     /// Returns the complete answer if it is short enough to be kept with its idempotency key.
     fn kept_answer(&mut self) -> Option<KeptAnswer>;
 }
 
 /// Relays bytes as they arrive. The target that runs the request resumes an interrupted stream at its offset.
-pub struct ByteForm {
+pub struct ByteFraming {
     end_event: Option<String>,
     resumable: bool,
     status: u16,
     content_type: String,
     stream_id: Option<String>,
     offset: u64,
-    resumed: u32,
+    resumptions: u32,
     /// The last bytes, which are searched for the end event.
     tail: Vec<u8>,
     kept: Option<Vec<u8>>,
 }
 
-impl ByteForm {
-    /// Creates the form of an answer from `pool`; `keyed` if the answer is kept with an idempotency key.
-    pub fn new(pool: &TargetPool, keyed: bool) -> ByteForm {
-        ByteForm {
+impl ByteFraming {
+    /// Creates the framing of an answer from `pool`; `keyed` if the answer is kept with an idempotency key.
+    pub fn new(pool: &TargetPool, keyed: bool) -> ByteFraming {
+        ByteFraming {
             end_event: pool.end_event.clone(),
             resumable: pool.resumable,
             status: 0,
             content_type: String::new(),
             stream_id: None,
             offset: 0,
-            resumed: 0,
+            resumptions: 0,
             tail: Vec::new(),
             kept: keyed.then(Vec::new),
         }
     }
 
-    fn note_tail(&mut self, bytes: &Bytes) {
+    fn update_tail(&mut self, bytes: &Bytes) {
         let Some(end) = &self.end_event else { return };
         let length = end.len() + END_EVENT_MARGIN;
         self.tail.extend_from_slice(&bytes[bytes.len().saturating_sub(length)..]);
@@ -92,15 +92,17 @@
         self.tail.drain(..surplus);
     }
 
-    fn keep(&mut self, bytes: &Bytes) {
+    fn keep_body(&mut self, bytes: &Bytes) {
         match &mut self.kept {
-            Some(kept) if kept.len() + bytes.len() <= KEPT_LIMIT => kept.extend_from_slice(bytes),
+            Some(kept) if kept.len() + bytes.len() <= KEPT_ANSWER_LIMIT => {
+                kept.extend_from_slice(bytes)
+            }
             _ => self.kept = None,
         }
     }
 }
 
-impl AnswerForm for ByteForm {
+impl AnswerFraming for ByteFraming {
     fn begin(&mut self, head: &ResponseHead) {
         self.status = head.status.as_u16();
         // A kept answer without a type is replayed with an empty one.
@@ -110,19 +112,19 @@
         self.stream_id = stream_id.map(str::to_string);
     }
 
-    fn holds_head(&self) -> bool {
+    fn delays_head(&self) -> bool {
         false
     }
 
     fn push(&mut self, part: Bytes) -> Bytes {
         self.offset += part.len() as u64;
-        self.note_tail(&part);
-        self.keep(&part);
+        self.update_tail(&part);
+        self.keep_body(&part);
         part
     }
 
     /// An event stream is complete after its end event. Other answers have a length, so the end of the body suffices.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match &self.end_event {
             Some(end) if self.content_type.starts_with("text/event-stream") => {
                 String::from_utf8_lossy(&self.tail).contains(end.as_str())
@@ -131,16 +133,16 @@
         }
     }
 
-    fn rest(&mut self) -> Bytes {
+    fn take_remaining(&mut self) -> Bytes {
         Bytes::new()
     }
 
-    fn resumption(&mut self) -> Option<RequestHead> {
+    fn resume_request(&mut self) -> Option<RequestHead> {
         let id = self.stream_id.as_ref()?;
-        if self.resumed >= RESUME_LIMIT {
+        if self.resumptions >= RESUME_LIMIT {
             return None;
         }
-        self.resumed += 1;
+        self.resumptions += 1;
         let mut head = RequestHead::default();
         head.method = Method::GET;
         // A stream cannot be resumed if its id does not form a valid path.
@@ -154,7 +156,7 @@
         None
     }
 
-    fn is_paced(&self) -> bool {
+    fn reports_timing(&self) -> bool {
         false
     }
 
@@ -167,14 +169,14 @@
 
 /// Relays complete events. An attempt at another target continues an interrupted stream after its last event.
 #[derive(Default)]
-pub struct EventForm {
+pub struct EventFraming {
     events: EventSplitter,
 }
 
-impl AnswerForm for EventForm {
+impl AnswerFraming for EventFraming {
     fn begin(&mut self, _: &ResponseHead) {}
 
-    fn holds_head(&self) -> bool {
+    fn delays_head(&self) -> bool {
         true
     }
 
@@ -182,15 +184,15 @@
         self.events.push(&part)
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         true
     }
 
-    fn rest(&mut self) -> Bytes {
+    fn take_remaining(&mut self) -> Bytes {
         self.events.rest()
     }
 
-    fn resumption(&mut self) -> Option<RequestHead> {
+    fn resume_request(&mut self) -> Option<RequestHead> {
         None
     }
 
@@ -202,7 +204,7 @@
         self.events.last()
     }
 
-    fn is_paced(&self) -> bool {
+    fn reports_timing(&self) -> bool {
         true
     }
 
--- a/crates/daemon/src/request/problem.rs
+++ b/crates/daemon/src/request/problem.rs
@@ -45,7 +45,7 @@
     CallerAnswer {
         status,
         headers: vec![(header::CONTENT_TYPE, content_type)],
-        content: AnswerContent::Whole(Bytes::from(body)),
+        content: AnswerContent::Complete(Bytes::from(body)),
         // On an open connection the unread rest of the body would be read as the next request.
         close: matches!(
             refusal.reason,
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -29,7 +29,7 @@
 use super::admitted::AdmittedRequest;
 use super::answer::{AnswerContent, CallerAnswer};
 use super::body::{BodyOptions, RequestBody};
-use super::form::{AnswerForm, EventForm};
+use super::framing::{AnswerFraming, EventFraming};
 use super::problem::problem_answer;
 use super::protocol::{AttemptLimits, CallerProtocol, HeadVerdict, ProtocolOptions, TargetAttempt};
 use crate::config_freshness::ConfigFreshness;
@@ -44,21 +44,22 @@
 /// The time to connect is the latency objective divided by this.
 const CONNECT_DIVISOR: u32 = 4;
 /// Minimum time to connect: many round trips between data centres.
-const CONNECT_LEAST: Duration = Duration::from_millis(100);
+const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
 /// Number of latency objectives after which an unresponsive target counts as stalled, so that another one is
 /// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each), the mean value is .535 with 2,
 /// .533 with 1 and .529 with 4.
 const STALL_OBJECTIVES: u32 = 2;
 /// Bounds of the time after which a target counts as stalled. A working target pauses for 0.6 to 2 s while it reads a
 /// long prompt (in a fleet of 78 daemons).
-const STALL_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
+const STALL_LIMIT_RANGE: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(5));
 
 /// Bodies are read completely, so that any attempt can send them again. Callers that retry after `retry_after` can
 /// still meet their objective.
 const OPTIONS: ProtocolOptions = ProtocolOptions {
     body: BodyOptions { peek_limit: usize::MAX, empty: BodySize::Sized(0) },
     retry_after: Duration::from_millis(200),
-    unserved_wait: admission::UNSERVED_WAIT,
+    no_config_retry_after: admission::UNSERVED_RETRY_AFTER,
     cuts_at_deadline: true,
 };
 
@@ -69,7 +70,7 @@
     connections: ConnectionPool,
     freshness: Rc<ConfigFreshness>,
     /// Longest timeout that callers of each rule have sent.
-    longest: RefCell<BTreeMap<String, Duration>>,
+    longest_timeouts: RefCell<BTreeMap<String, Duration>>,
 }
 
 impl ProfileProtocol {
@@ -89,23 +90,25 @@
             profile,
             connections: ConnectionPool::new(options),
             freshness,
-            longest: RefCell::default(),
+            longest_timeouts: RefCell::default(),
         }
     }
 
     /// Returns the time after which a target counts as stalled. A target that cannot be replaced has all the
     /// remaining time.
     fn stall_limit(&self, request: &AdmittedRequest) -> Duration {
-        let left = request.time_left();
+        let remaining = request.time_left();
         if !request.rule.repeatable {
-            return left;
+            return remaining;
         }
-        let objective = request.rule.service.objective.unwrap_or(STALL_RANGE.1);
-        (objective * STALL_OBJECTIVES).clamp(STALL_RANGE.0, STALL_RANGE.1).min(left)
+        let objective = request.rule.service.objective.unwrap_or(STALL_LIMIT_RANGE.1);
+        (objective * STALL_OBJECTIVES)
+            .clamp(STALL_LIMIT_RANGE.0, STALL_LIMIT_RANGE.1)
+            .min(remaining)
     }
 
     /// Limits the reuse of the connection to the idle time that the target states in `Keep-Alive`.
-    fn note_idle_limit(&self, answer: &mut TargetAnswer) {
+    fn apply_keep_alive(&self, answer: &mut TargetAnswer) {
         let Some(text) = headers::text(&answer.head.headers, "keep-alive") else { return };
         let seconds = text.split([',', ';']).find_map(|part| {
             let part = part.trim();
@@ -156,9 +159,10 @@
     }
 
     fn limits(&self, request: &AdmittedRequest) -> AttemptLimits {
-        let most = request.pool.limits.connect;
-        let objective = request.rule.service.objective.unwrap_or(most * CONNECT_DIVISOR);
-        let connect = (objective / CONNECT_DIVISOR).clamp(CONNECT_LEAST, most.max(CONNECT_LEAST));
+        let max_connect = request.pool.limits.connect;
+        let objective = request.rule.service.objective.unwrap_or(max_connect * CONNECT_DIVISOR);
+        let connect = (objective / CONNECT_DIVISOR)
+            .clamp(MIN_CONNECT_LIMIT, max_connect.max(MIN_CONNECT_LIMIT));
         let stall = self.stall_limit(request);
         AttemptLimits {
             connect: connect.min(request.time_left()),
@@ -197,8 +201,8 @@
         ExchangeOptions { echo: Some((echo, request.attempt_id.clone())), unframed: true }
     }
 
-    fn judge_head(&self, _: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
-        self.note_idle_limit(answer);
+    fn evaluate_head(&self, _: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
+        self.apply_keep_alive(answer);
         let not_run = answer.head.status.as_u16() == self.profile.misdirected_status
             || answer.head.headers.contains_key(self.profile.not_run);
         match not_run {
@@ -215,12 +219,12 @@
         request.rule.repeatable
     }
 
-    fn holds_answer(&self, request: &AdmittedRequest, status: StatusCode) -> bool {
+    fn buffers_answer(&self, request: &AdmittedRequest, status: StatusCode) -> bool {
         !(status.is_success() && request.rule.service.streams)
     }
 
-    fn answer_form(&self, _: &AdmittedRequest) -> Box<dyn AnswerForm> {
-        Box::<EventForm>::default()
+    fn answer_framing(&self, _: &AdmittedRequest) -> Box<dyn AnswerFraming> {
+        Box::<EventFraming>::default()
     }
 
     fn caller_answer(&self, _: RequestId, head: &ResponseHead) -> CallerAnswer {
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -28,9 +28,9 @@
 
 /// `Retry-After` while the daemon itself cannot serve: about the time within which the next read of the platform may
 /// succeed.
-pub(super) const UNSERVED_WAIT: Duration = Duration::from_millis(300);
+pub(super) const UNSERVED_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Timeout of a request if neither the caller nor the rule states one.
-const DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl ProfileProtocol {
     /// Determines rule, account and pool of a request.
@@ -48,25 +48,32 @@
         let account = self.account(config, rule, head)?;
         let attempt_id = headers::text(head, self.profile.attempt_id);
         let attempt_id = attempt_id.filter(|id| !id.is_empty()).ok_or_else(bad_header)?;
-        let asked = self.asked_time(head).map_err(|_| bad_header())?;
-        let time = asked.into_iter().chain(rule.service.timeout).min().unwrap_or(DEADLINE);
+        let caller_timeout = self.caller_timeout(head).map_err(|_| bad_header())?;
+        let timeout =
+            caller_timeout.into_iter().chain(rule.service.timeout).min().unwrap_or(DEFAULT_TIMEOUT);
         let pool = config.pools.get(rule.pool_for(rand::random()));
         let pool = pool.ok_or_else(|| self.denied(RefusalReason::NoRule))?;
         // The tier exists: the configuration was checked for the tier of each rule.
         let tier_rank = config.tiers.get(&rule.tier).map(|tier| tier.rank).unwrap_or_default();
         let account_rank = account.and_then(|account| account.rank);
         let tokens = work::token_counts(head, self.profile.tokens);
-        let longest = self.note_time(rule, asked);
+        let longest_timeout = self.record_timeout(rule, caller_timeout);
         Ok(AdmittedRequest {
             id,
             attempt_id: attempt_id.to_string(),
             arrived,
-            deadline: arrived + time,
+            deadline: arrived + timeout,
             account: account.map(|account| account.id.clone()),
             tier: rule.tier.clone(),
             rank: account_rank.unwrap_or(tier_rank),
             pool: pool.clone(),
-            objectives: objectives::objectives(rule, asked, longest, time, tier_rank),
+            objectives: objectives::objectives(
+                rule,
+                caller_timeout,
+                longest_timeout,
+                timeout,
+                tier_rank,
+            ),
             attempt_limit: Some(rule.service.attempt_limit),
             cost: account.map_or(0, |account| work::cost(account, tokens)),
             work: work::estimate(&self.profile, pool, head, tokens),
@@ -90,7 +97,7 @@
         let account = token.and_then(|token| config.account_of(&hash_token(token)));
         let account = account.ok_or_else(|| self.denied(RefusalReason::Unauthorized))?;
         if !self.is_config_fresh() {
-            return Err(unserved(RefusalReason::ConfigurationStale));
+            return Err(retryable_refusal(RefusalReason::ConfigurationStale));
         }
         Ok(Some(account))
     }
@@ -106,35 +113,38 @@
         if self.freshness.is_within(self.context.bounds().config_apply_limit) {
             return Refusal::not_run(reason, None);
         }
-        unserved(RefusalReason::ConfigurationStale)
+        retryable_refusal(RefusalReason::ConfigurationStale)
     }
 
     /// Reads the caller's timeout in milliseconds, `None` if it sends none.
-    fn asked_time(&self, head: &HeaderMap) -> Result<Option<Duration>, ParseFloatError> {
+    fn caller_timeout(&self, head: &HeaderMap) -> Result<Option<Duration>, ParseFloatError> {
         let Some(text) = headers::text(head, self.profile.time_left) else { return Ok(None) };
         let millis: f64 = text.trim().parse()?;
-        let asked = Duration::try_from_secs_f64(millis / 1_000.0).unwrap_or_else(|error| {
-            // A negative or infinite timeout counts as zero, so that the request is refused because its deadline
-            // has passed.
-            debug!("time_out_of_range", kv: { time = text, error = error.to_string() });
-            Duration::ZERO
-        });
-        Ok(Some(asked))
+        let caller_timeout =
+            Duration::try_from_secs_f64(millis / 1_000.0).unwrap_or_else(|error| {
+                // A negative or infinite timeout counts as zero, so that the request is refused because its deadline
+                // has passed.
+                debug!("time_out_of_range", kv: { time = text, error = error.to_string() });
+                Duration::ZERO
+            });
+        Ok(Some(caller_timeout))
     }
 
     /// Records the timeout that a caller sends and returns the longest that was sent for its rule.
-    fn note_time(&self, rule: &AdmissionRule, asked: Option<Duration>) -> Duration {
-        let (Some(asked), Some(_)) = (asked, rule.service.objective) else { return Duration::ZERO };
-        let mut longest = self.longest.borrow_mut();
-        let longest = longest.entry(rule.id.clone()).or_default();
-        *longest = (*longest).max(asked);
-        *longest
+    fn record_timeout(&self, rule: &AdmissionRule, caller_timeout: Option<Duration>) -> Duration {
+        let (Some(caller_timeout), Some(_)) = (caller_timeout, rule.service.objective) else {
+            return Duration::ZERO;
+        };
+        let mut longest_timeout = self.longest_timeouts.borrow_mut();
+        let longest_timeout = longest_timeout.entry(rule.id.clone()).or_default();
+        *longest_timeout = (*longest_timeout).max(caller_timeout);
+        *longest_timeout
     }
 }
 
 /// Builds a refusal after which the caller may retry.
-fn unserved(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, Some(UNSERVED_WAIT))
+fn retryable_refusal(reason: RefusalReason) -> Refusal {
+    Refusal::not_run(reason, Some(UNSERVED_RETRY_AFTER))
 }
 
 fn bad_header() -> Refusal {
--- a/crates/daemon/src/request/profile/forwarding.rs
+++ b/crates/daemon/src/request/profile/forwarding.rs
@@ -23,12 +23,12 @@
 
 /// Returns the headers of a caller's request that are forwarded to its target.
 pub fn forwarded_headers(profile: &WireProfile, caller: &HeaderMap) -> HeaderMap {
-    let own = [profile.time_left, profile.account, profile.instance];
+    let set_by_daemon = [profile.time_left, profile.account, profile.instance];
     let mut forwarded = HeaderMap::new();
     for (name, value) in caller {
         let passes = headers::passes_on(name)
             && !headers::ends_here(name)
-            && !own.contains(&name.as_str())
+            && !set_by_daemon.contains(&name.as_str())
             && !is_reserved(profile, name);
         if passes {
             forwarded.append(name.clone(), value.clone());
--- a/crates/daemon/src/request/profile/notice.rs
+++ b/crates/daemon/src/request/profile/notice.rs
@@ -16,7 +16,7 @@
 /// Longest rest. A target that requests a longer one gets requests again after this time.
 const REST_LIMIT: Duration = Duration::from_secs(300);
 /// Header value of a target that is leaving.
-const LEAVES: &str = "1";
+const LEAVING_VALUE: &str = "1";
 
 /// Reads the notice of the intended target; `None` if another target has answered.
 pub fn read_notice(profile: &WireProfile, head: &ResponseHead) -> Option<TargetNotice> {
@@ -29,23 +29,23 @@
         None if limits_read => LimitNotice::Absent,
         None => LimitNotice::Unreadable,
     };
-    let (rests, rests_read) = match turns_away(head.status) {
+    let (rests, rests_read) = match refuses_requests(head.status) {
         true => read_values(&head.headers, header::RETRY_AFTER.as_str(), seconds),
         false => (Vec::new(), true),
     };
     let rest = rests.into_iter().max();
-    let leaving = texts(&head.headers, profile.leaving).any(|text| text == LEAVES);
+    let leaving = header_texts(&head.headers, profile.leaving).any(|text| text == LEAVING_VALUE);
     Some(TargetNotice { leaving, rest, limit, unreadable: !(limits_read && rests_read) })
 }
 
 /// Returns whether a status means that the target accepts no requests now. 429 is not one: it concerns the single
 /// request or its account.
-fn turns_away(status: StatusCode) -> bool {
+fn refuses_requests(status: StatusCode) -> bool {
     status == StatusCode::SERVICE_UNAVAILABLE
 }
 
 /// Returns the values of a header as text; a value that is not text becomes empty.
-fn texts<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a str> {
+fn header_texts<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a str> {
     // An empty text is not a number, so it counts as unreadable.
     headers.get_all(name).map(|value| value.to_str().unwrap_or_default().trim())
 }
@@ -58,7 +58,7 @@
 ) -> (Vec<T>, bool) {
     let mut values = Vec::new();
     let mut all_read = true;
-    for text in texts(headers, name) {
+    for text in header_texts(headers, name) {
         match text.parse().ok().and_then(&read) {
             Some(value) => values.push(value),
             None => all_read = false,
--- a/crates/daemon/src/request/profile/objectives.rs
+++ b/crates/daemon/src/request/profile/objectives.rs
@@ -5,7 +5,7 @@
 //!
 //! A request may wait for the length of its objective, but for no more than [`WAIT_PERCENT`] of the time until its
 //! deadline. A new request is refused at once if its forecast wait exceeds [`FORECAST_PERCENT`] of the objective, so
-//! that its caller can retry in time. A request with a shorter timeout than others ([`RETRY_TIME_PERCENT`]) is a
+//! that its caller can retry in time. A request with a shorter timeout than others ([`RETRY_TIMEOUT_PERCENT`]) is a
 //! retry; it is refused only if the forecast exceeds its longest wait. The objective of a retry counts from the
 //! caller's first attempt: the difference of the timeouts is the time that has passed since. Under a rule without an
 //! objective, requests may wait until their deadline.
@@ -23,14 +23,14 @@
 const FORECAST_PERCENT: u32 = 60;
 /// A request whose timeout is below this percentage of the longest one is a retry after a refusal: callers that retry
 /// have spent at least the `Retry-After` of the refusal.
-const RETRY_TIME_PERCENT: u32 = 95;
+const RETRY_TIMEOUT_PERCENT: u32 = 95;
 
 /// Returns the objectives and limits of a request.
 pub fn objectives(
     rule: &AdmissionRule,
-    asked: Option<Duration>,
-    longest: Duration,
-    time: Duration,
+    caller_timeout: Option<Duration>,
+    longest_timeout: Duration,
+    timeout: Duration,
     urgency: TierRank,
 ) -> LatencyObjectives {
     let objectives = LatencyObjectives {
@@ -39,11 +39,11 @@
         pause_limit: rule.service.pause_limit.unwrap_or(Duration::MAX),
         ..LatencyObjectives::default()
     };
-    let (Some(objective), Some(asked)) = (rule.service.objective, asked) else {
-        return LatencyObjectives { wait_limit: time, ..objectives };
+    let (Some(objective), Some(caller_timeout)) = (rule.service.objective, caller_timeout) else {
+        return LatencyObjectives { wait_limit: timeout, ..objectives };
     };
-    let wait_limit = objective.min(time / 100 * WAIT_PERCENT);
-    let is_retry = asked * 100 < longest * RETRY_TIME_PERCENT;
+    let wait_limit = objective.min(timeout / 100 * WAIT_PERCENT);
+    let is_retry = caller_timeout * 100 < longest_timeout * RETRY_TIMEOUT_PERCENT;
     let forecast_limit = match is_retry {
         true => wait_limit,
         false => (objective * FORECAST_PERCENT / 100).min(wait_limit),
@@ -52,7 +52,7 @@
         wait_limit,
         forecast_limit,
         first_part_by: match is_retry {
-            true => objective.saturating_sub(longest - asked),
+            true => objective.saturating_sub(longest_timeout - caller_timeout),
             false => objective,
         },
         is_retry,
--- a/crates/daemon/src/request/profile/tests/mod.rs
+++ b/crates/daemon/src/request/profile/tests/mod.rs
@@ -73,7 +73,7 @@
 #[case::retry_that_is_late_already(9_100, 800, 800, 0, true)]
 #[case::retry_with_little_time(1_000, 400, 400, 0, true)]
 #[case::retry_with_less_than_the_objective(200, 80, 80, 0, true)]
-fn wait(
+fn objectives_limit_the_wait_and_detect_retries(
     #[case] time: u64,
     #[case] wait_limit: u64,
     #[case] forecast_limit: u64,
@@ -91,8 +91,11 @@
 #[rstest]
 #[case::no_objective(None, Some(ms(800)))]
 #[case::no_time(Some(ms(500)), None)]
-fn wait_until_the_deadline(#[case] objective: Option<Duration>, #[case] asked: Option<Duration>) {
-    let objectives = objectives(&rule(objective), asked, ms(800), ms(800), 0);
+fn requests_without_objective_or_timeout_wait_until_the_deadline(
+    #[case] objective: Option<Duration>,
+    #[case] caller_timeout: Option<Duration>,
+) {
+    let objectives = objectives(&rule(objective), caller_timeout, ms(800), ms(800), 0);
     assert_eq!((objectives.wait_limit, objectives.forecast_limit), (ms(800), Duration::MAX));
     assert!(!objectives.is_retry);
 }
@@ -103,7 +106,10 @@
 #[case::one("120", None)]
 #[case::not_a_number("120,many", None)]
 #[case::negative("-1,40", None)]
-fn tokens(#[case] text: &'static str, #[case] counts: Option<(u64, u64)>) {
+fn token_counts_are_read_only_if_both_are_numbers(
+    #[case] text: &'static str,
+    #[case] counts: Option<(u64, u64)>,
+) {
     let counts = counts.map(|(prompt, output)| TokenCounts { prompt, output });
     assert_eq!(token_counts(&head(&[("tokens", text)]), PROFILE.tokens), counts);
 }
@@ -114,7 +120,11 @@
 #[case::rate_in_requests(Some(RateUnit::Request), true, 1)]
 #[case::rate_in_tokens(Some(RateUnit::Tokens(200)), true, 160)]
 #[case::plain_cost_without_counts(Some(RateUnit::Tokens(200)), false, 200)]
-fn units(#[case] unit: Option<RateUnit>, #[case] counted: bool, #[case] expected: u64) {
+fn cost_is_counted_in_the_unit_of_the_rate(
+    #[case] unit: Option<RateUnit>,
+    #[case] counted: bool,
+    #[case] expected: u64,
+) {
     let account = ClientAccount {
         id: "a".to_string(),
         tokens: Vec::new(),
@@ -136,7 +146,7 @@
 #[case::half_of_the_prompt_shared(PoolKind::Engine, &[("parts", "s:60,u:60")], (240, 405), true)]
 #[case::less_than_half_shared(PoolKind::Engine, &[("parts", "s:59,u:61")], (240, 405), false)]
 #[case::service(PoolKind::Service, &[("hint", "7")], (0, 5), false)]
-fn work(
+fn work_follows_token_counts_hint_and_shared_parts(
     #[case] kind: PoolKind,
     #[case] headers: &[(&'static str, &'static str)],
     #[case] expected: (u64, u64),
@@ -168,7 +178,11 @@
 #[case(Verdict::MayHaveRun, RefusalReason::DeadlinePassed, 504)]
 #[case(Verdict::MayHaveRun, RefusalReason::FirstByteTimeout, 504)]
 #[case(Verdict::MayHaveRun, RefusalReason::TargetClosed, 502)]
-fn status(#[case] verdict: Verdict, #[case] reason: RefusalReason, #[case] expected: u16) {
+fn only_requests_that_may_have_run_get_502_or_504(
+    #[case] verdict: Verdict,
+    #[case] reason: RefusalReason,
+    #[case] expected: u16,
+) {
     let refusal = Refusal { reason, verdict, retry_after: Some(OPTIONS.retry_after) };
     assert_eq!(status_of(&refusal), StatusCode::from_u16(expected).expect("a status"));
 }
--- a/crates/daemon/src/request/profile/tests/notices.rs
+++ b/crates/daemon/src/request/profile/tests/notices.rs
@@ -41,7 +41,7 @@
 #[case::infinite(&["inf"], LimitNotice::Unreadable)]
 #[case::not_a_number(&["NaN"], LimitNotice::Unreadable)]
 #[case::list(&["1,2"], LimitNotice::Unreadable)]
-fn limits(#[case] texts: &[&str], #[case] limit: LimitNotice) {
+fn lowest_readable_limit_applies(#[case] texts: &[&str], #[case] limit: LimitNotice) {
     let headers: Vec<_> = texts.iter().map(|text| ("limit", *text)).collect();
     assert_eq!(read(200, &headers).limit, limit);
 }
@@ -60,7 +60,11 @@
 #[case::below_zero(503, &["-3"], None)]
 #[case::infinite(503, &["inf"], None)]
 #[case::empty(503, &[""], None)]
-fn rests(#[case] status: u16, #[case] texts: &[&str], #[case] millis: Option<u64>) {
+fn longest_readable_rest_of_a_503_applies(
+    #[case] status: u16,
+    #[case] texts: &[&str],
+    #[case] millis: Option<u64>,
+) {
     let headers: Vec<_> = texts.iter().map(|text| ("retry-after", *text)).collect();
     assert_eq!(read(status, &headers).rest, millis.map(Duration::from_millis));
 }
@@ -71,22 +75,22 @@
 #[case::denies(&["0"], false)]
 #[case::other(&["yes"], false)]
 #[case::nothing(&[], false)]
-fn leaving(#[case] texts: &[&str], #[case] leaves: bool) {
+fn only_the_leaving_value_means_leaving(#[case] texts: &[&str], #[case] leaves: bool) {
     let headers: Vec<_> = texts.iter().map(|text| ("leaving", *text)).collect();
     assert_eq!(read(503, &headers).leaving, leaves);
 }
 
 /// The headers of another target at the same address must not be applied to the intended one.
 #[test]
-fn answer_of_another_target_says_nothing() {
-    let said = [("leaving", "1"), ("limit", "0"), ("retry-after", "9")];
-    assert_eq!(read_notice(&PROFILE, &head(421, &said)), None);
+fn answer_of_another_target_has_no_notice() {
+    let headers = [("leaving", "1"), ("limit", "0"), ("retry-after", "9")];
+    assert_eq!(read_notice(&PROFILE, &head(421, &headers)), None);
 }
 
 /// No header value may give a rest above the longest or a rate above the maximum, and only the exact leaving value may
 /// count as leaving: otherwise a malformed header could exclude a target permanently.
 #[test]
-fn no_value_shuts_a_target_out_for_good() {
+fn no_header_value_excludes_a_target_permanently() {
     let mut random = StdRng::seed_from_u64(4_801);
     let letters = b"0123456789.eE+-, naifINFx:;GMT";
     for _ in 0..20_000 {
--- a/crates/daemon/src/request/progress.rs
+++ b/crates/daemon/src/request/progress.rs
@@ -8,7 +8,7 @@
 use curlewcleat_core::{AnswerSight, AttemptEnd, StreamTiming, TargetId};
 
 /// Number of parts after which the mean time between two parts is reported.
-const PACED_PARTS: u32 = 8;
+const MEAN_INTERVAL_PARTS: u32 = 8;
 
 /// Progress of a request over all its attempts.
 #[derive(Default)]
@@ -43,7 +43,7 @@
 
 impl RequestProgress {
     /// Records that an attempt is sent.
-    pub fn note_sent(&mut self, target: &TargetId) {
+    pub fn record_sent(&mut self, target: &TargetId) {
         self.attempts += 1;
         self.target = Some(target.clone());
         self.sent = Some(Moment::now());
@@ -51,7 +51,7 @@
     }
 
     /// Records that a part of the answer is relayed.
-    pub fn note_part(&mut self, bytes: usize) {
+    pub fn record_part(&mut self, bytes: usize) {
         let now = Moment::now();
         if let Some(latest) = self.latest {
             let pause = now.saturating_duration_since(latest);
@@ -69,26 +69,27 @@
     }
 
     /// Records that the target answered with a server error.
-    pub fn note_failed(&mut self) {
+    pub fn record_server_error(&mut self) {
         self.attempt.failed = true;
     }
 
     /// Returns the observation that the newest part allows: the time to the first part, or the mean interval once
-    /// [`PACED_PARTS`] have arrived.
-    pub fn part_sight(&self) -> Option<AnswerSight> {
+    /// [`MEAN_INTERVAL_PARTS`] have arrived.
+    pub fn part_observation(&self) -> Option<AnswerSight> {
         let (first, latest) = self.attempt.first.zip(self.latest)?;
         match self.attempt.parts {
             1 => Some(AnswerSight::Begun(first.saturating_duration_since(self.sent?))),
-            PACED_PARTS => {
-                let pauses = latest.saturating_duration_since(first) / (PACED_PARTS - 1);
-                Some(AnswerSight::Paced(pauses))
+            MEAN_INTERVAL_PARTS => {
+                let mean_interval =
+                    latest.saturating_duration_since(first) / (MEAN_INTERVAL_PARTS - 1);
+                Some(AnswerSight::Paced(mean_interval))
             }
             _ => None,
         }
     }
 
     /// Returns the observations of the latest attempt once its answer is complete.
-    pub fn end_sights(&self) -> Vec<AnswerSight> {
+    pub fn end_observations(&self) -> Vec<AnswerSight> {
         if self.attempt.failed {
             return vec![AnswerSight::Failed];
         }
@@ -103,7 +104,7 @@
     }
 
     /// Returns the time since the latest attempt was sent or received a part.
-    pub fn unheard_for(&self) -> Duration {
+    pub fn idle_time(&self) -> Duration {
         let part = self.latest.filter(|_| self.attempt.parts > 0);
         part.or(self.sent).map_or(Duration::ZERO, |heard| heard.elapsed())
     }
--- a/crates/daemon/src/request/protocol.rs
+++ b/crates/daemon/src/request/protocol.rs
@@ -16,7 +16,7 @@
 use super::admitted::AdmittedRequest;
 use super::answer::CallerAnswer;
 use super::body::{BodyOptions, RequestBody};
-use super::form::AnswerForm;
+use super::framing::AnswerFraming;
 use super::CallerRequest;
 
 /// Fixed properties of a protocol.
@@ -27,7 +27,7 @@
     /// `Retry-After` where this daemon or a target failed a request.
     pub retry_after: Duration,
     /// `Retry-After` while there is no configuration.
-    pub unserved_wait: Duration,
+    pub no_config_retry_after: Duration,
     /// Whether an answer that is still in progress at the deadline is cut.
     pub cuts_at_deadline: bool,
 }
@@ -51,7 +51,7 @@
     /// The target did not run the request.
     NotRun,
     /// The answer belongs to another request.
-    Foreign,
+    OtherRequest,
 }
 
 /// What a protocol needs to write the head of a request to a target.
@@ -103,7 +103,7 @@
     fn exchange_options(&self, request: &AdmittedRequest) -> ExchangeOptions;
 
     /// Evaluates the head of an answer, and may record how long the target keeps an idle connection.
-    fn judge_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict;
+    fn evaluate_head(&self, request: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict;
 
     /// Reads the target's notice from the head of an answer; `None` where it is not a notice of the intended target.
     fn target_notice(&self, head: &ResponseHead) -> Option<TargetNotice>;
@@ -112,10 +112,10 @@
     fn may_repeat(&self, request: &AdmittedRequest) -> bool;
 
     /// Returns whether an answer is buffered until it is complete, so that a failed one can be replaced.
-    fn holds_answer(&self, request: &AdmittedRequest, status: StatusCode) -> bool;
+    fn buffers_answer(&self, request: &AdmittedRequest, status: StatusCode) -> bool;
 
-    /// Creates the form in which the parts of a request's answer are relayed.
-    fn answer_form(&self, request: &AdmittedRequest) -> Box<dyn AnswerForm>;
+    /// Creates the framing by which the parts of a request's answer are relayed.
+    fn answer_framing(&self, request: &AdmittedRequest) -> Box<dyn AnswerFraming>;
 
     /// Builds the head of the answer to the caller; its parts follow.
     fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer;
--- a/crates/daemon/src/request/pass_on.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -1,7 +1,8 @@
 //! Relays the answer of a target to the caller.
 //!
 //! Owns: the choice between relaying parts as they arrive and buffering an answer until it is complete, and the
-//! handling of interrupted answers. Relies on: [`AnswerForm`](super::form::AnswerForm) for the position in the answer.
+//! handling of interrupted answers. Relies on: [`AnswerFraming`](super::framing::AnswerFraming) for the position in the
+//! answer.
 
 use std::time::Duration;
 
@@ -13,11 +14,11 @@
 use spdlog::prelude::*;
 
 use super::cause::AttemptCause;
-use super::run::{AttemptVerdict, RequestRun};
+use super::run::{AttemptOutcome, RequestRun};
 use super::target_wait::{GrantedTarget, WaitEnd};
 
 /// Longest answer in bytes that is buffered until it is complete: the platform's values have a megabyte at most.
-const WHOLE_LIMIT: usize = 1 << 20;
+const BUFFERED_ANSWER_LIMIT: usize = 1 << 20;
 /// Time to connect when a stream is resumed.
 const RESUME_CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
@@ -30,77 +31,77 @@
     /// The target stalled and is replaced by this one.
     Replaced(Box<GrantedTarget>),
     /// The answer was interrupted before its end.
-    Broken(AttemptCause),
+    Interrupted(AttemptCause),
 }
 
 impl RequestRun {
     /// Relays an answer to the caller; `sent` is when its request was sent.
-    pub(super) async fn pass_on(
+    pub(super) async fn relay_answer(
         &mut self,
         answer: TargetAnswer,
         target: &TargetEntry,
         sent: Moment,
-    ) -> AttemptVerdict {
+    ) -> AttemptOutcome {
         if answer.head.status.is_server_error() {
-            self.progress.note_failed();
+            self.progress.record_server_error();
         }
-        match self.protocol().holds_answer(&self.request, answer.head.status) {
-            true => self.pass_whole(answer, target, sent).await,
-            false => self.pass_parts(answer, target, sent).await,
+        match self.protocol().buffers_answer(&self.request, answer.head.status) {
+            true => self.relay_complete(answer, target, sent).await,
+            false => self.relay_parts(answer, target, sent).await,
         }
     }
 
     /// Relays an answer once it is complete. A server error is kept as a fallback if the request may be
     /// sent to another target.
-    async fn pass_whole(
+    async fn relay_complete(
         &mut self,
         answer: TargetAnswer,
         target: &TargetEntry,
         sent: Moment,
-    ) -> AttemptVerdict {
+    ) -> AttemptOutcome {
         let TargetAnswer { head, body } = answer;
-        let bytes = match collect(body, WHOLE_LIMIT).await {
+        let bytes = match collect(body, BUFFERED_ANSWER_LIMIT).await {
             Ok(bytes) => bytes,
             Err(error) => {
                 debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
-                return self.broken(RefusalReason::TargetClosed, AttemptCause::Closed);
+                return self.interrupted(RefusalReason::TargetClosed, AttemptCause::Closed);
             }
         };
         if self.answer.has_begun() {
             // The caller has the beginning of another target's answer, which this one cannot continue.
-            return self.broken(RefusalReason::TargetProtocol, AttemptCause::Unreadable);
+            return self.interrupted(RefusalReason::TargetProtocol, AttemptCause::Unreadable);
         }
-        let whole = self.protocol().caller_answer(self.request.id, &head).with_body(bytes);
+        let caller_answer = self.protocol().caller_answer(self.request.id, &head).with_body(bytes);
         if head.status.is_server_error() && self.protocol().may_repeat(&self.request) {
-            self.fallback = Some(whole);
-            return AttemptVerdict::Again(RetryReason::TargetFailed, AttemptCause::Failed);
+            self.fallback = Some(caller_answer);
+            return AttemptOutcome::Retry(RetryReason::TargetFailed, AttemptCause::Failed);
         }
-        self.note_began();
-        self.answer.begin(whole);
+        self.record_answer_begin();
+        self.answer.send_head(caller_answer);
         self.verdict = Verdict::Ran;
-        AttemptVerdict::Served(AttemptEnd::Whole(sent.elapsed()))
+        AttemptOutcome::Served(AttemptEnd::Whole(sent.elapsed()))
     }
 
     /// Relays parts as they arrive.
-    async fn pass_parts(
+    async fn relay_parts(
         &mut self,
         answer: TargetAnswer,
         target: &TargetEntry,
         sent: Moment,
-    ) -> AttemptVerdict {
+    ) -> AttemptOutcome {
         let TargetAnswer { head, mut body } = answer;
         self.begin_parts(&head);
         let mut limit = self.part_limit();
         loop {
             let part = match self.next_part(&mut body, target, limit).await {
-                NextPart::Part(part) => self.form.push(part),
+                NextPart::Part(part) => self.framing.push(part),
                 NextPart::End => break,
                 NextPart::Replaced(other) => {
-                    return AttemptVerdict::Replaced(other, AttemptCause::PartTimeout)
+                    return AttemptOutcome::Replaced(other, AttemptCause::PartTimeout)
                 }
-                NextPart::Broken(cause) => {
+                NextPart::Interrupted(cause) => {
                     let Some(rest) = self.resume(target, limit).await else {
-                        return self.broken(RefusalReason::TargetClosed, cause);
+                        return self.interrupted(RefusalReason::TargetClosed, cause);
                     };
                     body = rest;
                     continue;
@@ -113,10 +114,10 @@
                 self.begin_answer(&head);
                 limit = self.part_limit();
             }
-            if !self.pass(part).await {
-                return AttemptVerdict::Stalled;
+            if !self.relay_part(part).await {
+                return AttemptOutcome::CallerStalled;
             }
-            self.note_answer(target, self.progress.part_sight());
+            self.report_observations(target, self.progress.part_observation());
         }
         // Sends the head of an answer that has no parts.
         self.begin_answer(&head);
@@ -124,8 +125,8 @@
     }
 
     fn begin_parts(&mut self, head: &actix_http::ResponseHead) {
-        self.form.begin(head);
-        if !self.form.holds_head() {
+        self.framing.begin(head);
+        if !self.framing.delays_head() {
             self.begin_answer(head);
         }
     }
@@ -138,28 +139,28 @@
     ) -> NextPart {
         let wait = self.target_wait(target);
         match wait.wait(limit, body.next()).await {
-            WaitEnd::Came(Some(Ok(part))) => {
-                self.note_heard();
+            WaitEnd::Arrived(Some(Ok(part))) => {
+                self.report_target_activity();
                 NextPart::Part(part)
             }
-            WaitEnd::Came(None) if self.form.is_whole() => NextPart::End,
-            WaitEnd::Came(_) => NextPart::Broken(AttemptCause::Closed),
+            WaitEnd::Arrived(None) if self.framing.is_complete() => NextPart::End,
+            WaitEnd::Arrived(_) => NextPart::Interrupted(AttemptCause::Closed),
             WaitEnd::Replaced(other) => NextPart::Replaced(other),
-            WaitEnd::TimedOut => NextPart::Broken(AttemptCause::PartTimeout),
+            WaitEnd::TimedOut => NextPart::Interrupted(AttemptCause::PartTimeout),
         }
     }
 
-    /// Relays what the form has buffered, and finishes the answer.
-    async fn finish_parts(&mut self, sent: Moment) -> AttemptVerdict {
-        let rest = self.form.rest();
-        if !rest.is_empty() && !self.pass(rest).await {
-            return AttemptVerdict::Stalled;
+    /// Relays what the framing has buffered, and finishes the answer.
+    async fn finish_parts(&mut self, sent: Moment) -> AttemptOutcome {
+        let remaining = self.framing.take_remaining();
+        if !remaining.is_empty() && !self.relay_part(remaining).await {
+            return AttemptOutcome::CallerStalled;
         }
         self.answer.finish();
         self.verdict = Verdict::Ran;
-        match self.form.is_paced() {
-            true => AttemptVerdict::Served(self.progress.stream_end(sent)),
-            false => AttemptVerdict::Served(AttemptEnd::Whole(sent.elapsed())),
+        match self.framing.reports_timing() {
+            true => AttemptOutcome::Served(self.progress.stream_end(sent)),
+            false => AttemptOutcome::Served(AttemptEnd::Whole(sent.elapsed())),
         }
     }
 
@@ -167,22 +168,22 @@
         if self.answer.has_begun() {
             return;
         }
-        self.note_began();
+        self.record_answer_begin();
         let answer = self.protocol().caller_answer(self.request.id, head);
-        self.answer.begin(answer);
+        self.answer.send_head(answer);
     }
 
     /// Relays a part; returns `false` if the caller has not read for `stall_limit`.
-    async fn pass(&mut self, part: Bytes) -> bool {
-        self.progress.note_part(part.len());
+    async fn relay_part(&mut self, part: Bytes) -> bool {
+        self.progress.record_part(part.len());
         let limit = self.service.context.settings.stall_limit;
-        tokio::time::timeout(limit, self.answer.send(part)).await.is_ok()
+        tokio::time::timeout(limit, self.answer.send_part(part)).await.is_ok()
     }
 
     /// Requests the rest of an interrupted answer from the same target, which does not run the request again.
     async fn resume(&mut self, target: &TargetEntry, limit: Duration) -> Option<AnswerBody> {
         let connections = self.protocol().connections(&self.request.pool);
-        while let Some(head) = self.form.resumption() {
+        while let Some(head) = self.framing.resume_request() {
             self.service.context.metrics.retry(RetryReason::StreamResumed);
             let exchange = async {
                 let connection = connections.connect_to(target, RESUME_CONNECT_LIMIT).await;
@@ -190,7 +191,7 @@
             };
             match tokio::time::timeout(limit, exchange).await {
                 Ok(Ok(answer)) if answer.head.status.is_success() => return Some(answer.body),
-                // Each failure counts as one resumption, and the form limits their number.
+                // Each failure counts as one resumption, and the framing limits their number.
                 _ => {}
             }
         }
@@ -201,9 +202,9 @@
         self.protocol().limits(&self.request).between_parts
     }
 
-    fn note_began(&self) {
-        let began = self.request.arrived.elapsed().as_secs_f64();
+    fn record_answer_begin(&self) {
+        let elapsed_s = self.request.arrived.elapsed().as_secs_f64();
         let metrics = &self.service.context.metrics;
-        metrics.began(began, &self.request.tier, &self.request.pool.id);
+        metrics.began(elapsed_s, &self.request.tier, &self.request.pool.id);
     }
 }
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -23,7 +23,7 @@
 use super::admitted::AdmittedRequest;
 use super::answer::{AnswerChannel, AnswerContent, CallerAnswer};
 use super::cause::AttemptCause;
-use super::form::AnswerForm;
+use super::framing::AnswerFraming;
 use super::problem::REQUEST_ID;
 use super::progress::RequestProgress;
 use super::protocol::CallerProtocol;
@@ -31,17 +31,17 @@
 use super::{CallerRequest, RequestService};
 use crate::pending::PendingRequest;
 
-pub use self::log::note_refusal;
+pub use self::log::record_refusal;
 
 /// Header that marks an answer replayed from an earlier attempt with the same idempotency key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
 
 /// Result of an attempt, which decides how the request goes on.
-pub enum AttemptVerdict {
+pub enum AttemptOutcome {
     /// The caller has the complete answer.
     Served(AttemptEnd),
     /// The request is sent to another target if the node grants one.
-    Again(RetryReason, AttemptCause),
+    Retry(RetryReason, AttemptCause),
     /// The target stalled in the phase that the cause names; the request moves to this other target.
     Replaced(Box<GrantedTarget>, AttemptCause),
     /// The request was not sent and is refused.
@@ -49,7 +49,7 @@
     /// The request was sent, failed, and is refused.
     Failed(AttemptEnd, RefusalReason, AttemptCause),
     /// The caller stopped reading its answer.
-    Stalled,
+    CallerStalled,
 }
 
 /// The node's decision about a request that waits for a permit.
@@ -70,7 +70,7 @@
     /// `None` once the node knows that the request has ended.
     pending: Option<PendingRequest>,
     pub(super) answer: AnswerChannel,
-    pub(super) form: Box<dyn AnswerForm>,
+    pub(super) framing: Box<dyn AnswerFraming>,
     /// Whether any attempt so far ran or may have run.
     pub(super) verdict: Verdict,
     /// A target's server error, which the caller gets if no later attempt succeeds.
@@ -87,14 +87,14 @@
         pending: PendingRequest,
         answer: AnswerChannel,
     ) -> RequestRun {
-        let form = service.protocol.answer_form(&request);
+        let framing = service.protocol.answer_framing(&request);
         RequestRun {
             service,
             request,
             caller,
             pending: Some(pending),
             answer,
-            form,
+            framing,
             verdict: Verdict::NotRun,
             fallback: None,
             progress: RequestProgress::default(),
@@ -104,20 +104,20 @@
     /// Runs until the caller has the complete answer or a final refusal.
     pub async fn run(mut self) {
         if !self.protocol().options().cuts_at_deadline {
-            return self.follow().await;
+            return self.run_attempts().await;
         }
         let context = self.service.context.clone();
         let deadline = context.until(self.request.deadline);
-        let passed = tokio::select! {
+        let deadline_passed = tokio::select! {
             // If a limit of the attempt expires together with the deadline, the limit has priority: it names the
             // reason of the refusal.
             biased;
-            () = self.follow() => false,
+            () = self.run_attempts() => false,
             () = deadline => true,
         };
-        if passed {
-            let end = self.end_at_deadline();
-            self.end(end);
+        if deadline_passed {
+            let end = self.attempt_end_at_deadline();
+            self.report_end(end);
             self.refuse(RefusalReason::DeadlinePassed);
         }
     }
@@ -126,7 +126,7 @@
         self.service.protocol.as_ref()
     }
 
-    async fn follow(&mut self) {
+    async fn run_attempts(&mut self) {
         let mut granted = None;
         loop {
             let next = match granted.take() {
@@ -136,29 +136,29 @@
             let Some(next) = next else { return };
             let GrantedTarget { entry: target, connection } = *next;
             match self.attempt(&target, connection).await {
-                AttemptVerdict::Served(end) => {
-                    self.note_answer(&target, self.progress.end_sights());
+                AttemptOutcome::Served(end) => {
+                    self.report_observations(&target, self.progress.end_observations());
                     self.log_served(&target);
-                    return self.end(end);
+                    return self.report_end(end);
                 }
-                AttemptVerdict::Again(reason, cause) => self.again(&target, reason, cause),
-                AttemptVerdict::Replaced(other, cause) => {
-                    self.log_attempt(&target.id, RetryReason::StreamResumed.code(), cause);
-                    self.note_break(&target, cause);
-                    self.form.restart();
+                AttemptOutcome::Retry(reason, cause) => self.retry(&target, reason, cause),
+                AttemptOutcome::Replaced(other, cause) => {
+                    self.log_failed_attempt(&target.id, RetryReason::StreamResumed.code(), cause);
+                    self.report_interruption(&target, cause);
+                    self.framing.restart();
                     granted = Some(other);
                 }
-                AttemptVerdict::NotSent(reason) => {
-                    self.end(AttemptEnd::Unused);
+                AttemptOutcome::NotSent(reason) => {
+                    self.report_end(AttemptEnd::Unused);
                     return self.refuse(reason);
                 }
-                AttemptVerdict::Failed(end, reason, cause) => {
-                    self.log_attempt(&target.id, reason.code(), cause);
-                    self.note_break(&target, cause);
-                    self.end(end);
+                AttemptOutcome::Failed(end, reason, cause) => {
+                    self.log_failed_attempt(&target.id, reason.code(), cause);
+                    self.report_interruption(&target, cause);
+                    self.report_end(end);
                     return self.refuse(reason);
                 }
-                AttemptVerdict::Stalled => return self.give_up_caller(),
+                AttemptOutcome::CallerStalled => return self.abandon_stalled_caller(),
             }
         }
     }
@@ -168,12 +168,12 @@
         match self.wait_for_permit().await {
             PermitOutcome::Granted(granted) => return Some(granted),
             PermitOutcome::Refused(refusal) => {
-                self.forget();
+                self.close_pending();
                 self.refuse_with(refusal);
             }
             PermitOutcome::Replayed(answer) => {
-                self.forget();
-                self.answer.begin(replayed_answer(self.request.id, answer));
+                self.close_pending();
+                self.answer.send_head(replayed_answer(self.request.id, answer));
             }
         }
         None
@@ -197,13 +197,13 @@
         }
     }
 
-    fn again(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
-        self.log_attempt(&target.id, reason.code(), cause);
+    fn retry(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
+        self.log_failed_attempt(&target.id, reason.code(), cause);
         // The node needs the report before it decides about another attempt.
-        self.note_break(target, cause);
-        let begun = self.answer.has_begun();
+        self.report_interruption(target, cause);
+        let answer_begun = self.answer.has_begun();
         if let Some(pending) = &mut self.pending {
-            if begun {
+            if answer_begun {
                 pending.answer_begun();
             }
             pending.not_run(cause.attempt_end(), reason);
@@ -211,9 +211,9 @@
     }
 
     /// Reports an interrupted attempt to the node: the request may be what terminated its target.
-    fn note_break(&self, target: &TargetEntry, cause: AttemptCause) {
-        self.note_answer(target, cause.answer_sight());
-        if let (Some(digest), Some(kind)) = (self.request.digest, cause.break_kind()) {
+    fn report_interruption(&self, target: &TargetEntry, cause: AttemptCause) {
+        self.report_observations(target, cause.answer_observation());
+        if let (Some(digest), Some(kind)) = (self.request.digest, cause.interruption_kind()) {
             let begun = self.progress.attempt_parts() > 0;
             let broke = RequestBreak { life: target.life(), kind, begun };
             self.service.context.tell(NodeEvent::BrokeOff(digest, broke));
@@ -221,7 +221,7 @@
     }
 
     /// Returns what is reported to the scheduler about the target that still runs the request at its deadline.
-    fn end_at_deadline(&self) -> AttemptEnd {
+    fn attempt_end_at_deadline(&self) -> AttemptEnd {
         match self.pending.as_ref().is_some_and(PendingRequest::is_stalled) {
             true => AttemptEnd::Failed,
             false => AttemptEnd::Unused,
@@ -229,26 +229,26 @@
     }
 
     /// Closes the request at the node without a report: the node ended it itself.
-    fn forget(&mut self) {
+    fn close_pending(&mut self) {
         if let Some(pending) = self.pending.take() {
             pending.close();
         }
     }
 
     /// Reports to the node how the request ended.
-    fn end(&mut self, end: AttemptEnd) {
+    fn report_end(&mut self, end: AttemptEnd) {
         let Some(pending) = self.pending.take() else { return };
         let request = &self.request;
         self.service.context.metrics.end(self.verdict, &request.tier, &request.pool.id);
         let kept = match self.verdict {
-            Verdict::Ran => self.form.kept_answer(),
+            Verdict::Ran => self.framing.kept_answer(),
             Verdict::NotRun | Verdict::MayHaveRun => None,
         };
         pending.finish(NodeEvent::Finished(request.id, self.verdict, end, kept));
     }
 
     /// Gives up a request whose caller stopped reading: dropping it cancels it at the node and cuts its answer.
-    fn give_up_caller(&mut self) {
+    fn abandon_stalled_caller(&mut self) {
         warn!("caller_stalled", kv: {
             request = self.request.id.to_string(), offset = self.progress.bytes
         });
@@ -266,14 +266,14 @@
     fn refuse_with(&mut self, mut refusal: Refusal) {
         refusal.verdict = refusal.verdict.join(self.verdict);
         let request = &self.request;
-        note_refusal(&self.service, request.id, &request.attempt_id, Some(request), &refusal);
+        record_refusal(&self.service, request.id, &request.attempt_id, Some(request), &refusal);
         if self.answer.has_begun() {
             return self.log_cut(refusal.reason);
         }
         let fallback = self.fallback.take();
         let answer =
             fallback.unwrap_or_else(|| self.protocol().refusal_answer(request.id, &refusal));
-        self.answer.begin(answer);
+        self.answer.send_head(answer);
     }
 }
 
@@ -286,6 +286,6 @@
     let mut headers = vec![(REPLAYED, HeaderValue::from_static("true"))];
     headers.extend(content_type.map(|value| (header::CONTENT_TYPE, value)));
     headers.extend(HeaderValue::from_str(&id.to_string()).ok().map(|value| (REQUEST_ID, value)));
-    let content = AnswerContent::Whole(Bytes::from(kept.body));
+    let content = AnswerContent::Complete(Bytes::from(kept.body));
     CallerAnswer { status, headers, content, close: false }
 }
--- a/crates/daemon/src/request/run/attempts.rs
+++ b/crates/daemon/src/request/run/attempts.rs
@@ -6,7 +6,7 @@
 use curlewcleat_core::{AttemptEnd, RefusalReason, RetryReason, TargetEntry, Verdict};
 use curlewcleat_targets::PooledConnection;
 
-use super::{AttemptVerdict, RequestRun};
+use super::{AttemptOutcome, RequestRun};
 use crate::request::attempt::{send, AttemptStart};
 use crate::request::cause::AttemptCause;
 use crate::request::protocol::TargetAttempt;
@@ -18,29 +18,29 @@
         &mut self,
         target: &TargetEntry,
         connection: Option<PooledConnection>,
-    ) -> AttemptVerdict {
+    ) -> AttemptOutcome {
         if let Err(reason) = self.protocol().check_sendable(&self.request) {
-            return AttemptVerdict::NotSent(reason);
+            return AttemptOutcome::NotSent(reason);
         }
         let waited = self.request.arrived.elapsed().as_secs_f64();
         let metrics = &self.service.context.metrics;
         metrics.waited(waited, &self.request.tier, &self.request.pool.id);
         let sent = Moment::now();
-        self.progress.note_sent(&target.id);
+        self.progress.record_sent(&target.id);
         // From here on the request may have run, however the wait ends, until the target reports that it did
         // not.
-        let before = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
+        let previous_verdict = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
         match self.send(target, connection).await {
             AttemptStart::Answer(answer) => {
-                self.note_heard();
-                self.pass_on(*answer, target, sent).await
+                self.report_target_activity();
+                self.relay_answer(*answer, target, sent).await
             }
-            AttemptStart::Failed(reason, cause) => self.broken(reason, cause),
+            AttemptStart::Failed(reason, cause) => self.interrupted(reason, cause),
             AttemptStart::Replaced(other) => {
-                AttemptVerdict::Replaced(other, AttemptCause::HeadTimeout)
+                AttemptOutcome::Replaced(other, AttemptCause::HeadTimeout)
             }
             AttemptStart::NotRun(reason, cause) => {
-                self.verdict = before;
+                self.verdict = previous_verdict;
                 self.not_run(reason, cause)
             }
         }
@@ -56,7 +56,7 @@
             request: &self.request,
             caller: &self.caller,
             target,
-            last_event: self.form.last_event(),
+            last_event: self.framing.last_event(),
         };
         let context = &self.service.context;
         let wait = TargetWait {
@@ -69,10 +69,10 @@
         send(attempt, connection, wait).await
     }
 
-    fn not_run(&self, reason: RetryReason, cause: AttemptCause) -> AttemptVerdict {
-        match self.caller.body.is_intact() {
-            true => AttemptVerdict::Again(reason, cause),
-            false => AttemptVerdict::Failed(cause.attempt_end(), reason.final_refusal(), cause),
+    fn not_run(&self, reason: RetryReason, cause: AttemptCause) -> AttemptOutcome {
+        match self.caller.body.can_be_sent() {
+            true => AttemptOutcome::Retry(reason, cause),
+            false => AttemptOutcome::Failed(cause.attempt_end(), reason.final_refusal(), cause),
         }
     }
 
@@ -89,27 +89,27 @@
     }
 
     /// Reports that the target has sent data and is not stalled.
-    pub(in crate::request) fn note_heard(&mut self) {
+    pub(in crate::request) fn report_target_activity(&mut self) {
         if let Some(pending) = &mut self.pending {
             pending.target_heard();
         }
     }
 
     /// Decides how to go on after an attempt that may have run but gave no complete answer.
-    pub(in crate::request) fn broken(
+    pub(in crate::request) fn interrupted(
         &mut self,
         reason: RefusalReason,
         cause: AttemptCause,
-    ) -> AttemptVerdict {
-        self.form.restart();
-        if let Some(fault) = self.caller.body.fault() {
+    ) -> AttemptOutcome {
+        self.framing.restart();
+        if let Some(error) = self.caller.body.error() {
             // The caller's body was at fault, so the target is not counted as failed.
             let (end, cause) = (AttemptEnd::Unused, AttemptCause::CallerBody);
-            return AttemptVerdict::Failed(end, fault.reason(), cause);
+            return AttemptOutcome::Failed(end, error.reason(), cause);
         }
         if self.protocol().may_repeat(&self.request) {
-            return AttemptVerdict::Again(RetryReason::StreamResumed, cause);
+            return AttemptOutcome::Retry(RetryReason::StreamResumed, cause);
         }
-        AttemptVerdict::Failed(AttemptEnd::Failed, reason, cause)
+        AttemptOutcome::Failed(AttemptEnd::Failed, reason, cause)
     }
 }
--- a/crates/daemon/src/request/run/log.rs
+++ b/crates/daemon/src/request/run/log.rs
@@ -15,9 +15,9 @@
 impl RequestRun {
     pub(super) fn log_served(&self, target: &TargetEntry) {
         let (request, progress) = (&self.request, &self.progress);
-        let since = |then: Option<Moment>| {
-            then.map_or(-1, |then| {
-                then.saturating_duration_since(request.arrived).as_millis() as i64
+        let millis_until = |moment: Option<Moment>| {
+            moment.map_or(-1, |moment| {
+                moment.saturating_duration_since(request.arrived).as_millis() as i64
             })
         };
         // A public rule requires no account.
@@ -28,18 +28,18 @@
             pool = request.pool.id.as_str(),
             target = target.id.as_str(), attempts = progress.attempts,
             prompt_work = request.work.prompt, output_work = request.work.output,
-            sent_ms = since(progress.sent), first_ms = since(progress.first),
+            sent_ms = millis_until(progress.sent), first_ms = millis_until(progress.first),
             end_ms = request.arrived.elapsed().as_millis() as i64, parts = progress.parts,
             longest_pause_ms = progress.longest_pause.as_millis() as i64
         });
     }
 
-    pub(super) fn log_attempt(&self, target: &TargetId, reason: &str, cause: AttemptCause) {
+    pub(super) fn log_failed_attempt(&self, target: &TargetId, reason: &str, cause: AttemptCause) {
         info!("attempt_failed", kv: {
             request = self.request.id.to_string(), attempt = self.request.attempt_id.as_str(),
             digest = digest_text(&self.request),
             target = target.as_str(), reason, cause = cause.code(),
-            silent_ms = self.progress.unheard_for().as_millis() as i64,
+            silent_ms = self.progress.idle_time().as_millis() as i64,
             parts = self.progress.attempt_parts(), answer_begun = self.answer.has_begun()
         });
     }
@@ -61,7 +61,7 @@
 }
 
 /// Counts and logs a refusal.
-pub fn note_refusal(
+pub fn record_refusal(
     service: &RequestService,
     id: RequestId,
     attempt: &str,
--- a/crates/daemon/src/request/run/sample.rs
+++ b/crates/daemon/src/request/run/sample.rs
@@ -10,14 +10,14 @@
 
 impl RequestRun {
     /// Reports observations of a target's answer to the node, if the pool has a rollout in progress.
-    pub(in crate::request) fn note_answer(
+    pub(in crate::request) fn report_observations(
         &self,
         target: &TargetEntry,
-        sights: impl IntoIterator<Item = AnswerSight>,
+        observations: impl IntoIterator<Item = AnswerSight>,
     ) {
         let (context, request) = (&self.service.context, &self.request);
-        let mut sights = sights.into_iter().peekable();
-        if sights.peek().is_none() {
+        let mut observations = observations.into_iter().peekable();
+        if observations.peek().is_none() {
             return;
         }
         let config = context.config();
@@ -27,7 +27,7 @@
             PoolKind::Engine => request.work.prompt,
             PoolKind::Service => request.work.output,
         };
-        for sight in sights {
+        for sight in observations {
             let sample = AnswerSample {
                 rule: request.rule.id.clone(),
                 target: target.id.clone(),
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -20,7 +20,7 @@
 
 /// Minimum wait before another target is requested, so that a request without remaining time ends at its deadline
 /// first.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
+const MIN_STALL_LIMIT: Duration = Duration::from_millis(10);
 
 /// A target that was granted, with the connection to it if one is established.
 pub struct GrantedTarget {
@@ -31,7 +31,7 @@
 /// Result of a wait.
 pub enum WaitEnd<T> {
     /// The expected value arrived.
-    Came(T),
+    Arrived(T),
     /// The target stalled and is replaced by this one.
     Replaced(Box<GrantedTarget>),
     /// The limit has passed and the request may not move to another target.
@@ -49,7 +49,7 @@
 }
 
 /// A granted replacement to which a connection is being established.
-struct OfferedTarget {
+struct ConnectingTarget {
     permit: PermitId,
     entry: TargetEntry,
     connecting: Pin<Box<dyn Future<Output = Result<PooledConnection>>>>,
@@ -57,10 +57,10 @@
 
 /// Next event in a wait during which the target may be replaced.
 enum WaitStep<T> {
-    Came(T),
+    Arrived(T),
     Granted(PermitId, TargetEntry),
     Connected(Result<PooledConnection>),
-    Stalled,
+    IntervalPassed,
 }
 
 /// A wait during which the target may be replaced.
@@ -70,7 +70,7 @@
     protocol: &'a dyn CallerProtocol,
     request: &'a AdmittedRequest,
     target: &'a TargetEntry,
-    offered: Option<OfferedTarget>,
+    replacement: Option<ConnectingTarget>,
 }
 
 impl TargetWait<'_> {
@@ -81,12 +81,13 @@
         let TargetWait { context, pending, protocol, request, target } = self;
         match pending {
             Some(pending) => {
-                let offered = None;
-                let wait = ReplaceableWait { context, pending, protocol, request, target, offered };
-                wait.run(limit.max(LEAST_PAUSE), expected).await
+                let replacement = None;
+                let wait =
+                    ReplaceableWait { context, pending, protocol, request, target, replacement };
+                wait.run(limit.max(MIN_STALL_LIMIT), expected).await
             }
             None => match tokio::time::timeout(limit, expected).await {
-                Ok(value) => WaitEnd::Came(value),
+                Ok(value) => WaitEnd::Arrived(value),
                 Err(_) => WaitEnd::TimedOut,
             },
         }
@@ -96,28 +97,28 @@
 impl ReplaceableWait<'_> {
     async fn run<T>(
         mut self,
-        mut pause: Duration,
+        mut interval: Duration,
         expected: impl Future<Output = T>,
     ) -> WaitEnd<T> {
         tokio::pin!(expected);
-        let begun = Instant::now();
-        let mut ask_at = begun + pause;
+        let started = Instant::now();
+        let mut replacement_due = started + interval;
         loop {
-            match self.next_step(expected.as_mut(), ask_at).await {
-                WaitStep::Came(value) => {
-                    self.put_offer_back();
-                    return WaitEnd::Came(value);
+            match self.next_step(expected.as_mut(), replacement_due).await {
+                WaitStep::Arrived(value) => {
+                    self.put_back_replacement();
+                    return WaitEnd::Arrived(value);
                 }
-                WaitStep::Granted(permit, entry) => self.consider(permit, entry),
+                WaitStep::Granted(permit, entry) => self.connect_replacement(permit, entry),
                 WaitStep::Connected(result) => {
-                    if let Some(granted) = self.connected(result) {
+                    if let Some(granted) = self.finish_connecting(result) {
                         return WaitEnd::Replaced(Box::new(granted));
                     }
                 }
-                WaitStep::Stalled => {
-                    self.ask(begun.elapsed());
-                    pause *= 2;
-                    ask_at += pause;
+                WaitStep::IntervalPassed => {
+                    self.request_replacement(started.elapsed());
+                    interval *= 2;
+                    replacement_due += interval;
                 }
             }
         }
@@ -126,29 +127,33 @@
     async fn next_step<T>(
         &mut self,
         expected: Pin<&mut impl Future<Output = T>>,
-        ask_at: Instant,
+        replacement_due: Instant,
     ) -> WaitStep<T> {
-        let free = self.offered.is_none();
+        let no_replacement = self.replacement.is_none();
         let connected = async {
-            match &mut self.offered {
-                Some(offered) => (&mut offered.connecting).await,
+            match &mut self.replacement {
+                Some(replacement) => (&mut replacement.connecting).await,
                 None => pending().await,
             }
         };
         tokio::select! {
             biased;
-            value = expected => WaitStep::Came(value),
+            value = expected => WaitStep::Arrived(value),
             result = connected => WaitStep::Connected(result),
             // While the request is at a target, the node sends no other kind of decision.
-            Some(CallerDecision::Dispatch(permit, entry)) = self.pending.decision(), if free => {
+            Some(CallerDecision::Dispatch(permit, entry)) = self.pending.decision(),
+                if no_replacement =>
+            {
                 WaitStep::Granted(permit, entry)
             }
-            () = tokio::time::sleep_until(ask_at.into()), if free => WaitStep::Stalled,
+            () = tokio::time::sleep_until(replacement_due.into()), if no_replacement => {
+                WaitStep::IntervalPassed
+            }
         }
     }
 
     /// Requests another target from the node.
-    fn ask(&mut self, stalled: Duration) {
+    fn request_replacement(&mut self, stalled: Duration) {
         info!("target_silent", kv: {
             request = self.pending.id().to_string(), target = self.target.id.as_str(),
             silent_ms = stalled.as_millis() as i64
@@ -159,7 +164,7 @@
     /// Starts to connect to the replacement, or declines it if the request no longer needs it or may not be sent to
     /// it. The stalled target is kept until the replacement accepts a connection: if connecting failed after the
     /// target was abandoned, an answer that has begun could only be cut, though its target may still be working.
-    fn consider(&mut self, permit: PermitId, entry: TargetEntry) {
+    fn connect_replacement(&mut self, permit: PermitId, entry: TargetEntry) {
         let excluded = self.context.gate.stop(self.context.uptime(), &entry.life()).is_some();
         let sendable = self.protocol.check_sendable(self.request).is_ok();
         if !self.pending.is_stalled() || !sendable || excluded {
@@ -169,12 +174,12 @@
         let limit = self.protocol.limits(self.request).connect;
         let target = entry.clone();
         let connecting = Box::pin(async move { connections.connect_to(&target, limit).await });
-        self.offered = Some(OfferedTarget { permit, entry, connecting });
+        self.replacement = Some(ConnectingTarget { permit, entry, connecting });
     }
 
     /// Accepts the replacement if the connection was established; otherwise the request stays at the stalled target.
-    fn connected(&mut self, result: Result<PooledConnection>) -> Option<GrantedTarget> {
-        let entry = self.offered.take()?.entry;
+    fn finish_connecting(&mut self, result: Result<PooledConnection>) -> Option<GrantedTarget> {
+        let entry = self.replacement.take()?.entry;
         match result {
             Ok(connection) => {
                 self.pending.take_replacement();
@@ -193,8 +198,8 @@
 
     /// Keeps a replacement that is not yet connected as the next decision: the next wait declines it, or the attempt
     /// that follows an interruption uses it.
-    fn put_offer_back(&mut self) {
-        if let Some(OfferedTarget { permit, entry, .. }) = self.offered.take() {
+    fn put_back_replacement(&mut self) {
+        if let Some(ConnectingTarget { permit, entry, .. }) = self.replacement.take() {
             self.pending.put_back(CallerDecision::Dispatch(permit, entry));
         }
     }
