--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Counts an attempt that the gate stopped because of the target's notices.
+/// Counts and returns an attempt that the gate stopped because of the target's notices.
 fn gate_stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
     let cause = AttemptCause::from(stop);
     context.metrics.gate_stop(cause.code());
@@ -146,6 +146,7 @@
     }
 }
 
+/// Returns the result of an exchange that failed before the head of the answer; the request may have run.
 fn exchange_failed(target: &TargetEntry, error: &Error) -> AttemptStart {
     debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
     match error {
--- a/crates/daemon/src/request/profile/work.rs
+++ b/crates/daemon/src/request/profile/work.rs
@@ -13,8 +13,8 @@
 use crate::headers;
 use crate::request::admitted::WorkEstimate;
 
-/// The shared parts of a prompt are its prefix if they are at least one half of it (the prompt divided by this): a
-/// smaller prefix saves less than waiting for a busier target costs.
+/// The shared parts of a prompt are its prefix if they have at least the prompt's tokens divided by this. A smaller
+/// prefix saves less than the choice of a busier target costs.
 const PREFIX_DIVISOR: u64 = 2;
 
 /// Token counts of a request as its caller states them.
--- a/crates/daemon/src/request/progress.rs
+++ b/crates/daemon/src/request/progress.rs
@@ -27,6 +27,7 @@
     pub parts: u64,
     /// Bytes relayed to the caller.
     pub bytes: u64,
+    /// When the latest part of the answer arrived.
     latest: Option<Moment>,
     attempt: AttemptProgress,
 }
@@ -35,10 +36,10 @@
 #[derive(Default)]
 struct AttemptProgress {
     /// Whether the target answered with a server error.
-    failed: bool,
+    server_error: bool,
     first: Option<Moment>,
     parts: u32,
-    pause: Duration,
+    longest_pause: Duration,
 }
 
 impl RequestProgress {
@@ -57,7 +58,7 @@
             let pause = now.saturating_duration_since(latest);
             self.longest_pause = self.longest_pause.max(pause);
             if self.attempt.parts > 0 {
-                self.attempt.pause = self.attempt.pause.max(pause);
+                self.attempt.longest_pause = self.attempt.longest_pause.max(pause);
             }
         }
         self.attempt.first.get_or_insert(now);
@@ -70,7 +71,7 @@
 
     /// Records that the target answered with a server error.
     pub fn record_server_error(&mut self) {
-        self.attempt.failed = true;
+        self.attempt.server_error = true;
     }
 
     /// Returns the observation that the newest part allows: the time to the first part, or the mean interval once
@@ -90,7 +91,7 @@
 
     /// Returns the observations of the latest attempt once its answer is complete.
     pub fn end_observations(&self) -> Vec<AnswerSight> {
-        if self.attempt.failed {
+        if self.attempt.server_error {
             return vec![AnswerSight::Failed];
         }
         let took = self.sent.map_or(Duration::ZERO, |sent| sent.elapsed());
@@ -106,7 +107,7 @@
     /// Returns the time since the latest attempt was sent or received a part.
     pub fn idle_time(&self) -> Duration {
         let part = self.latest.filter(|_| self.attempt.parts > 0);
-        part.or(self.sent).map_or(Duration::ZERO, |heard| heard.elapsed())
+        part.or(self.sent).map_or(Duration::ZERO, |active| active.elapsed())
     }
 
     /// Returns the timing of the latest attempt's complete stream, which the target's scheduler gets.
@@ -119,7 +120,7 @@
             first: first.saturating_duration_since(sent),
             rest: latest.saturating_duration_since(first),
             parts: attempt.parts,
-            pause: attempt.pause,
+            pause: attempt.longest_pause,
         })
     }
 }
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Waits for the next part of the answer, its end, an interruption or a replacement of the target.
     async fn next_part(
         &mut self,
         body: &mut AnswerBody,
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -126,6 +126,7 @@
         self.service.protocol.as_ref()
     }
 
+    /// Sends the request to one target after another until it has ended.
     async fn run_attempts(&mut self) {
         let mut granted = None;
         loop {
@@ -179,6 +180,7 @@
         None
     }
 
+    /// Waits for the node's decision. If the process ends without one, the request is refused as draining.
     async fn wait_for_permit(&mut self) -> PermitOutcome {
         let decision = match &mut self.pending {
             Some(pending) => pending.decision().await,
@@ -197,6 +199,7 @@
         }
     }
 
+    /// Reports a failed attempt to the node, which then decides about another one.
     fn retry(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
         self.log_failed_attempt(&target.id, reason.code(), cause);
         // The node needs the report before it decides about another attempt.
@@ -256,6 +259,7 @@
         self.pending = None;
     }
 
+    /// Refuses the request with the verdict so far and the protocol's `Retry-After`.
     fn refuse(&mut self, reason: RefusalReason) {
         let retry_after = Some(self.protocol().options().retry_after);
         self.refuse_with(Refusal { reason, verdict: self.verdict, retry_after });
--- a/crates/daemon/src/request/run/attempts.rs
+++ b/crates/daemon/src/request/run/attempts.rs
@@ -27,8 +27,7 @@
         metrics.waited(waited, &self.request.tier, &self.request.pool.id);
         let sent = Moment::now();
         self.progress.record_sent(&target.id);
-        // From here on the request may have run, however the wait ends, until the target reports that it did
-        // not.
+        // From here on the request may have run, however the wait ends, until it is proved that it did not.
         let previous_verdict = std::mem::replace(&mut self.verdict, Verdict::MayHaveRun);
         match self.send(target, connection).await {
             AttemptStart::Answer(answer) => {
@@ -46,6 +45,7 @@
         }
     }
 
+    /// Sends the request and waits for the head of the answer.
     async fn send(
         &mut self,
         target: &TargetEntry,
@@ -69,6 +69,7 @@
         send(attempt, connection, wait).await
     }
 
+    /// Decides how to go on after an attempt that did not run: another one, if the body can be sent again.
     fn not_run(&self, reason: RetryReason, cause: AttemptCause) -> AttemptOutcome {
         match self.caller.body.can_be_sent() {
             true => AttemptOutcome::Retry(reason, cause),
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -95,6 +95,7 @@
 }
 
 impl ReplaceableWait<'_> {
+    /// Waits until `expected` arrives or a replacement is connected.
     async fn run<T>(
         mut self,
         mut interval: Duration,
@@ -124,6 +125,7 @@
         }
     }
 
+    /// Waits for the next event; if several are ready, the first branch has priority.
     async fn next_step<T>(
         &mut self,
         expected: Pin<&mut impl Future<Output = T>>,
