--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -55,8 +55,8 @@
     rest: Option<Payload>,
     /// Bytes that the rest may still have.
     allowed: usize,
-    /// Whether the rest was read, after which the body cannot be sent again.
-    rest_read: bool,
+    /// Whether reading the rest has started, after which the body cannot be sent again.
+    rest_started: bool,
     error: Option<BodyError>,
 }
 
@@ -96,7 +96,7 @@
         }
         let size = beginning.len();
         let rest = (!ended).then_some(payload);
-        let state = BodyState { rest, allowed: limit - size, rest_read: false, error: None };
+        let state = BodyState { rest, allowed: limit - size, rest_started: false, error: None };
         Ok(RequestBody {
             beginning: beginning.freeze(),
             state: Rc::new(RefCell::new(state)),
@@ -122,7 +122,7 @@
 
     /// Returns whether the body can be sent, or sent again.
     pub fn can_be_sent(&self) -> bool {
-        !self.state.borrow().rest_read
+        !self.state.borrow().rest_started
     }
 
     /// Returns the error that occurred while the rest was streamed.
@@ -167,7 +167,7 @@
         let mut state = self.body.state.borrow_mut();
         let Some(rest) = state.rest.as_mut() else { return Poll::Ready(None) };
         let polled = Pin::new(rest).poll_next(context);
-        state.rest_read = true;
+        state.rest_started = true;
         match polled {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => Poll::Ready(None),
