--- a/crates/daemon/src/files/follow.rs
+++ b/crates/daemon/src/files/follow.rs
@@ -159,8 +159,10 @@
         match store.vms().await {
             Ok(records) => {
                 let records = records.into_iter();
-                let list = records
-                    .map(|line| ListedVm { vm: line.vm, leaving: line.state == VmState::Leaving });
+                let list = records.map(|record| ListedVm {
+                    vm: record.vm,
+                    leaving: record.state == VmState::Leaving,
+                });
                 context.tell(NodeEvent::VmsRead(list.collect()));
                 back_off.reset();
                 tokio::time::sleep(VM_LIST_INTERVAL).await;
--- a/crates/daemon/src/fleet/follow/faults.rs
+++ b/crates/daemon/src/fleet/follow/faults.rs
@@ -35,7 +35,7 @@
             faults.iter().map(|fault| (fault.name.clone(), fault.reason)).collect();
         let ended = before.keys().filter(|name| !known.contains_key(*name)).cloned().collect();
         self.known = known;
-        FaultNews { begun: unlogged_faults(&before, faults), ended }
+        FaultNews { started: unlogged_faults(&before, faults), ended }
     }
 
     /// Applies the faults found in changes to the entries with these names.
@@ -56,7 +56,7 @@
         }
         self.known.extend(faults.iter().map(|fault| (fault.name.clone(), fault.reason)));
         let ended = before.keys().filter(|name| !self.known.contains_key(*name)).cloned().collect();
-        FaultNews { begun: unlogged_faults(&before, faults), ended }
+        FaultNews { started: unlogged_faults(&before, faults), ended }
     }
 }
 
@@ -75,7 +75,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct FaultNews {
     /// Faults that are new or have a new reason.
-    pub begun: Vec<EntryFault>,
+    pub started: Vec<EntryFault>,
     /// Names of entries that are usable again or no longer listed.
     pub ended: Vec<String>,
 }
@@ -83,23 +83,23 @@
 impl FaultNews {
     /// Returns whether one of the new faults is of an entry without a name.
     pub fn has_nameless(&self) -> bool {
-        self.begun.iter().any(|fault| fault.name.is_empty())
+        self.started.iter().any(|fault| fault.name.is_empty())
     }
 
     /// Logs and counts the changes.
     pub fn report(&self, kind: &str, metrics: &DaemonMetrics) {
-        for fault in &self.begun {
+        for fault in &self.started {
             metrics.unusable_entry(kind, fault.reason);
         }
-        for fault in self.begun.iter().take(LINES_PER_ANSWER) {
+        for fault in self.started.iter().take(LINES_PER_ANSWER) {
             let (entry, detail) = (truncate(&fault.name), truncate(&fault.detail));
             warn!("entry_unusable", kv: { kind, entry, reason = fault.reason.code(), detail });
         }
-        let remaining_lines = LINES_PER_ANSWER.saturating_sub(self.begun.len());
+        let remaining_lines = LINES_PER_ANSWER.saturating_sub(self.started.len());
         for name in self.ended.iter().take(remaining_lines) {
             info!("entry_fault_ended", kv: { kind, entry = truncate(name) });
         }
-        let left_out = (self.begun.len() + self.ended.len()).saturating_sub(LINES_PER_ANSWER);
+        let left_out = (self.started.len() + self.ended.len()).saturating_sub(LINES_PER_ANSWER);
         if left_out > 0 {
             warn!("entry_lines_left_out", kv: { kind, count = left_out });
         }
--- a/crates/daemon/src/fleet/follow/faults/tests.rs
+++ b/crates/daemon/src/fleet/follow/faults/tests.rs
@@ -8,8 +8,8 @@
     EntryFault { name: name.to_string(), reason, detail: String::new() }
 }
 
-fn begun(change: &FaultNews) -> Vec<&str> {
-    change.begun.iter().map(|fault| fault.name.as_str()).collect()
+fn started(change: &FaultNews) -> Vec<&str> {
+    change.started.iter().map(|fault| fault.name.as_str()).collect()
 }
 
 /// Guards against a log line with each heartbeat: an engine writes to its entry each time, so its fault is read again.
@@ -18,18 +18,18 @@
     let mut faults = EntryFaults::default();
     let (one, two) = ("i-1".to_string(), "i-2".to_string());
     let first = faults.apply_list(vec![fault(&one, FaultReason::Fields)]);
-    assert_eq!((begun(&first), first.ended.len()), (vec!["i-1"], 0));
+    assert_eq!((started(&first), first.ended.len()), (vec!["i-1"], 0));
     for _ in 0..3 {
         let again =
             faults.apply_changes([&one, &two].into_iter(), vec![fault(&one, FaultReason::Fields)]);
-        assert_eq!(again, FaultNews { begun: vec![], ended: vec![] });
+        assert_eq!(again, FaultNews { started: vec![], ended: vec![] });
     }
     let other = faults.apply_changes([&one].into_iter(), vec![fault(&one, FaultReason::State)]);
-    assert_eq!((begun(&other), other.ended.len()), (vec!["i-1"], 0));
+    assert_eq!((started(&other), other.ended.len()), (vec!["i-1"], 0));
     let readable = faults.apply_changes([&one].into_iter(), Vec::new());
-    assert_eq!((begun(&readable).len(), readable.ended), (0, vec![one.clone()]));
+    assert_eq!((started(&readable).len(), readable.ended), (0, vec![one.clone()]));
     let back = faults.apply_changes([&one].into_iter(), vec![fault(&one, FaultReason::State)]);
-    assert_eq!(begun(&back), ["i-1"]);
+    assert_eq!(started(&back), ["i-1"]);
     assert_eq!(faults.apply_list(Vec::new()).ended, [one]);
 }
 
--- a/crates/daemon/src/fleet/follow/peers.rs
+++ b/crates/daemon/src/fleet/follow/peers.rs
@@ -51,7 +51,7 @@
             Ok(_) => {}
             Err(error) => back_off.record_failure("list_daemons", &error, &self.context),
         }
-        while let Err(error) = self.record(record).await {
+        while let Err(error) = self.write_record(record).await {
             back_off.record_failure("record_daemon", &error, &self.context);
             back_off.wait_at_most(FALLBACK_PAUSE, pending()).await;
         }
@@ -76,7 +76,7 @@
         Ok(list.daemons)
     }
 
-    async fn record(&self, record: &DaemonRecord) -> Result<()> {
+    async fn write_record(&self, record: &DaemonRecord) -> Result<()> {
         self.context.metrics.platform_call("record_daemon");
         self.platform.record_daemon(record).await
     }
--- a/crates/daemon/src/fleet/follow/targets.rs
+++ b/crates/daemon/src/fleet/follow/targets.rs
@@ -69,8 +69,8 @@
     /// Watches for changes until the list has to be read again.
     async fn watch_targets(&self, mut revision: ObjectVersion) {
         let mut back_off = BackOff::new(BACK_OFF);
-        let floor = self.limits.read_every / WATCHES_PER_READ;
-        // By then, a new daemon knows whether others read for it.
+        let min_interval = self.limits.read_every / WATCHES_PER_READ;
+        // After this pause, a new daemon knows whether others read for it.
         tokio::time::sleep(self.limits.read_every).await;
         loop {
             let begun = Instant::now();
@@ -102,7 +102,7 @@
                     return;
                 }
             }
-            tokio::time::sleep(floor.saturating_sub(begun.elapsed())).await;
+            tokio::time::sleep(min_interval.saturating_sub(begun.elapsed())).await;
         }
     }
 
