--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -61,33 +61,33 @@
             first_byte: registry
                 .histograms("first_byte_seconds", "Time from arrival to the answer's first byte")?,
             callers_disconnected: registry
-                .counter("callers_gone_total", "Callers that disconnected before their answer was complete")?,
+                .counter("callers_gone_total", "Callers that left before their answer was whole")?,
             callers_stalled: registry
-                .counter("callers_stalled_total", "Callers disconnected because they did not read their answer")?,
+                .counter("callers_stalled_total", "Callers given up because they did not read")?,
             reserved_headers: registry.counter(
                 "reserved_headers_total",
-                "Headers of callers that were dropped because only a daemon may set them",
+                "Headers of callers that ended here since only a daemon may set them",
             )?,
-            platform_calls: count("platform_calls_total", "Calls to the platform", &["call"])?,
+            platform_calls: count("platform_calls_total", "Calls of the platform", &["call"])?,
             platform_errors: count("platform_errors_total", "Failed platform calls", &["call"])?,
             unusable_entries: count(
                 "unusable_entries_total",
-                "List entries of the platform that became unusable, by reason",
+                "Entries of the platform that came to name nothing to use, by reason",
                 &["kind", "reason"],
             )?,
             reports: count("target_reports_total", "Reports of targets", &["result"])?,
             targets_terminated: registry.counter(
                 "targets_ended_under_requests_total",
-                "Terminations of targets found to have happened while running a request, each counted once",
+                "Ends of targets that were found to have happened under a request, one for each of them",
             )?,
             gate_stops: count(
                 "gate_stops_total",
-                "Requests not sent to a target because of its notices, by cause",
+                "Requests not sent to a target, by what the target had said",
                 &["cause"],
             )?,
             rollout_stages: count(
                 "rollout_stages_total",
-                "Rollout stages decided by this daemon",
+                "Stages of roll-outs on which this daemon has decided",
                 &["stage", "reason"],
             )?,
             gauges: StatusGauges::new(&registry, counts)?,
--- a/crates/daemon/src/metrics/gauges.rs
+++ b/crates/daemon/src/metrics/gauges.rs
@@ -34,30 +34,25 @@
 impl StatusGauges {
     /// Registers all gauges.
     pub fn new(registry: &MetricRegistry, counts: Arc<TransportCounts>) -> Result<StatusGauges> {
-        let frames_help = "Peer frames and their bytes since the daemon started";
-        let intake_help = "Bytes of configurations received from peers since the daemon started";
+        let frames_help = "Peer frames and their bytes since the start";
+        let intake_help = "Bytes of configurations that peers have sent since the start";
         Ok(StatusGauges {
-            generation: registry
-                .gauge("config_generation", "Generation of the configuration in force")?,
-            table_version: registry.gauge("key_table_version", "Version of the known key table")?,
+            generation: registry.gauge("config_generation", "Configuration in force")?,
+            table_version: registry.gauge("key_table_version", "Known key table")?,
             key_slots: registry.gauge("key_slots", "Key slots held")?,
             keys: registry.gauge("keys", "Keys held")?,
             in_progress: registry.gauge("requests_in_progress", "Requests in progress")?,
             peers_live: registry.gauge("peers_live", "Reachable peers")?,
             suspect_requests: registry
-                .gauge("suspect_requests", "Requests that terminated targets, or may have")?,
+                .gauge("suspect_requests", "Requests under which targets ended, or may have")?,
             lethal_requests: registry.gauge(
                 "lethal_requests",
-                "Requests that are refused because they terminated targets",
-            )?,
-            waiting: registry.gauges(
-                "queue_length",
-                "Permit requests waiting at this scheduler",
-                "pool",
+                "Requests that are refused since targets ended under them",
             )?,
+            waiting: registry.gauges("queue_length", "Asks that wait at this scheduler", "pool")?,
             in_flight: registry.gauges(
                 "permits_in_use",
-                "Permits granted by this scheduler and in use",
+                "Permits given by this scheduler",
                 "pool",
             )?,
             config_intake: registry.gauges("config_intake_bytes", intake_help, "use")?,
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -129,10 +129,9 @@
             context.tell(NodeEvent::ClearSuspect(digest));
             text_response(StatusCode::ACCEPTED, "cleared")
         }
-        None => text_response(
-            StatusCode::BAD_REQUEST,
-            "the query must be digest= followed by 64 hexadecimal digits",
-        ),
+        None => {
+            text_response(StatusCode::BAD_REQUEST, "digest= and 64 hexadecimal digits are wanted")
+        }
     }
 }
 
