--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -1,8 +1,8 @@
-//! Applying files as a state machine: check, store the contents, move the manifest once.
+//! Applies files as a state machine: checks them, stores their contents, then updates the manifest once.
 //!
-//! The caller performs the actions and feeds their results back. A lost answer is read again; the
-//! apply's id in the history says whether it took effect. A change by somebody else to another file
-//! is checked together with the own files and tried again; a change to the same file is a conflict.
+//! The caller performs the actions and passes their results back. If the answer of a call is lost, the manifest is read
+//! again; the apply's id in its history shows whether the update took effect. If another apply changed other files, the
+//! files are checked together with these and the update is tried again; a change to the same file is a conflict.
 //!
 //! Owns: the state of one apply. Relies on: a driver that performs its actions (`curlewcleat-store`).
 
@@ -16,15 +16,15 @@
 use crate::problem::CheckReport;
 use crate::FileTexts;
 
-/// Rounds of conditional updates before the apply gives up.
-const ROUND_LIMIT: u32 = 20;
+/// Number of times that the manifest is read again before the apply gives up.
+const REREAD_LIMIT: u32 = 20;
 
-/// Who applies what.
+/// Options of one apply: its id, the operator, and the generation that the operator expects.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ApplyOptions {
-    /// Drawn at random for this apply.
+    /// Random id of this apply.
     pub apply: Uuid,
-    /// Operator for the history.
+    /// Name of the operator, for the history.
     pub operator: String,
     /// Seconds since the Unix epoch.
     pub applied_at: u64,
@@ -32,33 +32,33 @@
     pub expected: Option<Generation>,
 }
 
-/// What the apply wants done.
+/// The next action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ApplyAction {
     /// Read the manifest.
     ReadManifest,
     /// Read the content with this hash.
     ReadContent(String),
-    /// Store a content under its hash unless it is there.
+    /// Store a content under its hash unless it exists: the hash and the content.
     PutContent(String, String),
-    /// Store the manifest if its version is still this one, 0 for absent.
+    /// Store the manifest if the stored one still has this version; 0 if there is none.
     PutManifest(ObjectVersion, ConfigManifest),
-    /// Nothing more.
+    /// The apply is finished.
     Finish(ApplyResult),
 }
 
-/// What an action led to.
+/// The result of an action.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ApplyEvent {
     /// The manifest and its version; `None` where there is none yet.
     Manifest(Option<(ObjectVersion, ConfigManifest)>),
-    /// A content.
+    /// The hash that was asked for and its content.
     Content(String, String),
     /// The content is stored.
     ContentStored,
     /// The manifest is stored.
     ManifestStored,
-    /// The manifest has another version.
+    /// The stored manifest has another version.
     ManifestConflict,
     /// The call failed or its answer was lost; a write may have taken effect.
     Unclear,
@@ -67,29 +67,29 @@
 /// How an apply ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ApplyResult {
-    /// In the manifest under this generation.
+    /// The manifest holds the files under this generation.
     Applied(Generation),
-    /// The files are in force already.
+    /// The files were already in force at this generation.
     Unchanged(Generation),
-    /// Somebody changed the same file since it was read.
+    /// Another apply changed the same file since it was read.
     Conflict {
         /// The file.
         file: String,
-        /// Who changed it and when, where the history still says so.
+        /// The apply that changed it, if the history still holds it.
         by: Option<ApplyRecord>,
     },
-    /// The files do not pass the checks.
+    /// The files fail the checks, for the reasons in the text.
     Invalid(String),
-    /// The platform cannot be reached; whether the apply took effect is not known.
+    /// The platform cannot be reached or the manifest changed too often; it is unknown whether the apply took effect.
     Unclear,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum ApplyPhase {
-    Reading,
-    Fetching,
-    Storing,
-    Moving,
+    ReadingManifest,
+    ReadingContents,
+    StoringContents,
+    UpdatingManifest,
     Done,
 }
 
@@ -103,14 +103,14 @@
     current: ConfigManifest,
     version: ObjectVersion,
     contents: BTreeMap<String, String>,
-    to_store: VecDeque<String>,
+    contents_to_store: VecDeque<String>,
     phase: ApplyPhase,
-    rounds: u32,
-    wrote: bool,
+    rereads: u32,
+    sent_manifest: bool,
 }
 
 impl ConfigApply {
-    /// Starts an apply; perform the returned action first.
+    /// Starts an apply and returns its first action.
     pub fn start(options: ApplyOptions, edited: FileTexts) -> (ConfigApply, ApplyAction) {
         let hashes = edited.iter().map(|(name, text)| (name.clone(), content_hash(text))).collect();
         let apply = ConfigApply {
@@ -121,31 +121,33 @@
             current: ConfigManifest::default(),
             version: 0,
             contents: BTreeMap::new(),
-            to_store: VecDeque::new(),
-            phase: ApplyPhase::Reading,
-            rounds: 0,
-            wrote: false,
+            contents_to_store: VecDeque::new(),
+            phase: ApplyPhase::ReadingManifest,
+            rereads: 0,
+            sent_manifest: false,
         };
         (apply, ApplyAction::ReadManifest)
     }
 
-    /// Takes the result of the last action and gives the next one.
+    /// Handles the result of the last action and returns the next one.
     pub fn handle(&mut self, event: ApplyEvent) -> ApplyAction {
         match (&self.phase, event) {
-            (_, ApplyEvent::Unclear) => self.read_again(),
-            (ApplyPhase::Reading, ApplyEvent::Manifest(read)) => self.manifest_read(read),
-            (ApplyPhase::Fetching, ApplyEvent::Content(hash, text)) => {
+            (_, ApplyEvent::Unclear) => self.reread_manifest(),
+            (ApplyPhase::ReadingManifest, ApplyEvent::Manifest(stored)) => {
+                self.handle_manifest(stored)
+            }
+            (ApplyPhase::ReadingContents, ApplyEvent::Content(hash, text)) => {
                 self.contents.insert(hash, text);
-                self.fetch_or_check()
+                self.read_contents_or_check()
             }
-            (ApplyPhase::Storing, ApplyEvent::ContentStored) => {
-                self.to_store.pop_front();
-                self.store_or_move()
+            (ApplyPhase::StoringContents, ApplyEvent::ContentStored) => {
+                self.contents_to_store.pop_front();
+                self.store_or_update_manifest()
             }
-            (ApplyPhase::Moving, ApplyEvent::ManifestStored) => {
+            (ApplyPhase::UpdatingManifest, ApplyEvent::ManifestStored) => {
                 self.finish(ApplyResult::Applied(self.next_generation()))
             }
-            (ApplyPhase::Moving, ApplyEvent::ManifestConflict) => self.read_again(),
+            (ApplyPhase::UpdatingManifest, ApplyEvent::ManifestConflict) => self.reread_manifest(),
             _ => self.finish(ApplyResult::Unclear),
         }
     }
@@ -159,26 +161,26 @@
         ApplyAction::Finish(result)
     }
 
-    fn read_again(&mut self) -> ApplyAction {
-        self.rounds += 1;
-        if self.rounds > ROUND_LIMIT {
+    fn reread_manifest(&mut self) -> ApplyAction {
+        self.rereads += 1;
+        if self.rereads > REREAD_LIMIT {
             return self.finish(ApplyResult::Unclear);
         }
-        self.phase = ApplyPhase::Reading;
+        self.phase = ApplyPhase::ReadingManifest;
         ApplyAction::ReadManifest
     }
 
-    fn manifest_read(&mut self, read: Option<(ObjectVersion, ConfigManifest)>) -> ApplyAction {
-        // Nothing applied yet: an empty manifest, which the store creates at version 0.
-        let (version, manifest) = read.unwrap_or_default();
-        // An update whose answer was lost has taken effect if the history knows its id.
+    fn handle_manifest(&mut self, stored: Option<(ObjectVersion, ConfigManifest)>) -> ApplyAction {
+        // Before the first apply there is no manifest: start from an empty one, to be created at version 0.
+        let (version, manifest) = stored.unwrap_or_default();
+        // An update whose answer was lost took effect if the history holds the id of this apply.
         if let Some(record) = manifest.record(self.options.apply) {
             let generation = record.generation;
             return self.finish(ApplyResult::Applied(generation));
         }
-        // A store that shows an old version must not let us judge conflicts by it.
+        // Conflicts must not be detected against an older manifest than one read before.
         if manifest.generation < self.current.generation {
-            return self.read_again();
+            return self.reread_manifest();
         }
         self.version = version;
         self.current = manifest;
@@ -189,16 +191,16 @@
         }
         let unchanged =
             self.hashes.iter().all(|(name, hash)| self.current.files.get(name) == Some(hash));
-        // After an own write whose outcome is unknown, equal files alone do not prove who wrote them;
-        // the state wanted is in force either way.
-        if unchanged && !self.wrote {
+        // After an own update with unknown outcome, equal files do not prove which apply wrote them, so the result
+        // cannot be `Unchanged`; the requested files are in force either way.
+        if unchanged && !self.sent_manifest {
             return self.finish(ApplyResult::Unchanged(self.current.generation));
         }
-        self.phase = ApplyPhase::Fetching;
-        self.fetch_or_check()
+        self.phase = ApplyPhase::ReadingContents;
+        self.read_contents_or_check()
     }
 
-    /// An edited file that somebody else changed since the operator's read.
+    /// Returns an edited file that another apply changed since the operator read it.
     fn conflicting_file(&self, base: &ConfigManifest) -> Option<String> {
         self.hashes.keys().find(|name| self.changed_since_read(name, base)).cloned()
     }
@@ -213,7 +215,7 @@
         }
     }
 
-    fn fetch_or_check(&mut self) -> ApplyAction {
+    fn read_contents_or_check(&mut self) -> ApplyAction {
         let missing = self
             .current
             .files
@@ -228,9 +230,9 @@
         if let Err(report) = self.check() {
             return self.finish(ApplyResult::Invalid(report.to_string()));
         }
-        self.phase = ApplyPhase::Storing;
-        self.to_store = self.edited.keys().cloned().collect();
-        self.store_or_move()
+        self.phase = ApplyPhase::StoringContents;
+        self.contents_to_store = self.edited.keys().cloned().collect();
+        self.store_or_update_manifest()
     }
 
     fn check(&self) -> Result<(), CheckReport> {
@@ -243,12 +245,12 @@
         check_files(self.next_generation(), &merged).map(|_| ())
     }
 
-    fn store_or_move(&mut self) -> ApplyAction {
-        if let Some(name) = self.to_store.front() {
+    fn store_or_update_manifest(&mut self) -> ApplyAction {
+        if let Some(name) = self.contents_to_store.front() {
             return ApplyAction::PutContent(self.hashes[name].clone(), self.edited[name].clone());
         }
-        self.phase = ApplyPhase::Moving;
-        self.wrote = true;
+        self.phase = ApplyPhase::UpdatingManifest;
+        self.sent_manifest = true;
         let record = ApplyRecord {
             apply: self.options.apply,
             generation: 0,
--- a/crates/config/src/archive.rs
+++ b/crates/config/src/archive.rs
@@ -1,7 +1,7 @@
-//! A configuration packed for its way to other daemons.
+//! Compresses a configuration for the transfer to other daemons.
 //!
-//! Owns: the packed form, which only daemons exchange; the platform keeps texts. Relies on: flate2, which
-//! packs equal texts alike.
+//! Owns: the compressed form, which only daemons exchange; the platform stores the texts uncompressed. Relies on:
+//! flate2, whose output is the same for the same input.
 
 use std::io::{Read, Write};
 
@@ -10,34 +10,34 @@
 use flate2::write::ZlibEncoder;
 use flate2::{Compression, Crc};
 
-/// Longest part in bytes: 52 ms on a link of 10 Mbit/s, the least that the users' VMs have, so that heartbeats and
-/// proofs behind it are not late; two parts for a megabyte of rules, so that changes in quick succession are not
-/// faster than the parts.
+/// Maximum size of a part in bytes. A part takes 52 ms on a link of 10 Mbit/s, the slowest link of the users' VMs, so
+/// that heartbeats and proofs of the newest configuration sent behind it are not late. A megabyte of rules needs two
+/// parts, so that configuration changes in quick succession do not arrive faster than their parts can be sent.
 pub const PART_BYTES: usize = 64 << 10;
-/// Longest first part in bytes: many ask for it at the same time.
+/// Maximum size of the first part in bytes; smaller, since many daemons request it at the same time.
 const FIRST_PART_BYTES: usize = 32 << 10;
-/// Longest configuration in bytes, packed or not: bounds what a peer can make this daemon hold; the platform's object
-/// has a megabyte.
+/// Maximum size of a configuration in bytes, compressed or not. Bounds the memory that a peer can make this daemon use;
+/// the platform's object has at most a megabyte.
 pub const ARCHIVE_LIMIT: usize = 16 << 20;
 
-/// Why an archive cannot be packed or unpacked.
+/// Why a configuration cannot be packed into or unpacked from an archive.
 #[derive(Debug, thiserror::Error)]
 pub enum ArchiveError {
-    /// The texts cannot be encoded or packed.
+    /// The files cannot be encoded or compressed, or are too long.
     #[error("archive: cannot be packed: {0}")]
     Pack(String),
-    /// The bytes are not those that the name tells of.
-    #[error("archive: the bytes do not match their name")]
+    /// The length or checksum of the bytes differs from that in the archive's id.
+    #[error("archive: the bytes do not match the length and checksum of the archive id")]
     Checksum,
-    /// The bytes do not unpack, or to more than a configuration may have.
-    #[error("archive: cannot be unpacked: {0}")]
+    /// The bytes cannot be decompressed.
+    #[error("archive: cannot be decompressed: {0}")]
     Unpack(std::io::Error),
-    /// What is unpacked is no configuration.
-    #[error("archive: does not decode: {0}")]
+    /// The decompressed bytes are not an encoded configuration; they may have been cut at [`ARCHIVE_LIMIT`].
+    #[error("archive: cannot be decoded: {0}")]
     Decode(postcard::Error),
 }
 
-/// A packed configuration. Packing makes a megabyte of rules about 100 kB long in 3 ms of a core.
+/// A compressed configuration. A megabyte of rules shrinks to about 100 kB, in 3 ms of one core.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigArchive {
     id: ArchiveId,
@@ -45,54 +45,61 @@
 }
 
 impl ConfigArchive {
-    /// Packs a configuration.
+    /// Encodes and compresses a configuration.
     ///
     /// # Errors
-    /// [`ArchiveError::Pack`] where it is too long.
+    /// [`ArchiveError::Pack`] if it is longer than [`ARCHIVE_LIMIT`] or cannot be encoded.
     pub fn pack(bundle: &ConfigBundle) -> Result<ConfigArchive, ArchiveError> {
         let pack_error = |error: &dyn std::fmt::Display| ArchiveError::Pack(error.to_string());
-        let plain = postcard::to_stdvec(&bundle.files).map_err(|error| pack_error(&error))?;
-        if plain.len() > ARCHIVE_LIMIT {
-            return Err(ArchiveError::Pack(format!("{} bytes are too many", plain.len())));
+        let encoded = postcard::to_stdvec(&bundle.files).map_err(|error| pack_error(&error))?;
+        if encoded.len() > ARCHIVE_LIMIT {
+            return Err(ArchiveError::Pack(format!(
+                "has {} bytes; at most {ARCHIVE_LIMIT} are allowed",
+                encoded.len()
+            )));
         }
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(&plain).map_err(|error| pack_error(&error))?;
+        encoder.write_all(&encoded).map_err(|error| pack_error(&error))?;
         let bytes = encoder.finish().map_err(|error| pack_error(&error))?;
         let length = u32::try_from(bytes.len()).map_err(|error| pack_error(&error))?;
         let generation = bundle.generation;
-        Ok(ConfigArchive { id: ArchiveId { generation, length, checksum: crc(&bytes) }, bytes })
+        Ok(ConfigArchive {
+            id: ArchiveId { generation, length, checksum: checksum(&bytes) },
+            bytes,
+        })
     }
 
-    /// Its name.
+    /// Returns the id: generation, length and checksum.
     pub fn id(&self) -> ArchiveId {
         self.id
     }
 
-    /// The part that begins at an offset, `None` where the archive ends before.
+    /// Returns the part that begins at an offset, or `None` if the offset is at or beyond the end of the archive.
     pub fn part(&self, offset: u32) -> Option<ConfigPart> {
-        let rest = self.bytes.get(offset as usize..).filter(|rest| !rest.is_empty())?;
-        let longest = if offset == 0 { FIRST_PART_BYTES } else { PART_BYTES };
-        let bytes = rest[..rest.len().min(longest)].to_vec();
+        let remaining =
+            self.bytes.get(offset as usize..).filter(|remaining| !remaining.is_empty())?;
+        let max_length = if offset == 0 { FIRST_PART_BYTES } else { PART_BYTES };
+        let bytes = remaining[..remaining.len().min(max_length)].to_vec();
         Some(ConfigPart { archive: self.id, offset, bytes })
     }
 
-    /// Unpacks the bytes of an archive.
+    /// Decompresses and decodes the bytes of an archive.
     ///
     /// # Errors
-    /// Where they are not that archive's, or do not unpack.
+    /// If length or checksum differ from the id, or the bytes cannot be decompressed or decoded.
     pub fn unpack(id: ArchiveId, bytes: &[u8]) -> Result<ConfigBundle, ArchiveError> {
-        if bytes.len() != id.length as usize || crc(bytes) != id.checksum {
+        if bytes.len() != id.length as usize || checksum(bytes) != id.checksum {
             return Err(ArchiveError::Checksum);
         }
-        let mut plain = Vec::new();
+        let mut encoded = Vec::new();
         let mut decoder = ZlibDecoder::new(bytes).take(ARCHIVE_LIMIT as u64);
-        decoder.read_to_end(&mut plain).map_err(ArchiveError::Unpack)?;
-        let files = postcard::from_bytes(&plain).map_err(ArchiveError::Decode)?;
+        decoder.read_to_end(&mut encoded).map_err(ArchiveError::Unpack)?;
+        let files = postcard::from_bytes(&encoded).map_err(ArchiveError::Decode)?;
         Ok(ConfigBundle { generation: id.generation, files })
     }
 }
 
-fn crc(bytes: &[u8]) -> u32 {
+fn checksum(bytes: &[u8]) -> u32 {
     let mut crc = Crc::new();
     crc.update(bytes);
     crc.sum()
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
-//! Builds a whole configuration out of the operators' files, or says all that is wrong.
+//! Builds a configuration from the operators' files, or reports all their problems.
 //!
-//! Owns: the rules that files have to meet together. Relies on: [`CheckedFile`] for those that each
-//! meets by itself.
+//! Owns: the checks across files: unique names, ranks and tokens, and references. Relies on: [`CheckedFile`] for the
+//! checks within one file.
 
 mod file;
 mod pool;
@@ -16,21 +16,21 @@
 use crate::problem::CheckReport;
 use crate::FileTexts;
 
-/// Checks all files together, references between files too.
+/// Checks all files, each by itself and all together.
 ///
 /// # Errors
-/// Every fault found, at once.
+/// All problems found.
 pub fn check_files(generation: Generation, files: &FileTexts) -> Result<ActiveConfig, CheckReport> {
     let files: Vec<CheckedFile> =
         files.iter().map(|(name, text)| CheckedFile::read(name, text)).collect();
-    join_files(generation, files.iter())
+    merge_files(generation, files.iter())
 }
 
-/// Joins files that were checked by themselves, and checks their references.
+/// Merges files that were checked by themselves into a configuration, and checks them together.
 ///
 /// # Errors
-/// Every fault found, at once.
-pub fn join_files<'f>(
+/// All problems found, including those of the single files.
+pub fn merge_files<'f>(
     generation: Generation,
     files: impl Iterator<Item = &'f CheckedFile>,
 ) -> Result<ActiveConfig, CheckReport> {
@@ -40,120 +40,146 @@
     for file in files {
         report.problems.extend(file.problems.iter().cloned());
         for section in &file.sections {
-            builder.section(SectionPlace { file, section }, &mut report);
+            builder.add_section(SectionLocation { file, section }, &mut report);
         }
     }
     let config = builder.finish(&mut report);
     report.into_result(config)
 }
 
-/// A section and its file.
+/// A section with the file that contains it.
 #[derive(Clone, Copy)]
-struct SectionPlace<'f> {
+struct SectionLocation<'f> {
     file: &'f CheckedFile,
     section: &'f CheckedSection,
 }
 
-impl SectionPlace<'_> {
-    fn fault(&self, key: &str, message: impl Into<String>, report: &mut CheckReport) {
+impl SectionLocation<'_> {
+    fn report_problem(&self, key: &str, message: impl Into<String>, report: &mut CheckReport) {
         report.add(&self.file.name, &self.section.title, key, message);
     }
 }
 
-/// Names and places of what the files refer to, for the check of references at the end.
+/// Collects the sections of all files, and checks the references between them at the end.
 #[derive(Default)]
 struct ConfigBuilder<'f> {
     config: ActiveConfig,
-    /// The files in which sections stand, by kind and name.
-    names: BTreeMap<(&'f str, &'f str), &'f CheckedFile>,
-    targets: Vec<(&'f TargetEntry, &'f str, SectionPlace<'f>)>,
-    rule_places: Vec<SectionPlace<'f>>,
+    /// The file that contains each section, by the section's kind and name.
+    section_files: BTreeMap<(&'f str, &'f str), &'f CheckedFile>,
+    targets: Vec<(&'f TargetEntry, &'f str, SectionLocation<'f>)>,
+    rule_locations: Vec<SectionLocation<'f>>,
 }
 
 impl<'f> ConfigBuilder<'f> {
-    fn section(&mut self, place: SectionPlace<'f>, report: &mut CheckReport) {
-        let section = place.section;
-        self.claim(place, report);
+    fn add_section(&mut self, location: SectionLocation<'f>, report: &mut CheckReport) {
+        let section = location.section;
+        self.register_name(location, report);
         report.problems.extend(section.problems.iter().cloned());
         match &section.content {
-            SectionContent::Tier(tier) => self.tier(tier, place, report),
-            SectionContent::Account(account) => self.account(account, place, report),
+            SectionContent::Tier(tier) => self.add_tier(tier, location, report),
+            SectionContent::Account(account) => self.add_account(account, location, report),
             SectionContent::Callers(idle) => self.config.idle_limit = Some(*idle),
             SectionContent::Pool(pool) => {
                 self.config.pools.insert(pool.id.clone(), pool.clone());
             }
-            SectionContent::Target(target, pool) => self.targets.push((target, pool, place)),
+            SectionContent::Target(target, pool) => self.targets.push((target, pool, location)),
             SectionContent::Rule(rule) => {
-                self.rule_places.push(place);
+                self.rule_locations.push(location);
                 self.config.rules.push(rule.clone());
             }
             SectionContent::Unknown => {}
         }
     }
 
-    /// Takes the name of a section and reports an earlier section with the same kind and name.
-    fn claim(&mut self, place: SectionPlace<'f>, report: &mut CheckReport) {
-        let section = place.section;
+    /// Registers the name of a section, and reports a problem if an earlier section has the same kind and name.
+    fn register_name(&mut self, location: SectionLocation<'f>, report: &mut CheckReport) {
+        let section = location.section;
         if section.content == SectionContent::Unknown {
             return;
         }
         // The first word of the title is the kind.
         let kind = section.title.split_whitespace().next().unwrap_or_default();
-        if let Some(other) = self.names.insert((kind, &section.name), place.file) {
-            let message = format!("stands already in {}; each id may stand once", other.name);
-            place.fault("", message, report);
+        if let Some(other) = self.section_files.insert((kind, &section.name), location.file) {
+            let message =
+                format!("stands already in {}; each kind and name may occur once", other.name);
+            location.report_problem("", message, report);
         }
     }
 
-    fn tier(&mut self, tier: &TierRule, place: SectionPlace<'_>, report: &mut CheckReport) {
+    fn add_tier(
+        &mut self,
+        tier: &TierRule,
+        location: SectionLocation<'_>,
+        report: &mut CheckReport,
+    ) {
         let (id, rank) = (&tier.id, tier.rank);
-        let same = self.config.tiers.values().find(|tier| tier.rank == rank && tier.id != *id);
-        if let Some(other) = same {
-            let message = format!("{rank} is the rank of tier {} too; ranks must differ", other.id);
-            place.fault("rank", message, report);
+        let duplicate = self.config.tiers.values().find(|tier| tier.rank == rank && tier.id != *id);
+        if let Some(other) = duplicate {
+            let message =
+                format!("{rank} is also the rank of tier {}; ranks must differ", other.id);
+            location.report_problem("rank", message, report);
         }
         self.config.tiers.insert(id.clone(), tier.clone());
     }
 
-    fn account(
+    fn add_account(
         &mut self,
         account: &ClientAccount,
-        place: SectionPlace<'_>,
+        location: SectionLocation<'_>,
         report: &mut CheckReport,
     ) {
         for token in &account.tokens {
             if let Some(other) = self.config.tokens.insert(token.clone(), account.id.clone()) {
-                let message = format!("is the token of account {other} too");
-                place.fault("token_sha256", message, report);
+                let message =
+                    format!("contains a token of account {other}; each token may occur once");
+                location.report_problem("token_sha256", message, report);
             }
         }
         self.config.accounts.insert(account.id.clone(), account.clone());
     }
 
-    /// Checks the references and sorts the rules.
+    /// Checks the references and sorts the rules by order and id.
     fn finish(mut self, report: &mut CheckReport) -> ActiveConfig {
-        for (target, pool, place) in std::mem::take(&mut self.targets) {
+        for (target, pool, location) in std::mem::take(&mut self.targets) {
             match self.config.pools.get_mut(pool) {
                 Some(entry) => {
                     entry.targets.insert(target.id.clone(), target.clone());
                 }
                 None if pool.is_empty() => {}
-                None => place.fault("pool", format!("there is no [pool {pool}]"), report),
+                None => location.report_problem(
+                    "pool",
+                    format!("there is no [pool {pool}]; it should name an existing pool"),
+                    report,
+                ),
             }
         }
-        for (rule, place) in self.config.rules.iter().zip(&self.rule_places) {
+        for (rule, location) in self.config.rules.iter().zip(&self.rule_locations) {
             if !rule.tier.is_empty() && !self.config.tiers.contains_key(&rule.tier) {
-                place.fault("tier", format!("there is no [tier {}]", rule.tier), report);
+                location.report_problem(
+                    "tier",
+                    format!("there is no [tier {}]; it should name an existing tier", rule.tier),
+                    report,
+                );
             }
             for pool in rule.pools().filter(|pool| !pool.is_empty()) {
                 if !self.config.pools.contains_key(pool) {
-                    place.fault("pool", format!("there is no [pool {pool}]"), report);
+                    location.report_problem(
+                        "pool",
+                        format!("there is no [pool {pool}]; it should name an existing pool"),
+                        report,
+                    );
                 }
             }
             if let Some(account) =
                 rule.account.as_ref().filter(|id| !self.config.accounts.contains_key(*id))
             {
-                place.fault("account", format!("there is no [account {account}]"), report);
+                location.report_problem(
+                    "account",
+                    format!(
+                        "there is no [account {account}]; it should be an existing account or *"
+                    ),
+                    report,
+                );
             }
         }
         self.config.rules.sort_by(|a, b| (a.order, &a.id).cmp(&(b.order, &b.id)));
--- a/crates/config/src/check/file.rs
+++ b/crates/config/src/check/file.rs
@@ -1,7 +1,6 @@
-//! One file, read and checked by itself.
+//! Reads and checks one file by itself.
 //!
-//! Owns: the rules that a section has to meet without a look at the others. Relies on: `reader` for
-//! sections and values.
+//! Owns: the checks of a section that need no other section. Relies on: `reader` for sections and values.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +10,18 @@
     TargetEntry, TargetPool, TierRule, TokenHash,
 };
 
-use super::pool::target_pool;
+use super::pool::read_target_pool;
 use crate::problem::{CheckReport, ConfigProblem};
 use crate::reader::{IniFile, IniSection};
 
-/// What a section says.
+/// The content of a section.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SectionContent {
     /// A tier.
     Tier(TierRule),
     /// A client account.
     Account(ClientAccount),
-    /// Time for which callers' connections may rest.
+    /// Time for which a caller's connection may be idle.
     Callers(Duration),
     /// A pool without its targets.
     Pool(TargetPool),
@@ -30,60 +29,60 @@
     Target(TargetEntry, PoolId),
     /// An admission rule.
     Rule(Arc<AdmissionRule>),
-    /// A kind of section that is not known.
+    /// A section of an unknown kind.
     Unknown,
 }
 
-/// A section and what is wrong with it by itself.
+/// A section and the problems found in it by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CheckedSection {
     /// Title as written.
     pub title: String,
-    /// Name after the kind; two sections of a kind must not share it.
+    /// Name after the kind; unique among the sections of a kind.
     pub name: String,
-    /// What it says; defaults stand for what is wrong.
+    /// The content; an invalid value is replaced by its default or an empty one.
     pub content: SectionContent,
-    /// What is wrong.
+    /// Problems of the section.
     pub problems: Vec<ConfigProblem>,
 }
 
-/// A file and what is wrong with it by itself.
+/// A file and the problems found in it by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CheckedFile {
     /// File name.
     pub name: String,
-    /// Its sections in order.
+    /// The sections in the order of the file.
     pub sections: Vec<CheckedSection>,
-    /// What is wrong with the file as a whole.
+    /// Problems of the file as a whole.
     pub problems: Vec<ConfigProblem>,
 }
 
 impl CheckedFile {
-    /// Reads a file.
+    /// Reads and checks a file.
     pub fn read(name: &str, text: &str) -> CheckedFile {
         let mut report = CheckReport::default();
         let file = IniFile::parse(name, text, &mut report);
-        let sections = file.sections().map(checked_section).collect();
+        let sections = file.sections().map(check_section).collect();
         CheckedFile { name: name.to_string(), sections, problems: report.problems }
     }
 }
 
-fn checked_section(mut section: IniSection<'_>) -> CheckedSection {
+fn check_section(mut section: IniSection<'_>) -> CheckedSection {
     let mut report = CheckReport::default();
     let title = section.title().to_string();
-    let read = match section.kind() {
-        "tier" => tier,
-        "account" => account,
-        "pool" => pool,
-        "target" => target,
-        "rule" => rule,
-        "callers" => callers,
+    let read_content = match section.kind() {
+        "tier" => read_tier,
+        "account" => read_account,
+        "pool" => read_pool,
+        "target" => read_target,
+        "rule" => read_rule,
+        "callers" => read_callers,
         kind => {
             let message = format!(
-                "'{kind}' is no kind of section; known are tier, account, pool, target, rule, \
+                "'{kind}' is no kind of section; known kinds are tier, account, pool, target, rule, \
                  callers"
             );
-            section.fault("", message, &mut report);
+            section.report_problem("", message, &mut report);
             let content = SectionContent::Unknown;
             return CheckedSection {
                 title,
@@ -94,32 +93,40 @@
         }
     };
     let name = section.name(&mut report);
-    let content = read(name.clone(), &mut section, &mut report);
+    let content = read_content(name.clone(), &mut section, &mut report);
     section.finish(&mut report);
     CheckedSection { title, name, content, problems: report.problems }
 }
 
-fn tier(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+fn read_tier(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
     let rank = section.number("rank", 0, 0..=15, report) as u8;
     if section.text("rank").is_none() {
-        section.fault("rank", "is missing; 0 is the highest tier", report);
+        section.report_problem(
+            "rank",
+            "is missing; it should be a whole number from 0, the highest tier, to 15",
+            report,
+        );
     }
     let deadline = section.duration("deadline", Duration::from_secs(30), report);
     SectionContent::Tier(TierRule { id, rank, deadline })
 }
 
-fn account(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+fn read_account(
+    id: String,
+    section: &mut IniSection<'_>,
+    report: &mut CheckReport,
+) -> SectionContent {
     let text = section.required("token_sha256", report);
     let tokens: Vec<TokenHash> = text.split(',').filter_map(TokenHash::from_hex).collect();
     if tokens.len() != text.split(',').count() && !text.is_empty() {
-        section.fault(
+        section.report_problem(
             "token_sha256",
-            "should be the 64 hexadecimal digits of the token's SHA-256, or several by commas",
+            "should be the 64 hexadecimal digits of the token's SHA-256, or several of these separated by commas",
             report,
         );
     }
     let rank = section.text("rank").map(|_| section.number("rank", 0, 0..=15, report) as u8);
-    let shared_rate = shared_rate(section, report);
+    let shared_rate = read_shared_rate(section, report);
     let weight = section.number("weight", 1, 1..=1_000, report) as u32;
     let rate = section.number("rate_per_s", 0, 0..=1_000_000, report) as u32;
     let queue_limit = section.number("queue_limit", 10_000, 1..=1_000_000, report) as u32;
@@ -135,47 +142,55 @@
     })
 }
 
-fn callers(_: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+fn read_callers(
+    _: String,
+    section: &mut IniSection<'_>,
+    report: &mut CheckReport,
+) -> SectionContent {
     SectionContent::Callers(section.duration("idle_limit", Duration::from_secs(15), report))
 }
 
-fn pool(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
-    SectionContent::Pool(target_pool(id, section, report))
+fn read_pool(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+    SectionContent::Pool(read_target_pool(id, section, report))
 }
 
-fn target(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+fn read_target(
+    id: String,
+    section: &mut IniSection<'_>,
+    report: &mut CheckReport,
+) -> SectionContent {
     let pool = section.required("pool", report);
     let target = TargetEntry {
         id,
         address: section.address("address", report),
         vm: section.required("vm", report),
-        // A target without one counts as near to all daemons.
+        // A target without a data centre counts as near to all daemons.
         data_centre: section.text("data_centre").unwrap_or_default(),
         slots: section.number("slots", 8, 1..=4_096, report) as u32,
-        // Files name no start: the id stands for the target's life.
+        // Files give no start time: the id alone identifies the target instance.
         start: None,
         version: None,
     };
     SectionContent::Target(target, pool)
 }
 
-fn rule(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
+fn read_rule(id: String, section: &mut IniSection<'_>, report: &mut CheckReport) -> SectionContent {
     let path = section.required("path", report);
     if !path.is_empty() && !path.starts_with('/') {
-        section.fault("path", format!("'{path}' should begin with /"), report);
+        section.report_problem("path", format!("'{path}' should begin with /"), report);
     }
     let header = section.text("header").and_then(|text| match text.split_once('=') {
         Some((name, value)) => Some((name.trim().to_ascii_lowercase(), value.trim().to_string())),
         None => {
-            section.fault("header", format!("'{text}' should be name=value"), report);
+            section.report_problem("header", format!("'{text}' should be name=value"), report);
             None
         }
     });
-    let service = service_terms(section, report);
+    let service = read_service_terms(section, report);
     SectionContent::Rule(Arc::new(AdmissionRule {
         id,
         host: section.text("host").filter(|text| !text.is_empty()),
-        split: pool_shares(section, report),
+        split: read_pool_shares(section, report),
         public: section.flag("public", false, report),
         service,
         order: section.number("order", 100, 0..=100_000, report) as u32,
@@ -190,25 +205,25 @@
     }))
 }
 
-/// The rate of an account that holds over all daemons together.
-fn shared_rate(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<SharedRate> {
+/// Reads the rate limit of an account that all daemons share.
+fn read_shared_rate(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<SharedRate> {
     let per_s = section.number("shared_rate_per_s", 0, 0..=u64::MAX >> 20, report);
     let burst = section.number("shared_burst", per_s, 0..=u64::MAX >> 20, report);
-    let plain = section.number("plain_request_tokens", 0, 0..=u64::MAX >> 20, report);
+    let plain_tokens = section.number("plain_request_tokens", 0, 0..=u64::MAX >> 20, report);
     let unit = match section.text("shared_rate_unit").as_deref() {
         None | Some("requests") => RateUnit::Request,
-        Some("tokens") => RateUnit::Tokens(plain),
+        Some("tokens") => RateUnit::Tokens(plain_tokens),
         Some(other) => {
             let message = format!("'{other}' should be requests or tokens");
-            section.fault("shared_rate_unit", message, report);
+            section.report_problem("shared_rate_unit", message, report);
             RateUnit::Request
         }
     };
     (per_s > 0).then_some(SharedRate { per_s, burst, unit })
 }
 
-/// Pools and weights, written as `name:weight` by commas.
-fn pool_shares(section: &mut IniSection<'_>, report: &mut CheckReport) -> Vec<PoolShare> {
+/// Reads pools and their weights, written as `name:weight` and separated by commas.
+fn read_pool_shares(section: &mut IniSection<'_>, report: &mut CheckReport) -> Vec<PoolShare> {
     let Some(text) = section.text("split") else { return Vec::new() };
     let mut shares = Vec::new();
     for part in text.split(',') {
@@ -217,20 +232,24 @@
         });
         match share {
             Some(share) => shares.push(share),
-            None => section.fault("split", format!("'{part}' should be pool:weight"), report),
+            None => section.report_problem(
+                "split",
+                format!("'{part}' should be pool:weight, such as main:90"),
+                report,
+            ),
         }
     }
     shares
 }
 
-fn service_terms(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceTerms {
+fn read_service_terms(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceTerms {
     let defaults = ServiceTerms::default();
-    let mut time = |key: &'static str| {
+    let mut optional_duration = |key: &'static str| {
         section.text(key).map(|_| section.duration(key, Duration::from_secs(30), report))
     };
-    let timeout = time("timeout");
-    let objective = time("objective");
-    let pause_limit = time("pause_limit");
+    let timeout = optional_duration("timeout");
+    let objective = optional_duration("objective");
+    let pause_limit = optional_duration("pause_limit");
     let attempts = section.number("attempt_limit", defaults.attempt_limit.into(), 1..=100, report);
     ServiceTerms {
         timeout,
--- a/crates/config/src/check/pool.rs
+++ b/crates/config/src/check/pool.rs
@@ -1,6 +1,6 @@
-//! The section of a pool.
+//! Reads the section of a pool.
 //!
-//! Owns: nothing; pure functions. Relies on: the section's reader, which reports what is wrong.
+//! Owns: the defaults and ranges of a pool's keys. Relies on: `reader` for values and the report of problems.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use crate::problem::CheckReport;
 use crate::reader::IniSection;
 
-/// Work of a prompt's token on an engine, in microseconds, where the file has none.
+/// Default work of a prompt token on an engine, in microseconds.
 const PROMPT_TOKEN_US: u64 = 100;
-/// Work of an answer's token on an engine, in microseconds, where the file has none.
+/// Default work of an answer token on an engine, in microseconds.
 const OUTPUT_TOKEN_US: u64 = 10_000;
 
-/// A pool without targets.
-pub fn target_pool(
+/// Reads a pool; its targets have sections of their own and are added later.
+pub fn read_target_pool(
     id: PoolId,
     section: &mut IniSection<'_>,
     report: &mut CheckReport,
 ) -> TargetPool {
-    let kind = pool_kind(section, report);
+    let kind = read_pool_kind(section, report);
     let (prompt_token, output_token) = match kind {
         PoolKind::Engine => (PROMPT_TOKEN_US, OUTPUT_TOKEN_US),
         PoolKind::Service => (0, 0),
@@ -29,25 +29,25 @@
     TargetPool {
         id,
         kind,
-        not_started_status: not_started_status(section, report),
+        not_started_status: read_not_started_status(section, report),
         queue_limit: section.number("queue_limit", 1_000, 1..=1_000_000, report) as u32,
         reserve_percent: section.number("reserve_percent", 0, 0..=90, report) as u32,
         cached_prefixes: section.number("cached_prefixes", 16, 0..=100_000, report) as u32,
         prompt_token_us: section.number("prompt_token_us", prompt_token, 0..=1_000_000, report),
         output_token_us: section.number("output_token_us", output_token, 0..=1_000_000, report),
         base_us: section.number("base_us", 5_000, 1..=600_000_000, report),
-        limits: target_limits(kind, section, report),
+        limits: read_target_limits(kind, section, report),
         end_event: section.text("end_event").filter(|text| !text.is_empty()),
         resumable: section.flag("resumable", false, report),
         reuse_connections: section.flag("reuse_connections", false, report),
-        connection_limit: connection_limit(section, report),
-        report_path: report_path(section, report),
+        connection_limit: read_connection_limit(section, report),
+        report_path: read_report_path(section, report),
         targets: BTreeMap::new(),
         is_rolled_out: false,
     }
 }
 
-fn target_limits(
+fn read_target_limits(
     kind: PoolKind,
     section: &mut IniSection<'_>,
     report: &mut CheckReport,
@@ -60,16 +60,16 @@
     }
 }
 
-/// Connections to a target at most; 0 for no limit.
-fn connection_limit(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u32> {
+/// Reads the maximum number of connections to a target; 0 for no limit.
+fn read_connection_limit(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u32> {
     let limit = section.number("connection_limit", 0, 0..=1 << 20, report) as u32;
     (limit > 0).then_some(limit)
 }
 
-fn report_path(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<String> {
+fn read_report_path(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<String> {
     let path = section.text("report_path").filter(|text| !text.is_empty());
     if path.as_ref().is_some_and(|path| !path.starts_with('/')) {
-        section.fault("report_path", "should begin with /", report);
+        section.report_problem("report_path", "should begin with /, such as /report", report);
     }
     path
 }
@@ -89,23 +89,27 @@
     }
 }
 
-fn pool_kind(section: &mut IniSection<'_>, report: &mut CheckReport) -> PoolKind {
+fn read_pool_kind(section: &mut IniSection<'_>, report: &mut CheckReport) -> PoolKind {
     match section.required("kind", report).as_str() {
         "engine" => PoolKind::Engine,
         "service" | "" => PoolKind::Service,
         other => {
-            section.fault("kind", format!("'{other}' should be engine or service"), report);
+            section.report_problem(
+                "kind",
+                format!("'{other}' should be engine or service"),
+                report,
+            );
             PoolKind::Service
         }
     }
 }
 
-/// Status with which a target says that it did not start a request; 0 for none.
-fn not_started_status(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u16> {
+/// Reads the status with which a target reports that it did not start a request; 0 for none.
+fn read_not_started_status(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<u16> {
     let status = section.number("not_started_status", 0, 0..=599, report) as u16;
     if status != 0 && status < 400 {
-        let message = format!("{status} should be a status from 400 to 599");
-        section.fault("not_started_status", message, report);
+        let message = format!("'{status}' should be 0 or a status from 400 to 599");
+        section.report_problem("not_started_status", message, report);
     }
     (status > 0).then_some(status)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' files and the daemon's settings: reading, checking, manifest and apply.
 //!
-//! All files are INI. Every fault of every file is reported at once, with file, section, key and
-//! what would be right. Nothing in this crate performs input or output.
+//! All files are INI. A check reports every problem of every file at once, each with its file, section, key and the
+//! expected value. Nothing in this crate performs input or output.
 
 mod apply;
 mod archive;
@@ -22,5 +22,5 @@
 pub use settings::{check_settings, DaemonSettings, FleetBounds, PlatformKind, RolloutBounds};
 pub use store::{ConfigStore, StoreChange};
 
-/// Texts of the files of a configuration by file name.
+/// Contents of the files of a configuration, by file name.
 pub type FileTexts = std::collections::BTreeMap<String, String>;
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -1,6 +1,6 @@
-//! The manifest: the one object whose versions order all configurations.
+//! The manifest: the single stored object that names the files in force and orders all configurations.
 //!
-//! Owns: the form of the manifest as stored. Relies on: the object API for its versions.
+//! Owns: the stored form of the manifest. Relies on: the object API for the versions of the object.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 
 /// Key of the manifest in the object API.
 pub const MANIFEST_KEY: &str = "config/manifest";
-/// Applies that the manifest remembers.
+/// Number of latest applies that the manifest keeps.
 pub const HISTORY_LENGTH: usize = 100;
 
-/// What is in force: the files by the hash of their contents, and who applied what.
+/// The files in force by the hash of their contents, and the latest applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigManifest {
-    /// Place in the order of configurations; counts up by one with each apply.
+    /// Number of this configuration; each apply increments it by one.
     pub generation: Generation,
     /// Content hash by file name.
     pub files: BTreeMap<String, String>,
@@ -27,30 +27,30 @@
 /// One apply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ApplyRecord {
-    /// Drawn by the tool; tells whether an apply whose answer was lost took effect.
+    /// Random id from the tool; shows whether an apply whose answer was lost took effect.
     pub apply: Uuid,
-    /// Generation that it made.
+    /// Generation that the apply created.
     pub generation: Generation,
-    /// Operator, from the command line.
+    /// Name of the operator, from the command line.
     pub operator: String,
-    /// Seconds since the Unix epoch at the operator's VM.
+    /// Seconds since the Unix epoch, by the clock of the operator's VM.
     pub applied_at: u64,
-    /// Files that it changed.
+    /// Names of the files that were applied.
     pub files: Vec<String>,
 }
 
 impl ConfigManifest {
-    /// The record of an apply, where it is still remembered.
+    /// Returns the record of an apply, or `None` if the history does not hold it.
     pub fn record(&self, apply: Uuid) -> Option<&ApplyRecord> {
         self.history.iter().find(|record| record.apply == apply)
     }
 
-    /// The latest apply that changed a file.
+    /// Returns the latest apply in the history that contained a file.
     pub fn last_change(&self, file: &str) -> Option<&ApplyRecord> {
         self.history.iter().rev().find(|record| record.files.iter().any(|name| name == file))
     }
 
-    /// The manifest after an apply of some files.
+    /// Returns the manifest that an apply of `files` (content hash by name) leads to.
     pub fn succeed(
         &self,
         files: &BTreeMap<String, String>,
@@ -62,35 +62,35 @@
         record.files = files.keys().cloned().collect();
         next.files.extend(files.clone());
         next.history.push(record);
-        let surplus = next.history.len().saturating_sub(HISTORY_LENGTH);
-        next.history.drain(..surplus);
+        let excess = next.history.len().saturating_sub(HISTORY_LENGTH);
+        next.history.drain(..excess);
         next
     }
 }
 
-/// Hash under which a file's content is stored.
+/// Returns the hash under which a file's content is stored.
 pub fn content_hash(text: &str) -> String {
-    // The token hash is plain SHA-256, which is what contents are named by too.
+    // The token hash is plain SHA-256, which is also the content hash.
     format!("{:x}", HexHash(text))
 }
 
-/// Key of a content in the object API.
+/// Returns the key in the object API of the content with this hash.
 pub fn content_key(hash: &str) -> String {
     format!("config/content/{hash}")
 }
 
-/// Bytes of a manifest as stored.
+/// Encodes a manifest as stored.
 ///
 /// # Errors
-/// The JSON error where it cannot be written; nothing may be stored in its place.
+/// The JSON error if it cannot be encoded; the caller must not store anything then.
 pub fn manifest_bytes(manifest: &ConfigManifest) -> Result<Vec<u8>, serde_json::Error> {
     serde_json::to_vec(manifest)
 }
 
-/// Reads a stored manifest.
+/// Decodes a stored manifest.
 ///
 /// # Errors
-/// The JSON error where the object is not a manifest.
+/// The JSON error if the object is not a manifest.
 pub fn parse_manifest(bytes: &[u8]) -> Result<ConfigManifest, serde_json::Error> {
     serde_json::from_slice(bytes)
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,21 +1,21 @@
-//! Faults of a file, as an operator reads them.
+//! Problems found in the operators' files.
 //!
-//! Owns: the wording of what is wrong with a file. Relies on: nothing.
+//! Owns: the form in which operators read a problem. Relies on: nothing.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One fault, with its place and what would be right.
+/// One problem, with its location and what is expected there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct ConfigProblem {
     /// File name.
     pub file: String,
-    /// Section as written, empty for faults of the whole file.
+    /// Section title as written, empty for problems of the whole file.
     pub section: String,
-    /// Key, empty for faults of the whole section.
+    /// Key, empty for problems of the whole section.
     pub key: String,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// Every fault that a check found.
+/// All problems that a check found.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, thiserror::Error)]
-#[error("config: {} problem(s): {}", problems.len(), join(problems))]
+#[error("config: {} problem(s): {}", problems.len(), join_problems(problems))]
 pub struct CheckReport {
-    /// The faults in the order of the files.
+    /// The problems in the order of the files.
     pub problems: Vec<ConfigProblem>,
 }
 
 impl CheckReport {
-    /// Adds a fault.
+    /// Adds a problem.
     pub fn add(&mut self, file: &str, section: &str, key: &str, message: impl Into<String>) {
         self.problems.push(ConfigProblem {
             file: file.to_string(),
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Gives the value back if there is no fault.
+    /// Returns the value if there are no problems, otherwise the report as the error.
     pub fn into_result<T>(self, value: T) -> Result<T, CheckReport> {
         if self.problems.is_empty() {
             Ok(value)
@@ -61,6 +61,6 @@
     }
 }
 
-fn join(problems: &[ConfigProblem]) -> String {
+fn join_problems(problems: &[ConfigProblem]) -> String {
     problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads INI texts into sections and takes typed values out of them.
+//! Parses INI files into sections and reads typed values from them.
 //!
 //! Owns: the syntax of INI files and of their values. Relies on: rust-ini.
 
@@ -10,14 +10,14 @@
 
 use crate::problem::CheckReport;
 
-/// Longest file that is read, in bytes. The platform holds values up to a megabyte.
+/// Maximum size of a file in bytes. The platform stores values of up to a megabyte.
 const FILE_LIMIT: usize = 1_000_000;
 
-/// Added to a ratio in percent before its whole part is taken: 0.29 times 100 is 28.999999999999996. Far below any
-/// ratio that a file names, far above the error of a multiplication.
+/// Added to a ratio in percent before it is rounded down, as 0.29 * 100 is 28.999999999999996 in floating point. Far
+/// smaller than any ratio in a file, far larger than the rounding error of a multiplication.
 const PERCENT_ERROR: f64 = 1e-6;
 
-/// A parsed file.
+/// A parsed INI file.
 #[derive(Debug)]
 pub struct IniFile {
     name: String,
@@ -25,7 +25,7 @@
 }
 
 impl IniFile {
-    /// Parses a text. Faults of form go into the report and give an empty file.
+    /// Parses a file. If it is too long or not INI, adds the problem to the report and returns an empty file.
     pub fn parse(name: &str, text: &str, report: &mut CheckReport) -> IniFile {
         let mut file = IniFile { name: name.to_string(), sections: Vec::new() };
         if text.len() > FILE_LIMIT {
@@ -40,7 +40,7 @@
         let ini = match Ini::load_from_str_noescape(text) {
             Ok(ini) => ini,
             Err(error) => {
-                report.add(name, "", "", format!("is not INI: {error}"));
+                report.add(name, "", "", format!("is not a valid INI file: {error}"));
                 return file;
             }
         };
@@ -52,49 +52,54 @@
             match section {
                 Some(section) => file.sections.push((section.trim().to_string(), pairs)),
                 None if pairs.is_empty() => {}
-                None => report.add(name, "", &pairs[0].0, "stands before the first [section]"),
+                None => report.add(
+                    name,
+                    "",
+                    &pairs[0].0,
+                    "stands before the first [section]; move it below a section title",
+                ),
             }
         }
         file
     }
 
-    /// The sections in the order of the file.
+    /// Returns the sections in the order of the file.
     pub fn sections(&self) -> impl Iterator<Item = IniSection<'_>> {
         self.sections.iter().map(|(title, pairs)| IniSection {
             file: &self.name,
             title,
             pairs,
-            used: BTreeSet::new(),
+            read_keys: BTreeSet::new(),
         })
     }
 }
 
-/// One section; remembers which keys were asked for, so that unknown ones can be reported.
+/// One section. Records which keys were read, so that `finish` can report the unknown ones.
 #[derive(Debug)]
 pub struct IniSection<'a> {
     file: &'a str,
     title: &'a str,
     pairs: &'a [(String, String)],
-    used: BTreeSet<&'static str>,
+    read_keys: BTreeSet<&'static str>,
 }
 
 impl<'a> IniSection<'a> {
-    /// File name.
+    /// Returns the file name.
     pub fn file(&self) -> &'a str {
         self.file
     }
 
-    /// The text between the brackets.
+    /// Returns the text between the brackets.
     pub fn title(&self) -> &'a str {
         self.title
     }
 
-    /// First word of the title.
+    /// Returns the first word of the title.
     pub fn kind(&self) -> &'a str {
         self.title.split_whitespace().next().unwrap_or("")
     }
 
-    /// Second word of the title, checked as a name.
+    /// Returns the second word of the title, and reports a problem unless it is a valid name and the last word.
     pub fn name(&self, report: &mut CheckReport) -> String {
         let mut words = self.title.split_whitespace().skip(1);
         let name = words.next().unwrap_or("").to_string();
@@ -102,38 +107,38 @@
             && name.len() <= 64
             && name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         if !valid || words.next().is_some() {
-            let wanted = format!(
+            let expected = format!(
                 "[{} NAME] with a name of 1 to 64 letters, digits, '-', '_' or '.'",
                 self.kind()
             );
-            report.add(self.file, self.title, "", format!("the title should be {wanted}"));
+            report.add(self.file, self.title, "", format!("the title should be {expected}"));
         }
         name
     }
 
-    /// Reports a fault of a key of this section.
-    pub fn fault(&self, key: &str, message: impl Into<String>, report: &mut CheckReport) {
+    /// Reports a problem of a key of this section, or of the whole section if the key is empty.
+    pub fn report_problem(&self, key: &str, message: impl Into<String>, report: &mut CheckReport) {
         report.add(self.file, self.title, key, message);
     }
 
-    /// An optional text.
+    /// Reads an optional text.
     pub fn text(&mut self, key: &'static str) -> Option<String> {
-        self.used.insert(key);
+        self.read_keys.insert(key);
         self.pairs.iter().find(|(name, _)| name == key).map(|(_, value)| value.trim().to_string())
     }
 
-    /// A text that has to be there.
+    /// Reads a text; reports a problem if it is missing or empty.
     pub fn required(&mut self, key: &'static str, report: &mut CheckReport) -> String {
         match self.text(key) {
             Some(text) if !text.is_empty() => text,
             _ => {
-                self.fault(key, "is missing; it must be set", report);
+                self.report_problem(key, "is missing; it must be set", report);
                 String::new()
             }
         }
     }
 
-    /// A whole number in a range.
+    /// Reads a whole number within a range.
     pub fn number(
         &mut self,
         key: &'static str,
@@ -141,50 +146,50 @@
         range: RangeInclusive<u64>,
         report: &mut CheckReport,
     ) -> u64 {
-        // Why a text is no number does not matter; the fault names the text.
-        let parsed = |text: &str| text.parse::<u64>().ok();
-        self.parsed_number(key, default, range, "a whole number", parsed, report)
+        // The parser's error is dropped: the reported problem quotes the text and the expected range.
+        let parse = |text: &str| text.parse::<u64>().ok();
+        self.parse_in_range(key, default, range, "a whole number", parse, report)
     }
 
-    fn parsed_number(
+    fn parse_in_range(
         &mut self,
         key: &'static str,
         default: u64,
         range: RangeInclusive<u64>,
-        wanted: &str,
-        parsed: impl Fn(&str) -> Option<u64>,
+        expected: &str,
+        parse: impl Fn(&str) -> Option<u64>,
         report: &mut CheckReport,
     ) -> u64 {
         let Some(text) = self.text(key) else { return default };
-        match parsed(&text) {
+        match parse(&text) {
             Some(number) if range.contains(&number) => number,
             _ => {
-                let (least, most) = (range.start(), range.end());
-                let message = format!("'{text}' should be {wanted} from {least} to {most}");
-                self.fault(key, message, report);
+                let (min, max) = (range.start(), range.end());
+                let message = format!("'{text}' should be {expected} from {min} to {max}");
+                self.report_problem(key, message, report);
                 default
             }
         }
     }
 
-    /// A limit such as `52` or `33.16`, of which the whole part is kept: a platform may give a fraction, and
-    /// a limit that is rounded up would be exceeded.
-    pub fn whole_limit(
+    /// Reads a limit such as `52` or `33.16` and rounds it down. A platform may give a fraction, and rounding up would
+    /// allow more than the limit.
+    pub fn number_rounded_down(
         &mut self,
         key: &'static str,
         default: u64,
         range: RangeInclusive<u64>,
         report: &mut CheckReport,
     ) -> u64 {
-        // As above; an infinite number becomes the largest one, which no range contains.
-        let parsed = |text: &str| {
+        // The parser's error is dropped, as in `number`. Infinity becomes `u64::MAX`, which no range contains.
+        let parse = |text: &str| {
             let number = text.parse::<f64>().ok();
             number.filter(|number| *number >= 0.0).map(|number| number as u64)
         };
-        self.parsed_number(key, default, range, "a number", parsed, report)
+        self.parse_in_range(key, default, range, "a number", parse, report)
     }
 
-    /// A time with its unit: `250ms`, `5s`, `10m` or `1h`.
+    /// Reads a duration above zero with its unit: `250ms`, `5s`, `10m` or `1h`.
     pub fn duration(
         &mut self,
         key: &'static str,
@@ -195,7 +200,7 @@
         match parse_duration(&text) {
             Some(duration) if !duration.is_zero() => duration,
             _ => {
-                self.fault(
+                self.report_problem(
                     key,
                     format!("'{text}' should be a time with a unit, such as 250ms, 5s, 10m or 1h"),
                     report,
@@ -205,20 +210,23 @@
         }
     }
 
-    /// A ratio such as `0.2`, in whole percent; what exceeds the last one is left out, so that no limit is
-    /// exceeded.
+    /// Reads a ratio such as `0.2` in percent, rounded down, as rounding up would allow more than the limit.
     pub fn percent(&mut self, key: &'static str, default: u64, report: &mut CheckReport) -> u64 {
         let Some(text) = self.text(key) else { return default };
         match text.parse::<f64>() {
             Ok(ratio) if (0.0..=10.0).contains(&ratio) => (ratio * 100.0 + PERCENT_ERROR) as u64,
             _ => {
-                self.fault(key, format!("'{text}' should be a ratio such as 0.2"), report);
+                self.report_problem(
+                    key,
+                    format!("'{text}' should be a ratio such as 0.2, from 0 to 10"),
+                    report,
+                );
                 default
             }
         }
     }
 
-    /// A number above zero such as `0.5` or `10`, in whole thousandths.
+    /// Reads a number above zero such as `0.5` or `10`, in thousandths, rounded to the nearest one.
     pub fn thousandths(
         &mut self,
         key: &'static str,
@@ -229,30 +237,36 @@
         match text.parse::<f64>() {
             Ok(number) if (0.001..=1e9).contains(&number) => (number * 1_000.0).round() as u64,
             _ => {
-                self.fault(key, format!("'{text}' should be a number such as 10 or 0.5"), report);
+                self.report_problem(
+                    key,
+                    format!(
+                        "'{text}' should be a number from 0.001 to 1000000000, such as 10 or 0.5"
+                    ),
+                    report,
+                );
                 default
             }
         }
     }
 
-    /// `yes` or `no`.
+    /// Reads `yes` or `no`.
     pub fn flag(&mut self, key: &'static str, default: bool, report: &mut CheckReport) -> bool {
         match self.text(key).as_deref() {
             None => default,
             Some("yes") => true,
             Some("no") => false,
             Some(text) => {
-                self.fault(key, format!("'{text}' should be yes or no"), report);
+                self.report_problem(key, format!("'{text}' should be yes or no"), report);
                 default
             }
         }
     }
 
-    /// An `ip:port`.
+    /// Reads an `ip:port` that must be set.
     pub fn address(&mut self, key: &'static str, report: &mut CheckReport) -> String {
         let text = self.required(key, report);
         if !text.is_empty() && text.parse::<std::net::SocketAddr>().is_err() {
-            self.fault(
+            self.report_problem(
                 key,
                 format!("'{text}' should be an IP number and port, such as 10.0.0.1:9000"),
                 report,
@@ -261,21 +275,21 @@
         text
     }
 
-    /// Reports unknown and duplicate keys.
+    /// Reports unknown and duplicate keys. Call it after all known keys were read.
     pub fn finish(self, report: &mut CheckReport) {
         let mut seen = BTreeSet::new();
         for (key, _) in self.pairs {
-            if !self.used.contains(key.as_str()) {
-                let known = self.used.iter().copied().collect::<Vec<_>>().join(", ");
+            if !self.read_keys.contains(key.as_str()) {
+                let known = self.read_keys.iter().copied().collect::<Vec<_>>().join(", ");
                 report.add(
                     self.file,
                     self.title,
                     key,
-                    format!("is not known here; known are {known}"),
+                    format!("is not known here; known keys are {known}"),
                 );
             }
             if !seen.insert(key) {
-                report.add(self.file, self.title, key, "stands twice; keep one");
+                report.add(self.file, self.title, key, "is set twice; keep one");
             }
         }
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,6 @@
-//! Settings of the daemon, read from one INI file at its start.
+//! Reads and checks the daemon's settings file, an INI file.
 //!
-//! Owns: names, ranges and defaults of the daemon's settings. Relies on: `reader` for sections and
-//! values.
+//! Owns: names, ranges and defaults of the daemon's settings. Relies on: `reader` for sections and values.
 
 use std::time::Duration;
 
@@ -10,16 +9,16 @@
 use crate::problem::CheckReport;
 use crate::reader::{IniFile, IniSection};
 
-/// What a daemon learns from its settings file.
+/// The settings of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DaemonSettings {
     /// Name of this VM, as the platform lists it.
     pub vm: String,
     /// Data centre of this VM.
     pub data_centre: String,
-    /// Processor of this VM in percent of a core; the daemons of the strongest VMs schedule.
+    /// Processor capacity of this VM in percent of a core; the daemons on the strongest VMs are the schedulers.
     pub capacity_percent: u32,
-    /// Link of this VM in kilobits a second; as many peers are sent a configuration at once as it carries.
+    /// Link speed of this VM in kilobits per second; limits to how many peers a configuration is sent at the same time.
     pub link_kbit_per_s: u64,
     /// `ip:port` for callers.
     pub caller_address: String,
@@ -31,44 +30,44 @@
     pub request_limit: usize,
     /// Connections from callers held at the same time, per thread.
     pub connection_limit: usize,
-    /// Time in which a caller has to send the head of a request.
+    /// Time within which a caller must send the head of a request.
     pub head_limit: Duration,
     /// Time for which a caller may leave a part of its answer unread.
     pub stall_limit: Duration,
-    /// Time from the failing health check to the refusal of new requests.
+    /// Time during a drain from the first failing health check to the refusal of new requests.
     pub drain_grace: Duration,
-    /// `ip:port` at which peers reach this daemon.
+    /// `ip:port` on which this daemon listens for peers.
     pub peer_address: String,
-    /// `ip:port` that peers are given, where it differs from the one that is bound.
+    /// `ip:port` at which peers reach this daemon, if it differs from the one that is bound.
     pub advertised_address: String,
-    /// `ip:port` of peers to begin with.
+    /// `ip:port` of the peers to contact first.
     pub seeds: Vec<String>,
     /// Time between heartbeats.
     pub beat: Duration,
-    /// Suspicion time-out: a peer without heartbeats for so long counts as unreachable.
+    /// Time without heartbeats after which a peer counts as unreachable.
     pub suspect_after: Duration,
     /// `ip:port` of the platform's object API.
     pub platform_address: String,
-    /// Time without a part of its answer after which a call of the object API is given up.
+    /// Time without any bytes of the answer after which a call to the object API fails.
     pub platform_limit: Duration,
-    /// Slots of the key table, used when this daemon creates it.
+    /// Number of slots of the key table, used if this daemon creates the table.
     pub key_slots: u16,
     /// Time for which keys are kept; callers must not retry for longer than half of it.
     pub key_retention: Duration,
-    /// Keys held at most.
+    /// Maximum number of keys held.
     pub key_limit: usize,
-    /// Least level of log lines: debug, info, warn or error.
+    /// Minimum level of log lines: debug, info, warn or error.
     pub log_level: String,
     /// Which platform the daemon runs on.
     pub platform_kind: PlatformKind,
-    /// Time for the first sign of a scheduler before it is asked again.
+    /// Time to wait for the first response of a scheduler before the request is sent to it again.
     pub ask_limit: Duration,
     /// Requests sent to an unresponsive scheduler before the next one is tried.
     pub ask_tries: u32,
-    /// Age that makes up for a unit of work where requests of one account and tier wait: 0 serves the
-    /// oldest first, a large number the shortest.
+    /// Weight of work against age in the order of waiting requests of one account and tier: how much age makes up for a
+    /// unit of work. 0 serves the oldest request first, a large number the shortest.
     pub age_per_work: u64,
-    /// What the platform promises its users, for the daemons there.
+    /// Bounds that the platform promises its users, for the daemons of a fleet.
     pub bounds: FleetBounds,
 }
 
@@ -77,44 +76,44 @@
 pub enum PlatformKind {
     /// The product's own object API, with files that `curlewcleat apply` stores.
     Files,
-    /// A platform that keeps the configuration itself and on which targets announce themselves.
+    /// A platform that stores the configuration itself and on which targets register themselves.
     Fleet,
 }
 
-/// Bounds within which the daemons of a fleet keep their promises.
+/// Bounds that the daemons of a fleet must meet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetBounds {
-    /// Age of the proof that the configuration is the newest above which requests with a key are
-    /// refused; `None` where they never are for that.
+    /// Maximum age of the proof that the configuration is the newest; above it, requests with a key are refused. `None`
+    /// for no limit.
     pub config_age_limit: Option<Duration>,
-    /// Time in which a stored configuration is in force.
+    /// Time within which a stored configuration must be in force.
     pub config_apply_limit: Duration,
-    /// Time after which a target that leaves gets nothing new.
+    /// Time after which a leaving target gets no new requests.
     pub leave_limit: Duration,
-    /// Time from the signal to stop to the end of the process by force.
+    /// Time from the stop signal until the process is killed.
     pub stop_limit: Duration,
-    /// Retries for each hundred requests of a pool, over all daemons.
+    /// Retries allowed per hundred requests of a pool, over all daemons.
     pub retry_percent: u64,
-    /// Retries of a pool above that share, over all daemons.
+    /// Retries of a pool allowed beyond that share, over all daemons.
     pub retry_saved: u64,
-    /// Time over which retries and requests are counted.
+    /// Time window over which retries and requests are counted.
     pub retry_window: Duration,
-    /// How far an account's shared rate may be exceeded, in percent.
+    /// Percentage by which an account's shared rate may be exceeded.
     pub rate_percent: u64,
-    /// Units by which it may be exceeded besides.
+    /// Units of the rate by which it may be exceeded in addition.
     pub rate_slack: u64,
-    /// Time over which that is counted.
+    /// Time window over which the excess is counted.
     pub rate_window: Duration,
-    /// What a version that is rolled out may get before it has proved sound, `None` where no roll-outs are ordered.
+    /// Limit on the requests to a version under rollout until it has proved healthy; `None` if there are no rollouts.
     pub rollout: Option<RolloutBounds>,
 }
 
-/// What a version that may be faulty may get of a pool's requests.
+/// Limit on a pool's requests to a version that may be faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct RolloutBounds {
-    /// Thousandths of all requests since the order.
+    /// Thousandths of all requests since the rollout was ordered.
     pub share_permille: u64,
-    /// Requests beyond these.
+    /// Requests allowed in addition.
     pub slack: u64,
 }
 
@@ -136,29 +135,34 @@
     }
 }
 
-/// Checks a settings file.
+/// Reads and checks a settings file.
 ///
 /// # Errors
-/// Every fault found, at once.
+/// All problems found.
 pub fn check_settings(name: &str, text: &str) -> Result<DaemonSettings, CheckReport> {
     let mut report = CheckReport::default();
     let file = IniFile::parse(name, text, &mut report);
     let mut settings = defaults();
-    let mut seen = Vec::new();
+    let mut titles = Vec::new();
     for section in file.sections() {
-        if seen.contains(&section.title()) {
-            section.fault("", "stands twice; keep one", &mut report);
+        if titles.contains(&section.title()) {
+            section.report_problem("", "occurs twice; keep one section", &mut report);
         }
-        seen.push(section.title());
+        titles.push(section.title());
         read_section(section, &mut settings, &mut report);
     }
     for title in ["vm", "callers", "operators", "peers", "platform"] {
-        if !seen.contains(&title) {
-            report.add(name, title, "", "the section is missing");
+        if !titles.contains(&title) {
+            report.add(name, title, "", "the section is missing; it is required");
         }
     }
     if settings.suspect_after < settings.beat * 3 {
-        report.add(name, "peers", "suspect_after", "should be at least three beats");
+        report.add(
+            name,
+            "peers",
+            "suspect_after",
+            "should be at least three beats (three times the value of beat)",
+        );
     }
     report.into_result(settings)
 }
@@ -223,10 +227,10 @@
         }
         title => {
             let message = format!(
-                "'{title}' is not known; known are vm, callers, operators, peers, platform, keys, \
-                 scheduling, bounds"
+                "'{title}' is not known; known sections are vm, callers, operators, peers, platform, \
+                 keys, scheduling, bounds"
             );
-            section.fault("", message, report);
+            section.report_problem("", message, report);
             return;
         }
     }
@@ -236,7 +240,7 @@
 fn read_vm(section: &mut IniSection<'_>, settings: &mut DaemonSettings, report: &mut CheckReport) {
     settings.vm = section.required("name", report);
     settings.data_centre = section.required("data_centre", report);
-    let cores = section.whole_limit("cores", 1, 1..=1_024, report);
+    let cores = section.number_rounded_down("cores", 1, 1..=1_024, report);
     let share = section.percent("core_share", 100, report);
     settings.capacity_percent = u32::try_from(cores * share).unwrap_or(u32::MAX);
     settings.link_kbit_per_s = section.thousandths("link_mbps", settings.link_kbit_per_s, report);
@@ -286,7 +290,7 @@
         None | Some("files") => PlatformKind::Files,
         Some("fleet") => PlatformKind::Fleet,
         Some(other) => {
-            section.fault("kind", format!("'{other}' should be files or fleet"), report);
+            section.report_problem("kind", format!("'{other}' should be files or fleet"), report);
             PlatformKind::Files
         }
     };
@@ -299,7 +303,7 @@
 ) {
     let Some(level) = section.text("log_level") else { return };
     if !["debug", "info", "warn", "error"].contains(&level.as_str()) {
-        section.fault(
+        section.report_problem(
             "log_level",
             format!("'{level}' should be debug, info, warn or error"),
             report,
@@ -320,19 +324,20 @@
     bounds.retry_percent = section.percent("retry_ratio", bounds.retry_percent, report);
     bounds.retry_window = section.duration("retry_window", bounds.retry_window, report);
     bounds.rate_percent = section.percent("rate_overshoot", bounds.rate_percent, report);
-    bounds.rate_slack = section.whole_limit("rate_slack", bounds.rate_slack, 0..=1 << 40, report);
+    bounds.rate_slack =
+        section.number_rounded_down("rate_slack", bounds.rate_slack, 0..=1 << 40, report);
     bounds.rate_window = section.duration("rate_window", bounds.rate_window, report);
     bounds.retry_saved =
-        section.whole_limit("retry_saved", bounds.retry_saved, 0..=1_000_000, report);
+        section.number_rounded_down("retry_saved", bounds.retry_saved, 0..=1_000_000, report);
     bounds.rollout = read_rollout(section, report);
 }
 
-/// Roll-outs are looked for only where the platform says what a version may get.
+/// Reads the limits of rollouts; without `rollout_share` the daemon does not look for rollouts.
 fn read_rollout(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<RolloutBounds> {
     section.text("rollout_share")?;
     Some(RolloutBounds {
         share_permille: section.thousandths("rollout_share", 0, report).min(1_000),
-        slack: section.whole_limit("rollout_slack", 0, 0..=1_000_000, report),
+        slack: section.number_rounded_down("rollout_slack", 0, 0..=1_000_000, report),
     })
 }
 
@@ -343,7 +348,11 @@
         text.split(',').map(|seed| seed.trim().to_string()).filter(|s| !s.is_empty()).collect();
     for seed in &seeds {
         if seed.parse::<std::net::SocketAddr>().is_err() {
-            section.fault("seeds", format!("'{seed}' should be an IP number and port"), report);
+            section.report_problem(
+                "seeds",
+                format!("'{seed}' should be an IP number and port, such as 10.0.0.1:9000"),
+                report,
+            );
         }
     }
     seeds
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -1,7 +1,7 @@
-//! The configuration a daemon has in force; it only ever moves forward.
+//! Holds the configuration that a daemon has in force, and replaces it by higher generations only.
 //!
-//! Owns: the configuration in force, its texts and what was read of them. Relies on: `check` for what
-//! files have to meet, `archive` for the form that other daemons get.
+//! Owns: the configuration in force, its texts and the checked files. Relies on: `check` for the checks of the files,
+//! `archive` for the compressed form that other daemons get.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,51 +9,51 @@
 use curlewcleat_core::{ActiveConfig, ConfigBundle, Generation};
 
 use crate::archive::{ArchiveError, ConfigArchive};
-use crate::check::{join_files, CheckedFile};
+use crate::check::{merge_files, CheckedFile};
 use crate::problem::CheckReport;
 
-/// What an offered configuration led to.
+/// The outcome of offering a configuration to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreChange {
     /// It is in force now.
     Accepted,
-    /// It is not newer than what is in force.
+    /// Its generation is not higher than the one in force.
     Stale,
-    /// It does not pass the checks of this daemon; the earlier one stays in force.
+    /// It fails the checks of this daemon; the earlier configuration stays in force.
     Invalid(CheckReport),
 }
 
-/// Holds the configuration in force with its texts, so that peers can have them.
+/// Holds the configuration in force with its texts, which peers can request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ConfigStore {
     active: Arc<ActiveConfig>,
     bundle: Option<ConfigBundle>,
-    /// The files in force as they were checked, so that a change costs what it changes.
+    /// The checked files in force, so that a new configuration checks only the files that changed.
     files: BTreeMap<String, Arc<CheckedFile>>,
-    /// The texts packed, once a peer has asked for them.
+    /// The texts in compressed form, made when a peer first requests them.
     archive: Option<ConfigArchive>,
 }
 
 impl ConfigStore {
-    /// Generation in force, 0 for none.
+    /// Returns the generation in force, 0 if there is none.
     pub fn generation(&self) -> Generation {
         self.active.generation
     }
 
-    /// The configuration in force; empty at generation 0.
+    /// Returns the configuration in force; it is empty at generation 0.
     pub fn active(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.active)
     }
 
-    /// The texts in force.
+    /// Returns the texts in force with their generation.
     pub fn bundle(&self) -> Option<&ConfigBundle> {
         self.bundle.as_ref()
     }
 
-    /// The texts in force, packed; `None` where there are none.
+    /// Returns the texts in force in compressed form, or `None` if no configuration is in force.
     ///
     /// # Errors
-    /// Where they cannot be packed.
+    /// If they cannot be packed.
     pub fn archive(&mut self) -> Result<Option<&ConfigArchive>, ArchiveError> {
         if self.archive.is_none() {
             self.archive = self.bundle.as_ref().map(ConfigArchive::pack).transpose()?;
@@ -61,14 +61,14 @@
         Ok(self.archive.as_ref())
     }
 
-    /// Takes an offer from the platform or a peer. Only a higher generation is accepted, so a
-    /// store or peer that shows an old version never causes a rollback.
+    /// Checks a configuration from the platform or a peer and puts it in force if it is valid. Only a higher generation
+    /// is accepted, so that a store or peer with an old version never causes a rollback.
     pub fn offer(&mut self, bundle: ConfigBundle) -> StoreChange {
         if bundle.generation <= self.generation() {
             return StoreChange::Stale;
         }
         let files = self.checked_files(&bundle);
-        match join_files(bundle.generation, files.values().map(Arc::as_ref)) {
+        match merge_files(bundle.generation, files.values().map(Arc::as_ref)) {
             Ok(active) => {
                 self.active = Arc::new(active);
                 self.files = files;
@@ -80,16 +80,16 @@
         }
     }
 
-    /// Checks the files of an offer; those that stand in force unchanged are not read again.
-    fn checked_files(&self, offer: &ConfigBundle) -> BTreeMap<String, Arc<CheckedFile>> {
-        let checked = offer.files.iter().map(|(name, text)| {
-            let file = self.unchanged_file(name, text);
+    /// Checks the files of an offered configuration; reuses the result for files equal to those in force.
+    fn checked_files(&self, offered: &ConfigBundle) -> BTreeMap<String, Arc<CheckedFile>> {
+        let checked = offered.files.iter().map(|(name, text)| {
+            let file = self.reusable_file(name, text);
             (name.clone(), file.unwrap_or_else(|| Arc::new(CheckedFile::read(name, text))))
         });
         checked.collect()
     }
 
-    fn unchanged_file(&self, name: &str, text: &str) -> Option<Arc<CheckedFile>> {
+    fn reusable_file(&self, name: &str, text: &str) -> Option<Arc<CheckedFile>> {
         let in_force = self.bundle.as_ref()?.files.get(name)?;
         self.files.get(name).filter(|_| in_force == text).map(Arc::clone)
     }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,5 @@
-//! Whatever the files hold, reading them ends in a configuration or in named faults.
+//! Tests that reading any files gives a valid configuration or a report of their problems, and that the store of a
+//! daemon accepts valid configurations of higher generations only.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +22,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_checked_without_a_crash(lines in prop::collection::vec(line(), 0..20)) {
+    fn any_text_is_valid_or_has_problems_and_never_panics(lines in prop::collection::vec(line(), 0..20)) {
         let files = BTreeMap::from([("a.ini".to_string(), lines.join("\n"))]);
         if let Err(report) = check_files(1, &files) {
             prop_assert!(!report.problems.is_empty());
@@ -30,12 +31,12 @@
     }
 
     #[test]
-    fn any_bytes_are_a_manifest_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_no_manifest_and_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(parse_manifest(&bytes).is_err());
     }
 
     #[test]
-    fn configuration_only_moves_forward(generations in prop::collection::vec(1u64..20, 1..30)) {
+    fn store_accepts_higher_generations_only(generations in prop::collection::vec(1u64..20, 1..30)) {
         let mut store = ConfigStore::default();
         let mut highest = 0;
         for generation in generations {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Texts of a file; some do not pass the checks, some only beside others.
+/// Contents of a file. Some fail the checks by themselves; some are valid only together with others.
 const TEXTS: [&str; 6] = [
     "[tier t]\nrank = 0\n",
     "[tier u]\nrank = 1\n[tier t]\nrank = 0\n",
@@ -58,9 +59,10 @@
 ];
 
 proptest! {
-    /// Files that did not change are not read again; what is in force is the same as if they were.
+    /// Guards against stale results: the store reuses the check of an unchanged file, and must give the same
+    /// configuration or report as a check of all files.
     #[test]
-    fn configuration_in_force_is_what_a_check_of_all_files_gives(
+    fn reused_file_checks_give_the_same_result_as_checking_all_files(
         offers in prop::collection::vec(
             prop::collection::btree_map("[abc]", prop::sample::select(&TEXTS[..]), 0..4), 1..12)
     ) {
@@ -71,7 +73,7 @@
             let checked = check_files(generation, &bundle.files);
             match (store.offer(bundle), checked) {
                 (StoreChange::Accepted, Ok(config)) => prop_assert_eq!(&*store.active(), &config),
-                (StoreChange::Invalid(told), Err(report)) => prop_assert_eq!(told, report),
+                (StoreChange::Invalid(stored), Err(report)) => prop_assert_eq!(stored, report),
                 other => prop_assert!(false, "{:?}", other),
             }
         }
@@ -93,14 +95,15 @@
 #[case::negative("-5s")]
 #[case::too_large("99999999999999999999h")]
 #[case::overflow("18446744073709551615h")]
-fn wrong_times_are_named(#[case] time: &str) {
+fn invalid_duration_is_reported_with_its_key(#[case] time: &str) {
     let text = format!("[tier t]\nrank = 0\ndeadline = {time}\n");
-    let report = check_files(1, &BTreeMap::from([("a.ini".to_string(), text)])).expect_err("wrong");
+    let report = check_files(1, &BTreeMap::from([("a.ini".to_string(), text)]))
+        .expect_err("invalid duration");
     assert_eq!(report.problems[0].key, "deadline");
 }
 
 #[test]
-fn oversized_file_is_named_and_not_read() {
+fn oversized_file_is_reported_and_not_parsed() {
     let text = format!("[tier t]\nrank = 0\n; {}\n", "x".repeat(1_000_000));
     let report =
         check_files(1, &BTreeMap::from([("big.ini".to_string(), text)])).expect_err("too large");
@@ -111,8 +114,9 @@
     );
 }
 
-/// The deployment's settings file with its gaps filled; `bounds` says whether the platform gave figures.
-fn filled_template(bounds: bool) -> String {
+/// Returns the deployment's settings template with its placeholders filled. Without `bounds`, the optional lines are
+/// left out, as for a platform that gives no bounds.
+fn fill_template(bounds: bool) -> String {
     let template = include_str!("../../../deploy/daemon.ini");
     let values = [
         ("{{node_name}}", "front-1"),
@@ -150,21 +154,21 @@
             text.push_str(&format!("{}\n", &rest[begin..end]));
         }
     }
-    values.iter().fold(text, |text, (gap, value)| text.replace(gap, value))
+    values.iter().fold(text, |text, (placeholder, value)| text.replace(placeholder, value))
 }
 
 #[test]
-fn settings_of_the_deployment_are_valid_with_and_without_figures() {
-    let all = check_settings("daemon.ini", &filled_template(true)).expect("valid settings");
+fn deployed_settings_are_valid_with_and_without_bounds_of_the_platform() {
+    let all = check_settings("daemon.ini", &fill_template(true)).expect("valid settings");
     assert_eq!(all.bounds.config_age_limit, Some(std::time::Duration::from_secs(5)));
     assert_eq!((all.bounds.retry_percent, all.bounds.retry_saved), (20, 52));
     assert_eq!((all.bounds.rate_percent, all.bounds.rate_slack), (10, 140_000));
-    let rollout = all.bounds.rollout.expect("bounds of roll-outs");
+    let rollout = all.bounds.rollout.expect("bounds of rollouts");
     assert_eq!((rollout.share_permille, rollout.slack), (100, 50));
     assert_eq!(all.bounds.leave_limit, std::time::Duration::from_secs(3));
     assert_eq!(all.bounds.rate_window, std::time::Duration::from_secs(9));
     assert_eq!((all.capacity_percent, all.link_kbit_per_s), (50, 10_000));
     assert_eq!(all.seeds.len(), 2);
-    let none = check_settings("daemon.ini", &filled_template(false)).expect("valid settings");
+    let none = check_settings("daemon.ini", &fill_template(false)).expect("valid settings");
     assert_eq!(none.bounds, curlewcleat_config::FleetBounds::default());
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,12 +1,12 @@
-//! Values of a settings file that a platform fills in: fractions are taken, rounded so that no limit is
-//! exceeded; anything else is refused by file, key, value and what would be right.
+//! Tests of settings whose values a platform fills in. Fractions are accepted and rounded so that no limit is exceeded;
+//! any other value is reported with file, section, key, value and what is expected.
 
 use std::time::Duration;
 
 use curlewcleat_config::check_settings;
 use rstest::rstest;
 
-/// A whole settings file with these lines in a section of their own.
+/// Returns a complete settings file with these lines added to the section.
 fn settings_with(section: &str, lines: &str) -> String {
     let vm = match section {
         "vm" => lines,
@@ -23,8 +23,8 @@
     )
 }
 
-/// Every daemon of a deployment ended at its start, since its platform gave `retry_saved` as
-/// 33.1578947368421, a share of a larger deployment's figure.
+/// Guards against daemons that exit at their start because the platform gives a fraction for a count, such as
+/// 33.1578947368421 for `retry_saved`, a share of a larger deployment's value.
 #[rstest]
 #[case("33.1578947368421", 33)]
 #[case("33", 33)]
@@ -32,7 +32,7 @@
 #[case("0.9999", 0)]
 #[case("0", 0)]
 #[case("1000000", 1_000_000)]
-fn saved_retries_are_the_whole_part(#[case] text: &str, #[case] saved: u64) {
+fn fractional_retry_saved_is_rounded_down(#[case] text: &str, #[case] saved: u64) {
     let text = settings_with("bounds", &format!("retry_saved = {text}"));
     let settings = check_settings("daemon.ini", &text).expect("valid settings");
     assert_eq!(settings.bounds.retry_saved, saved);
@@ -45,7 +45,7 @@
 #[case("0.199", 19)]
 #[case("0.005", 0)]
 #[case("1", 100)]
-fn ratios_never_grow(#[case] text: &str, #[case] percent: u64) {
+fn ratios_are_rounded_down_to_whole_percent(#[case] text: &str, #[case] percent: u64) {
     let lines = format!("retry_ratio = {text}\nrate_overshoot = {text}");
     let settings =
         check_settings("daemon.ini", &settings_with("bounds", &lines)).expect("valid settings");
@@ -53,7 +53,7 @@
 }
 
 #[rstest]
-fn times_cores_and_slack_may_be_fractions() {
+fn durations_cores_and_slack_accept_fractions() {
     let bounds = "config_age_limit = 5000.5ms\nconfig_apply_limit = 2.5s\nleave_limit = 0.5s\n\
                   stop_limit = 7.25s\nretry_window = 10.5s\nrate_window = 8.5s\n\
                   rate_slack = 7368.42";
@@ -86,10 +86,14 @@
 #[case::negative_time("retry_window", "-10s", "should be a time with a unit")]
 #[case::time_without_unit("rate_window", "8.5", "should be a time with a unit")]
 #[case::endless_time("stop_limit", "99999999999999999999999999s", "should be a time with a unit")]
-fn refused_value_is_named(#[case] key: &str, #[case] value: &str, #[case] wanted: &str) {
+fn invalid_value_is_reported_with_file_section_key_and_expectation(
+    #[case] key: &str,
+    #[case] value: &str,
+    #[case] expected: &str,
+) {
     let text = settings_with("bounds", &format!("{key} = {value}"));
     let report = check_settings("daemon.ini", &text).expect_err("refused").to_string();
-    for part in ["daemon.ini", "bounds", key, &format!("'{value}'"), wanted] {
+    for part in ["daemon.ini", "bounds", key, &format!("'{value}'"), expected] {
         assert!(report.contains(part), "{part} is missing in {report}");
     }
 }
