--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,6 +1,6 @@
-//! The most likely cause of what happened to a request.
+//! Names the most likely cause of what happened to a request.
 //!
-//! Owns: what each refusal reason most likely comes from. Relies on: the log events of the daemon.
+//! Owns: the most likely cause of each refusal reason. Relies on: the log events of the daemon.
 
 use curlewcleat_core::RefusalReason;
 use serde::Serialize;
@@ -8,28 +8,28 @@
 use crate::entries::unusable_text;
 use crate::line::LogLine;
 
-/// A cause, and where to read on.
+/// A cause and the documentation to read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LikelyCause {
-    /// What most likely happened.
+    /// What most likely happened, in words.
     pub text: String,
-    /// Page and section for operators.
+    /// Page and section of the operators' documentation.
     pub page: String,
 }
 
-/// What a refusal most likely comes from, and the section of docs/OPERATIONS.md to read on. As long as
-/// there are reasons, so that the compiler misses none.
-fn entry_of(reason: RefusalReason) -> (&'static str, &'static str) {
+/// Returns the most likely cause of a refusal and the section of docs/OPERATIONS.md about it. The match has no wildcard
+/// arm, so that the compiler reports a reason without a cause.
+fn cause_and_section(reason: RefusalReason) -> (&'static str, &'static str) {
     use RefusalReason::*;
     match reason {
         Unauthorized => (
-            "the key is unknown in the configuration in force, or was taken away",
+            "the caller's key is not in the configuration in force; it is wrong or was removed",
             "Accounts",
         ),
         NoRule => ("no route has this host and path in the configuration in force", "Configuration"),
         BadHeader => ("a header that the daemon reads is missing or out of range", "Callers"),
         BodyTooLarge => ("the body is longer than its rule allows", "Refusals"),
-        BodyIncomplete => ("the caller stopped sending its body", "Refusals"),
+        BodyIncomplete => ("the caller stopped sending its body before the end", "Refusals"),
         NoConfiguration => ("the daemon has no configuration yet", "Platform lost"),
         ConfigurationStale => (
             "the daemon could not prove that its configuration is the newest: it had lost the platform's store",
@@ -37,29 +37,29 @@
         ),
         Draining => ("the daemon was stopping", "Planned stop"),
         EntryFull => ("the daemon held as many requests as its settings allow", "Refused under load"),
-        AccountRate => ("the account had used up its rate over all daemons", "Refused under load"),
+        AccountRate => ("the account had used up its rate limit over all daemons", "Refused under load"),
         RateUnknown => (
-            "the daemon that keeps the account's rate did not answer, and its deputy's reserve was used up",
+            "the daemon that counts the account's rate did not answer, and the reserve of its deputy was used up",
             "Refused under load",
         ),
-        AccountQueue => ("too much of this account was waiting", "Refused under load"),
+        AccountQueue => ("too many requests of this account were waiting in this pool", "Refused under load"),
         QueueFull => ("the pool was overloaded and its queue full", "Refused under load"),
         ShedForHigherTier => (
-            "the pool was overloaded and made room for a higher tier",
+            "the pool was overloaded and refused this request in favour of a higher tier",
             "Refused under load",
         ),
         TierShed => ("the pool was overloaded and shed this tier", "Refused under load"),
-        DeadlineUnreachable => ("the request could not end within its time", "Refused under load"),
+        DeadlineUnreachable => ("the request could not be completed within its deadline", "Refused under load"),
         WaitTooLong => (
             "the pool was overloaded: the wait would have been too long",
             "Refused under load",
         ),
         DeadlinePassed => (
-            "the time of the request or of its rule passed",
+            "the deadline of the request or of its rule passed",
             "Broken off by a target",
         ),
         NoTarget => (
-            "every target was leaving, ejected, at rest, or had failed this request",
+            "every target was leaving, ejected, resting, or had failed this request",
             "Broken off by a target",
         ),
         KeyInProgress => ("an attempt with the same key was still in progress", "Refusals"),
@@ -67,73 +67,80 @@
         KeyRan => ("an earlier attempt with the same key ran; its answer is not kept", "Refusals"),
         KeyHomeUnreachable => ("the daemon that holds the key did not answer", "When a daemon dies"),
         KeyHistoryLost => (
-            "the daemon that held the key died, and its history with it",
+            "the daemon that held the key terminated, and its history of keys was lost",
             "When a daemon dies",
         ),
-        KeyStoreFull => ("the daemon that holds the key has no room for new ones", "Refusals"),
-        KeyExpired => ("the key is older than keys are kept", "Refusals"),
+        KeyStoreFull => ("the daemon that holds the key has no capacity for new keys", "Refusals"),
+        KeyExpired => ("the key is older than the time for which keys are kept", "Refusals"),
         ConnectFailed => (
             "every target that was tried failed, or the retry budget was used up",
             "Broken off by a target",
         ),
         TargetNotStarted => (
-            "every target that was tried said that it did not start the request",
+            "every target that was tried reported that it did not start the request",
             "Broken off by a target",
         ),
         TargetClosed => (
-            "the target closed the connection under the request",
+            "the target closed the connection while running the request",
             "Broken off by a target",
         ),
         FirstByteTimeout => (
-            "the target did not begin to answer within the time",
+            "the target did not begin to answer within its time limit",
             "Broken off by a target",
         ),
         RequestSuspect => (
-            "several targets closed their connections under this request, and it was not known yet whether they had ended",
+            "several targets closed their connections while running this request, and it was not known yet whether \
+             they had terminated",
             "Requests under which targets end",
         ),
         RequestLethal => (
-            "several targets had ended under this request, whoever sent it",
+            "several targets had terminated while running this request, no matter which account sent it",
             "Requests under which targets end",
         ),
-        TargetProtocol => ("the target's answer could not be read", "Broken off by a target"),
+        TargetProtocol => ("the target's answer could not be parsed", "Broken off by a target"),
     }
 }
 
-/// The most likely cause: the reason of the refusal, made sharper by failed attempts and by what the
-/// daemon had noted; where targets were too few, also by the entries that named none.
-pub fn likely_cause(own: &[&LogLine], lines: &[&LogLine], unusable: &[&LogLine]) -> LikelyCause {
-    let refused = own.iter().rev().find(|line| line.event == "request_refused");
-    let failed: Vec<&&LogLine> = own.iter().filter(|line| line.event == "attempt_failed").collect();
-    let Some(refused) = refused else {
-        return without_refusal(own, &failed);
+/// Returns the most likely cause: that of the refusal's reason, with the failed attempts and the last failure of the
+/// platform's store. If too few targets were available, it also names the unusable list entries of targets.
+pub fn likely_cause(
+    request_lines: &[&LogLine],
+    lines: &[&LogLine],
+    unusable: &[&LogLine],
+) -> LikelyCause {
+    let refusal = request_lines.iter().rev().find(|line| line.event == "request_refused");
+    let failed_attempts: Vec<&&LogLine> =
+        request_lines.iter().filter(|line| line.event == "attempt_failed").collect();
+    let Some(refusal) = refusal else {
+        return cause_without_refusal(request_lines, &failed_attempts);
     };
-    let reason = refused.text("reason");
-    let known = RefusalReason::ALL.iter().copied().find(|known| known.code() == reason);
-    // A log of another version may have reasons that this one does not know.
-    let (text, section) = known.map_or(("the reason has no entry here", "Refusals"), entry_of);
+    let reason = refusal.text("reason");
+    let known_reason = RefusalReason::ALL.iter().copied().find(|known| known.code() == reason);
+    // The log may come from another version with reasons that are unknown here.
+    let (text, section) = known_reason
+        .map_or(("the reason is unknown to this version", "Refusals"), cause_and_section);
     let mut text = text.to_string();
-    if let Some(last) = failed.last() {
+    if let Some(last) = failed_attempts.last() {
         let target = last.text("target");
-        let count = failed.len();
+        let count = failed_attempts.len();
         text.push_str(&format!(
             "; {count} attempt(s) failed, the last at {target} ({})",
             last.text("reason")
         ));
     }
-    if let Some(lost) = lines.iter().rev().find(|line| line.event == "platform_call_failed") {
+    if let Some(failure) = lines.iter().rev().find(|line| line.event == "platform_call_failed") {
         if reason.starts_with("configuration") || reason == "no_configuration" {
-            text.push_str(&format!("; the store answered: {}", lost.text("error")));
+            text.push_str(&format!("; the store answered: {}", failure.text("error")));
         }
     }
-    if known.is_some_and(is_for_want_of_targets) {
+    if known_reason.is_some_and(is_for_lack_of_targets) {
         text.push_str(&unusable_text(unusable));
     }
     LikelyCause { text, page: format!("docs/OPERATIONS.md, {section}") }
 }
 
-/// Whether more targets would have served the request.
-fn is_for_want_of_targets(reason: RefusalReason) -> bool {
+/// Returns whether the request might have been served if more targets had been available.
+fn is_for_lack_of_targets(reason: RefusalReason) -> bool {
     use RefusalReason::*;
     matches!(
         reason,
@@ -141,23 +148,23 @@
     )
 }
 
-fn without_refusal(own: &[&LogLine], failed: &[&&LogLine]) -> LikelyCause {
+fn cause_without_refusal(request_lines: &[&LogLine], failed_attempts: &[&&LogLine]) -> LikelyCause {
     let page = "docs/OPERATIONS.md, Broken off by a target".to_string();
-    let served = own.iter().any(|line| line.event == "request_served");
-    let text = match (served, failed.last()) {
+    let served = request_lines.iter().any(|line| line.event == "request_served");
+    let text = match (served, failed_attempts.last()) {
         (true, None) => "none: served at the first attempt".to_string(),
         (true, Some(last)) => format!(
             "served after {} failed attempt(s), the last at {} ({})",
-            failed.len(),
+            failed_attempts.len(),
             last.text("target"),
             last.text("reason")
         ),
         (false, Some(last)) => format!(
-            "broken off after a failed attempt at {} ({})",
+            "interrupted after a failed attempt at {} ({})",
             last.text("target"),
             last.text("reason")
         ),
-        (false, None) => "the logs tell of no end".to_string(),
+        (false, None) => "unknown: the logs contain no end of the request".to_string(),
     };
     LikelyCause { text, page }
 }
--- a/crates/explain/src/entries.rs
+++ b/crates/explain/src/entries.rs
@@ -1,22 +1,22 @@
-//! Entries of targets that named none to use while a request ran.
+//! Finds the list entries of targets that were unusable while a request ran.
 //!
-//! The daemons that read the platform note them, and not the one that took the request; an entry stays as it is
-//! until it is written anew. So lines of all daemons count, from any time before.
+//! The daemons that read the platform log unusable list entries, often not the daemon that received the request, and a
+//! list entry stays unusable until it is written again. So the log lines of all daemons and of any earlier time count.
 //!
-//! Owns: which entries were unusable. Relies on: the log events of the daemon.
+//! Owns: which list entries were unusable. Relies on: the log events of the daemon.
 
 use std::collections::BTreeMap;
 
 use crate::line::LogLine;
 
-/// An entry has come to name nothing to use.
+/// Event: a list entry became unusable.
 pub const ENTRY_UNUSABLE: &str = "entry_unusable";
-/// An entry that named nothing is usable, or gone.
+/// Event: an unusable list entry became usable or was removed.
 pub const ENTRY_FAULT_ENDED: &str = "entry_fault_ended";
-/// What entries of targets are called.
+/// Field `kind` of list entries of targets.
 const TARGET_KIND: &str = "target";
 
-/// The line of each entry of a target that named none at a time, by any daemon, in order.
+/// Returns the log line of each list entry of a target that was unusable at a time, from any daemon, oldest first.
 pub fn unusable_targets(lines: &[LogLine], at_ms: u64) -> Vec<&LogLine> {
     let mut earlier: Vec<&LogLine> = lines
         .iter()
@@ -36,11 +36,11 @@
     unusable
 }
 
-/// What the cause of a request says of them, empty where there are none.
+/// Returns the addition to the cause that names the unusable list entries; empty if there are none.
 pub fn unusable_text(unusable: &[&LogLine]) -> String {
     let Some(last) = unusable.last() else { return String::new() };
     format!(
-        "; entries noted as naming no target to use: {}, the last {} ({}), see Entries of another writer",
+        "; unusable list entries of targets: {}, the last {} ({}), see Entries of another writer",
         unusable.len(),
         last.text("entry"),
         last.text("reason")
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,8 +1,7 @@
-//! The story of one request, out of the logs of many daemons.
+//! Reconstructs what happened to one request from the logs of many daemons.
 //!
-//! Nothing in this crate performs input or output. [`MergedLog`] takes lines, [`MergedLog::story`]
-//! joins those of a request with what its daemon had noted shortly before, and names the most likely
-//! cause.
+//! Nothing in this crate performs input or output. [`MergedLog`] collects log lines. [`MergedLog::story`] selects those
+//! of a request and the state changes of its daemons shortly before, and names the most likely cause.
 
 mod cause;
 mod entries;
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -1,25 +1,25 @@
-//! One line of a log.
+//! Parses one line of a log.
 //!
-//! Owns: the form of a log line. Relies on: JSON lines as the daemon writes them.
+//! Owns: the form of a log line. Relies on: the JSON lines that the daemon writes.
 
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// A line as a daemon wrote it.
+/// A log line of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// File, and what stands before the JSON, as where several daemons share a file.
+    /// The file, the last word before the JSON, or both as `file:word`; the word tells daemons in one file apart.
     pub source: String,
     /// Milliseconds since the Unix epoch by the daemon's clock.
     pub at_ms: u64,
     /// Name of the event.
     pub event: String,
-    /// What the event says.
+    /// Fields of the event.
     pub fields: Map<String, Value>,
 }
 
 #[derive(Deserialize)]
-struct WrittenLine {
+struct RawLine {
     timestamp: u64,
     payload: String,
     #[serde(default)]
@@ -27,47 +27,41 @@
 }
 
 impl LogLine {
-    /// Reads a line; `None` where it is none, as where it was cut.
+    /// Parses a line; returns `None` if it is not a log line or was cut off.
     pub fn parse(file: &str, text: &str) -> Option<LogLine> {
-        let begin = text.find('{')?;
-        let written: WrittenLine = serde_json::from_str(text[begin..].trim_end()).ok()?;
-        // A bench puts the time before the name of the machine; the name is what tells sources apart.
-        let prefix = text[..begin].split_whitespace().next_back().unwrap_or_default();
+        let json_start = text.find('{')?;
+        let raw: RawLine = serde_json::from_str(text[json_start..].trim_end()).ok()?;
+        // In a log of several machines a line begins with the time and the name of the machine; the name is the source.
+        let prefix = text[..json_start].split_whitespace().next_back().unwrap_or_default();
         let source = match (file, prefix) {
             (file, "") => file.to_string(),
             ("", prefix) => prefix.to_string(),
             (file, prefix) => format!("{file}:{prefix}"),
         };
-        Some(LogLine {
-            source,
-            at_ms: written.timestamp,
-            event: written.payload,
-            fields: written.kv,
-        })
+        Some(LogLine { source, at_ms: raw.timestamp, event: raw.payload, fields: raw.kv })
     }
 
-    /// A field as text, empty where it is missing.
+    /// Returns a field's text; empty if the field is missing or no string, since the output shows both as empty.
     pub fn text(&self, name: &str) -> &str {
-        // Stories show a missing field as empty.
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// Whether the line is about a request, by the system's id or by the caller's.
+    /// Returns whether the line belongs to a request, given the system's or the caller's id.
     pub fn is_about(&self, id: &str) -> bool {
         !id.is_empty() && (self.text("request") == id || self.text("attempt") == id)
     }
 
-    /// The fields as `name=value`, without those that name the request.
+    /// Returns the fields as `name=value`, without empty ones and those that identify the request.
     pub fn detail(&self) -> String {
         let fields =
             self.fields.iter().filter(|(name, _)| !["request", "attempt"].contains(&name.as_str()));
-        let words: Vec<String> = fields
+        let pairs: Vec<String> = fields
             .map(|(name, value)| match value.as_str() {
                 Some(text) => format!("{name}={text}"),
                 None => format!("{name}={value}"),
             })
-            .filter(|word| !word.ends_with('='))
+            .filter(|pair| !pair.ends_with('='))
             .collect();
-        words.join(" ")
+        pairs.join(" ")
     }
 }
--- a/crates/explain/src/merged.rs
+++ b/crates/explain/src/merged.rs
@@ -1,9 +1,9 @@
-//! Lines of all logs.
+//! Collects the lines of all logs.
 
 use crate::line::LogLine;
 use crate::story::RequestStory;
 
-/// Lines of the logs of many daemons.
+/// Lines from the logs of many daemons.
 #[derive(Clone, Debug, Default)]
 pub struct MergedLog {
     lines: Vec<LogLine>,
@@ -11,7 +11,7 @@
 }
 
 impl MergedLog {
-    /// Takes the text of a log in; `file` names it.
+    /// Adds the lines of a log; `file` is its name.
     pub fn read(&mut self, file: &str, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match LogLine::parse(file, line) {
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Lines that could not be read.
+    /// Returns the number of lines that could not be parsed.
     pub fn unreadable(&self) -> usize {
         self.unreadable
     }
 
-    /// The story of a request by the system's id or the caller's, `None` where no line tells of it.
+    /// Returns what happened to a request, given the system's or the caller's id; `None` if no line has this id.
     pub fn story(&self, id: &str) -> Option<RequestStory> {
-        RequestStory::join(id, &self.lines)
+        RequestStory::from_lines(id, &self.lines)
     }
 }
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories out of logs with missing daemons, cut lines and clocks that differ.
+//! Tests of the reconstruction from logs with missing daemons, truncated lines and clocks that differ.
 
 use curlewcleat_core::RefusalReason;
 use curlewcleat_explain::MergedLog;
@@ -13,9 +13,9 @@
 }
 
 #[rstest]
-#[case::by_the_systems_id("r1")]
-#[case::by_the_callers_id("a1")]
-fn refusal_by_a_daemon_that_lost_the_store(#[case] id: &str) {
+#[case::by_system_id("r1")]
+#[case::by_caller_id("a1")]
+fn stale_configuration_is_explained_by_the_failed_call_of_the_store(#[case] id: &str) {
     let mut log = MergedLog::default();
     let text =
         line(1_000, "platform_call_failed", "\"call\":\"read_config\",\"error\":\"no answer\"")
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn attempts_are_told_in_order_with_their_targets() {
+fn served_request_lists_failed_attempts_in_order_of_time() {
     let mut log = MergedLog::default();
     let text =
         line(5_000, "attempt_failed", &request("\"target\":\"i-1\",\"reason\":\"stream_resumed\""))
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn cut_lines_are_counted_and_a_missing_daemon_is_said() {
+fn truncated_line_is_counted_and_missing_end_is_reported() {
     let mut log = MergedLog::default();
     let whole =
         line(5_000, "attempt_failed", &request("\"target\":\"i-1\",\"reason\":\"target_closed\""));
     log.read("vm-1.log", &format!("{whole}{{\"level\":\"info\",\"timest"));
     let story = log.story("r1").expect("a story");
     assert!(story.outcome.contains("no end in these logs"));
-    assert!(story.cause.text.contains("broken off after a failed attempt at i-1"));
+    assert!(story.cause.text.contains("interrupted after a failed attempt at i-1"));
     assert_eq!(log.unreadable(), 1);
     assert!(log.story("r2").is_none() && log.story("").is_none());
 }
 
 #[test]
-fn states_of_other_daemons_and_other_times_are_left_out() {
+fn state_changes_of_other_daemons_and_earlier_times_are_left_out() {
     let mut log = MergedLog::default();
     log.read(
         "vm-1.log",
@@ -80,7 +80,7 @@
     );
     log.read("vm-1.log", &line(50_000, "drain_begun", ""));
     log.read("vm-1.log", &line(99_000, "drain_closing", ""));
-    // The clock of another daemon is far off; only its own lines of the request would be told.
+    // A line of another daemon, whose clock may differ: of that log only lines of the request itself would be shown.
     log.read("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
     let story = log.story("r1").expect("a story");
     let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn lines_of_many_daemons_in_one_file_are_told_apart_by_what_stands_before() {
+fn daemons_that_share_a_file_are_distinguished_by_the_prefix_of_the_line() {
     let mut log = MergedLog::default();
     let text = format!(
         "   1.5 front-1 {}   1.6 front-2 {}",
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn every_refusal_has_a_cause_and_a_section_to_read_on() {
+fn every_refusal_reason_has_a_cause_and_an_existing_section() {
     let pages = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
     let pages = std::fs::read_to_string(pages).expect("the operators' page");
     let sections: Vec<&str> = pages.lines().filter(|line| line.starts_with('#')).collect();
@@ -112,25 +112,34 @@
         let fields = format!("\"reason\":\"{}\",\"may_have_run\":false", reason.code());
         log.read("vm-1.log", &line(1_000, "request_refused", &request(&fields)));
         let cause = log.story("r1").expect("a story").cause;
-        assert!(!cause.text.contains("no entry"), "{}: {}", reason.code(), cause.text);
+        assert!(
+            !cause.text.contains("unknown to this version"),
+            "{}: {}",
+            reason.code(),
+            cause.text
+        );
         let section = cause.page.trim_start_matches("docs/OPERATIONS.md, ");
         let known = sections.iter().any(|line| line.trim_start_matches(['#', ' ']) == section);
         assert!(known, "{}: no section {section}", reason.code());
     }
 }
 
-/// The daemons that read the platform note an entry that names no target, long before a request misses it.
+/// Guards against a cause without the unusable list entries: the daemon that reads the platform logs them, long before
+/// another daemon refuses a request for lack of that target.
 #[rstest]
-#[case::still("", "naming no target to use: 1, the last i-7 (address)")]
-#[case::mended("entry_fault_ended", "")]
-fn refusal_for_want_of_targets_names_unusable_entries(#[case] later: &str, #[case] expected: &str) {
+#[case::still_unusable("", "unusable list entries of targets: 1, the last i-7 (address)")]
+#[case::usable_again("entry_fault_ended", "")]
+fn refusal_for_lack_of_targets_names_unusable_list_entries(
+    #[case] later: &str,
+    #[case] expected: &str,
+) {
     let fields = "\"kind\":\"target\",\"entry\":\"i-7\",\"reason\":\"address\"";
-    let mut noted = line(1_000, "entry_unusable", fields);
+    let mut logged = line(1_000, "entry_unusable", fields);
     if !later.is_empty() {
-        noted += &line(2_000, later, "\"kind\":\"target\",\"entry\":\"i-7\"");
+        logged += &line(2_000, later, "\"kind\":\"target\",\"entry\":\"i-7\"");
     }
     let mut log = MergedLog::default();
-    log.read("reader.log", &noted);
+    log.read("reader.log", &logged);
     let refused = request("\"reason\":\"no_target\",\"may_have_run\":false,\"held_ms\":0");
     log.read("vm-1.log", &line(90_000, "request_refused", &refused));
     let cause = log.story("r1").expect("a story").cause.text;
