--- a/crates/tool/src/arguments.rs
+++ b/crates/tool/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Defines the command line.
 //!
 //! Owns: commands and flags, which are stable. Relies on: clap.
 
@@ -8,9 +8,9 @@
 
 /// Checks, applies and shows the configuration of curlewcleat, and drains daemons.
 ///
-/// Exit codes: 0 done; 1 the files do not pass the checks, or differ; 2 wrong usage; 3 somebody
-/// else changed the same file; 4 the platform or a daemon cannot be reached, or it is not clear
-/// whether an apply took effect; 5 not in force everywhere within the time to wait.
+/// Exit codes: 0 done; 1 the files fail the checks, or differ; 2 wrong usage; 3 another apply
+/// changed the same file; 4 the platform or a daemon cannot be reached, or it is unknown
+/// whether an apply took effect; 5 some daemons did not have it in force within the time to wait.
 #[derive(Parser)]
 #[command(version)]
 pub struct Arguments {
@@ -33,19 +33,19 @@
 pub enum Command {
     /// Check files together, without the platform.
     Check(FileArguments),
-    /// Put files in force, each as a whole.
+    /// Put files in force; each replaces the whole earlier file of its name.
     Apply(ApplyArguments),
-    /// Compare files with what is in force; exits with 1 if they differ.
+    /// Compare files with those in force; exits with 1 if they differ.
     Diff(FileArguments),
-    /// Show what is in force and what the daemons say.
+    /// Show what is in force and the state of the daemons.
     Show(ShowArguments),
     /// Show who applied what and when.
     History,
     /// Begin the planned stop of a daemon.
     Drain(DrainArguments),
-    /// Let a request be served again that is refused since targets ended under it.
+    /// Let a request be served again that is refused because targets terminated while running it.
     Clear(ClearArguments),
-    /// Tell the story of a request out of the logs of daemons.
+    /// Explain what happened to a request, from the logs of daemons.
     Explain(ExplainArguments),
     /// Print a completion script for a shell.
     Completions(CompletionArguments),
@@ -65,16 +65,16 @@
     /// INI files, or folders with them.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
-    /// Wait until each daemon has it in force.
+    /// Wait until each daemon has the configuration in force.
     #[arg(long)]
     pub wait: bool,
     /// Seconds to wait.
     #[arg(long, default_value_t = 8)]
     pub wait_seconds: u64,
-    /// Generation that was read before; a later change to the same files is a conflict.
+    /// Generation that the edit is based on; a later change to the same files is a conflict.
     #[arg(long)]
     pub expect_generation: Option<u64>,
-    /// Name for the history.
+    /// Name of the operator, for the history.
     #[arg(long, env = "USER", default_value = "operator")]
     pub operator: String,
 }
@@ -118,7 +118,7 @@
 /// Which request to clear.
 #[derive(Args)]
 pub struct ClearArguments {
-    /// Its digest, as `show suspects` and the logs tell it.
+    /// Digest of the request, from `show suspects` or the logs.
     pub digest: String,
 }
 
--- a/crates/tool/src/daemons.rs
+++ b/crates/tool/src/daemons.rs
@@ -1,6 +1,7 @@
-//! Calls of the daemons' operator interface.
+//! Calls the operators' interface of the daemons.
 //!
-//! Owns: calls of daemons, and waiting for them. Relies on: the operators' address of each daemon.
+//! Owns: the calls to daemons, and waiting until they have a generation in force. Relies on: the operators' address of
+//! each daemon.
 
 use std::time::{Duration, Instant};
 
@@ -11,27 +12,27 @@
 use crate::arguments::{Arguments, ClearArguments, DrainArguments};
 use crate::ToolExit;
 
-/// Time after which a daemon counts as unreachable.
+/// Time within which a daemon must answer a call.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
-/// Time between looks at a daemon.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two reads of a daemon's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The status of a daemon.
+/// Reads the status of a daemon.
 pub async fn status(address: &str) -> Result<Value> {
-    read(address, "/status").await
+    get_json(address, "/status").await
 }
 
-/// The requests under which targets ended, as a daemon knows them.
+/// Reads the requests that terminated targets, as known to a daemon.
 pub async fn suspects(address: &str) -> Result<Value> {
-    read(address, "/suspects").await
+    get_json(address, "/suspects").await
 }
 
-/// The orders to move pools to other versions, as a daemon knows them.
+/// Reads the rollouts (orders to move pools to other versions), as known to a daemon.
 pub async fn rollouts(address: &str) -> Result<Value> {
-    read(address, "/rollouts").await
+    get_json(address, "/rollouts").await
 }
 
-async fn read(address: &str, path: &str) -> Result<Value> {
+async fn get_json(address: &str, path: &str) -> Result<Value> {
     let client = Client::builder().timeout(CALL_LIMIT).disable_redirects().finish();
     let call = client.get(format!("http://{address}{path}")).send().await;
     let mut response = call.map_err(|error| anyhow!("daemon {address}: {error}"))?;
@@ -43,56 +44,60 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Waits until each daemon has a generation in force, and names those that have not.
+/// Waits until each daemon has a generation in force, and names the daemons that do not have it in time.
 pub async fn wait_for(arguments: &Arguments, generation: u64, limit: Duration) -> Result<ToolExit> {
-    let begun = Instant::now();
-    // Each is followed on its own, so that one that hangs does not hide the others.
-    let follow = |daemon: &String| tokio::time::timeout(limit, reach(daemon.clone(), generation));
-    let reached = futures_util::future::join_all(arguments.daemons.iter().map(follow)).await;
-    let looked = arguments.daemons.iter().zip(reached);
-    let behind: Vec<&str> =
-        looked.filter(|(_, reached)| reached.is_err()).map(|(daemon, _)| daemon.as_str()).collect();
+    let started = Instant::now();
+    // Daemons are polled concurrently, so that an unresponsive one does not hide the state of the others.
+    let poll =
+        |daemon: &String| tokio::time::timeout(limit, poll_until(daemon.clone(), generation));
+    let reached = futures_util::future::join_all(arguments.daemons.iter().map(poll)).await;
+    let results = arguments.daemons.iter().zip(reached);
+    let behind: Vec<&str> = results
+        .filter(|(_, reached)| reached.is_err())
+        .map(|(daemon, _)| daemon.as_str())
+        .collect();
     if behind.is_empty() {
         let daemons = arguments.daemons.len();
-        println!("in force on {daemons} daemon(s) after {} ms", begun.elapsed().as_millis());
+        println!("in force on {daemons} daemon(s) after {} ms", started.elapsed().as_millis());
         return Ok(ToolExit::Done);
     }
     eprintln!("not in force within {} s on: {}", limit.as_secs(), behind.join(", "));
     Ok(ToolExit::NotEverywhere)
 }
 
-/// Looks at a daemon until it has a generation in force.
-async fn reach(daemon: String, generation: u64) {
+/// Reads the status of a daemon until it has a generation in force.
+async fn poll_until(daemon: String, generation: u64) {
     loop {
-        // A daemon that does not answer is asked again; the caller names it when the time is over.
+        // Calls that fail are repeated; the caller's timeout ends the loop and reports the daemon.
         if let Ok(status) = status(&daemon).await {
             if status["generation"].as_u64().is_some_and(|reached| reached >= generation) {
                 return;
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// `clear`: lets a request be served again. One daemon that takes it tells the others.
+/// `clear`: lets a request be served again. The first daemon that accepts the call informs the others.
 pub async fn clear(arguments: &Arguments, options: &ClearArguments) -> Result<ToolExit> {
-    let mut failure = anyhow!("this needs --daemons, the operators' addresses to ask");
+    let mut last_error =
+        anyhow!("this command needs --daemons: operators' addresses of daemons as ip:port,ip:port");
     for daemon in &arguments.daemons {
         match post(daemon, &format!("/suspects/clear?digest={}", options.digest)).await {
             Ok(()) => {
-                println!("{} is served again; {daemon} tells the other daemons", options.digest);
+                println!("{} is served again; {daemon} informs the other daemons", options.digest);
                 return Ok(ToolExit::Done);
             }
-            Err(error) => failure = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(failure)
+    Err(last_error)
 }
 
 /// `drain`: begins the planned stop of a daemon.
 pub async fn drain(options: &DrainArguments) -> Result<ToolExit> {
     post(&options.daemon, "/drain").await?;
-    println!("{} drains; it ends when its requests are done", options.daemon);
+    println!("{} is draining; it stops when its requests have ended", options.daemon);
     Ok(ToolExit::Done)
 }
 
@@ -102,14 +107,14 @@
     let response = call.map_err(|error| anyhow!("daemon {address}: {error}"))?;
     match response.status().is_success() {
         true => Ok(()),
-        false => bail!("daemon {address}: answered {}", response.status()),
+        false => bail!("daemon {address}: answered with status {}", response.status()),
     }
 }
 
-/// Seconds since the Unix epoch as a date and time in UTC.
+/// Formats seconds since the Unix epoch as a date and time in UTC.
 pub fn utc(seconds: u64) -> String {
     let days = (seconds / 86_400) as i64;
-    // Days to a civil date, by the usual reckoning in eras of 400 years from 1 March 0000.
+    // Converts days to a calendar date, by the usual algorithm with eras of 400 years from 1 March 0000.
     let shifted = days + 719_468;
     let era = shifted.div_euclid(146_097);
     let day_of_era = shifted.rem_euclid(146_097);
--- a/crates/tool/src/explain.rs
+++ b/crates/tool/src/explain.rs
@@ -1,4 +1,6 @@
-//! Tells the story of a request out of logs.
+//! `explain`.
+//!
+//! Owns: the reading of log files. Relies on: `curlewcleat-explain` for what happened to the request.
 
 use std::io::Read;
 
@@ -8,10 +10,10 @@
 use crate::arguments::{Arguments, ExplainArguments};
 use crate::ToolExit;
 
-/// Name of standard input among the files.
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Prints the story of a request; none is reported as invalid.
+/// `explain`: prints what happened to a request; exits with 1 if no log line has its id.
 pub fn explain(arguments: &Arguments, options: &ExplainArguments) -> Result<ToolExit> {
     let mut log = MergedLog::default();
     for file in &options.logs {
@@ -19,7 +21,9 @@
         let bytes = match name.as_str() {
             STANDARD_INPUT => {
                 let mut bytes = Vec::new();
-                std::io::stdin().read_to_end(&mut bytes).context("standard input")?;
+                std::io::stdin()
+                    .read_to_end(&mut bytes)
+                    .context("logs: cannot read standard input")?;
                 bytes
             }
             _ => std::fs::read(file).with_context(|| format!("logs: cannot read {name}"))?,
@@ -28,10 +32,10 @@
         log.read(source, &String::from_utf8_lossy(&bytes));
     }
     if log.unreadable() > 0 {
-        eprintln!("{} line(s) are no log lines, or were cut", log.unreadable());
+        eprintln!("{} line(s) could not be parsed: not a log line, or cut off", log.unreadable());
     }
     let Some(story) = log.story(&options.request) else {
-        eprintln!("no line tells of {}", options.request);
+        eprintln!("no log line belongs to the request {}", options.request);
         return Ok(ToolExit::Invalid);
     };
     match arguments.json {
--- a/crates/tool/src/main.rs
+++ b/crates/tool/src/main.rs
@@ -1,4 +1,4 @@
-//! `curlewcleat`: the operators' tool.
+//! `curlewcleat`: the command-line client for operators.
 //!
 //! Owns: the exit codes. Relies on: the other modules for the commands.
 
@@ -16,18 +16,18 @@
 
 use crate::arguments::{Arguments, Command};
 
-/// What a command leads to; the exit code of the tool.
+/// Result of a command, which is the exit code of the tool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ToolExit {
     /// Done.
     Done = 0,
-    /// The files do not pass the checks, or differ.
+    /// The files fail the checks or differ from those in force, or no log line has the request's id.
     Invalid = 1,
-    /// Somebody else changed the same file.
+    /// Another apply changed the same file.
     Conflict = 3,
-    /// The platform or a daemon cannot be reached.
+    /// The platform or a daemon cannot be reached, or another error occurred.
     Unreachable = 4,
-    /// Not in force everywhere within the time to wait.
+    /// Some daemons did not have the configuration in force within the time to wait.
     NotEverywhere = 5,
 }
 
--- a/crates/tool/src/show.rs
+++ b/crates/tool/src/show.rs
@@ -1,7 +1,7 @@
 //! `show` and `history`.
 //!
-//! Owns: tables and JSON of `show` and `history`; keys are stable. Relies on: the status of the
-//! daemons, the object API.
+//! Owns: tables and JSON of `show` and `history`; the JSON keys are stable. Relies on: the status of the daemons, the
+//! object API.
 
 mod rollouts;
 
@@ -10,27 +10,27 @@
 use curlewcleat_store::{ObjectStore, VmState};
 use serde_json::{json, Value};
 
-use crate::apply::{manifest, store, texts};
+use crate::apply::{http_store, read_manifest, read_texts};
 use crate::arguments::{Arguments, ShowArguments, ShowSubject};
 use crate::{daemons, table, ToolExit};
 
-/// `show`.
+/// `show`: prints the requested subject.
 pub async fn show(arguments: &Arguments, options: &ShowArguments) -> Result<ToolExit> {
     match options.what {
-        ShowSubject::Config => config(arguments).await,
-        ShowSubject::Status => status(arguments).await,
-        ShowSubject::Vms => vms(arguments).await,
-        ShowSubject::Targets => targets(arguments).await,
-        ShowSubject::Accounts => accounts(arguments).await,
-        ShowSubject::Suspects => suspects(arguments).await,
-        ShowSubject::Rollouts => rollouts::rollouts(arguments).await,
+        ShowSubject::Config => show_config(arguments).await,
+        ShowSubject::Status => show_status(arguments).await,
+        ShowSubject::Vms => show_vms(arguments).await,
+        ShowSubject::Targets => show_targets(arguments).await,
+        ShowSubject::Accounts => show_accounts(arguments).await,
+        ShowSubject::Suspects => show_suspects(arguments).await,
+        ShowSubject::Rollouts => rollouts::show_rollouts(arguments).await,
     }
 }
 
-/// `history`: who applied what and when.
+/// `history`: prints the latest applies: generation, time, operator and files.
 pub async fn history(arguments: &Arguments) -> Result<ToolExit> {
     // Before the first apply the history is empty.
-    let manifest = manifest(&store(arguments)).await?.unwrap_or_default();
+    let manifest = read_manifest(&http_store(arguments)).await?.unwrap_or_default();
     if arguments.json {
         println!("{}", json!(manifest.history));
         return Ok(ToolExit::Done);
@@ -47,12 +47,12 @@
     Ok(ToolExit::Done)
 }
 
-async fn config(arguments: &Arguments) -> Result<ToolExit> {
-    let store = store(arguments);
-    let Some(manifest) = manifest(&store).await? else {
-        bail!("no configuration has been applied yet")
+async fn show_config(arguments: &Arguments) -> Result<ToolExit> {
+    let store = http_store(arguments);
+    let Some(manifest) = read_manifest(&store).await? else {
+        bail!("no configuration has been applied yet; apply one with `curlewcleat apply`")
     };
-    let texts = texts(&store, &manifest).await?;
+    let texts = read_texts(&store, &manifest).await?;
     if arguments.json {
         println!("{}", json!({ "generation": manifest.generation, "files": texts }));
         return Ok(ToolExit::Done);
@@ -64,11 +64,11 @@
     Ok(ToolExit::Done)
 }
 
-async fn status(arguments: &Arguments) -> Result<ToolExit> {
-    let statuses = all_statuses(arguments).await?;
+async fn show_status(arguments: &Arguments) -> Result<ToolExit> {
+    let statuses = read_statuses(arguments).await?;
     if arguments.json {
         println!("{}", json!(statuses));
-        return Ok(exit_of(&statuses));
+        return Ok(exit_code(&statuses));
     }
     let rows = statuses.iter().map(status_row);
     let titles = [
@@ -84,15 +84,15 @@
         "ERROR",
     ];
     table::print(&titles, &rows.collect::<Vec<_>>());
-    Ok(exit_of(&statuses))
+    Ok(exit_code(&statuses))
 }
 
 fn status_row(status: &Value) -> Vec<String> {
-    let live = status["peers"]
+    let live_peers = status["peers"]
         .as_array()
         .map_or(0, |peers| peers.iter().filter(|peer| peer["live"] == true).count());
-    let own = |pool: &&Value| pool["scheduler"] == status["vm"];
-    let pools = status["pools"].as_array().into_iter().flatten().filter(own);
+    let is_scheduled_here = |pool: &&Value| pool["scheduler"] == status["vm"];
+    let pools = status["pools"].as_array().into_iter().flatten().filter(is_scheduled_here);
     let pools: Vec<String> = pools.map(|pool| text(&pool["id"])).collect();
     vec![
         text(&status["daemon"]),
@@ -101,20 +101,20 @@
         text(&status["generation"]),
         text(&status["drain"]),
         text(&status["requests"]),
-        live.to_string(),
+        live_peers.to_string(),
         text(&status["key_slots"]),
         pools.join(","),
         text(&status["error"]),
     ]
 }
 
-async fn targets(arguments: &Arguments) -> Result<ToolExit> {
-    let statuses = all_statuses(arguments).await?;
+async fn show_targets(arguments: &Arguments) -> Result<ToolExit> {
+    let statuses = read_statuses(arguments).await?;
     let mut rows = Vec::new();
     let mut found = Vec::new();
     for status in &statuses {
         for pool in status["pools"].as_array().into_iter().flatten() {
-            // The scheduler of a pool knows what is in flight from all entries.
+            // Only the scheduler of a pool knows the requests in flight from all entry daemons.
             if pool["scheduler"] != status["vm"] {
                 continue;
             }
@@ -152,15 +152,15 @@
         ];
         table::print(&titles, &rows);
     }
-    Ok(exit_of(&statuses))
+    Ok(exit_code(&statuses))
 }
 
-async fn accounts(arguments: &Arguments) -> Result<ToolExit> {
-    let store = store(arguments);
-    let Some(manifest) = manifest(&store).await? else {
-        bail!("no configuration has been applied yet")
+async fn show_accounts(arguments: &Arguments) -> Result<ToolExit> {
+    let store = http_store(arguments);
+    let Some(manifest) = read_manifest(&store).await? else {
+        bail!("no configuration has been applied yet; apply one with `curlewcleat apply`")
     };
-    let config = check_files(manifest.generation, &texts(&store, &manifest).await?)?;
+    let config = check_files(manifest.generation, &read_texts(&store, &manifest).await?)?;
     if arguments.json {
         let accounts = config.accounts.values().map(|account| {
             json!({
@@ -179,8 +179,8 @@
     Ok(ToolExit::Done)
 }
 
-async fn vms(arguments: &Arguments) -> Result<ToolExit> {
-    let vms = store(arguments).vms().await?;
+async fn show_vms(arguments: &Arguments) -> Result<ToolExit> {
+    let vms = http_store(arguments).vms().await?;
     if arguments.json {
         println!("{}", json!(vms));
         return Ok(ToolExit::Done);
@@ -193,19 +193,20 @@
     Ok(ToolExit::Done)
 }
 
-/// As the first daemon that answers knows them; all know the same.
-async fn suspects(arguments: &Arguments) -> Result<ToolExit> {
-    let mut failure = anyhow!("this needs --daemons, the operators' addresses to ask");
+/// Prints the requests that terminated targets, as known to the first daemon that answers; all daemons know the same.
+async fn show_suspects(arguments: &Arguments) -> Result<ToolExit> {
+    let mut last_error =
+        anyhow!("this command needs --daemons: operators' addresses of daemons as ip:port,ip:port");
     for daemon in &arguments.daemons {
         match daemons::suspects(daemon).await {
             Ok(suspects) => {
                 print_suspects(arguments, &suspects);
                 return Ok(ToolExit::Done);
             }
-            Err(error) => failure = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(failure)
+    Err(last_error)
 }
 
 fn print_suspects(arguments: &Arguments, suspects: &Value) {
@@ -214,17 +215,17 @@
     }
     let rows = suspects.as_array().into_iter().flatten().map(|suspect| {
         let targets = suspect["targets"].as_array().into_iter().flatten();
-        let ended = targets.filter(|target| target["ended"] == true);
-        let ended: Vec<String> = ended.map(|target| text(&target["id"])).collect();
-        vec![text(&suspect["digest"]), text(&suspect["refused"]), ended.join(",")]
+        let terminated = targets.filter(|target| target["ended"] == true);
+        let terminated: Vec<String> = terminated.map(|target| text(&target["id"])).collect();
+        vec![text(&suspect["digest"]), text(&suspect["refused"]), terminated.join(",")]
     });
     table::print(&["DIGEST", "REFUSED", "ENDED TARGETS"], &rows.collect::<Vec<_>>());
 }
 
-/// The status of each daemon; of one that does not answer, an error in its place.
-async fn all_statuses(arguments: &Arguments) -> Result<Vec<Value>> {
+/// Reads the status of each daemon; for a daemon that does not answer, the value holds the error instead.
+async fn read_statuses(arguments: &Arguments) -> Result<Vec<Value>> {
     if arguments.daemons.is_empty() {
-        bail!("this needs --daemons, the operators' addresses to ask");
+        bail!("this command needs --daemons: operators' addresses of daemons as ip:port,ip:port");
     }
     let mut statuses = Vec::new();
     for daemon in &arguments.daemons {
@@ -238,7 +239,7 @@
     Ok(statuses)
 }
 
-fn exit_of(statuses: &[Value]) -> ToolExit {
+fn exit_code(statuses: &[Value]) -> ToolExit {
     let failed = statuses.iter().any(|status| !status["error"].is_null());
     if failed {
         ToolExit::Unreachable
--- a/crates/tool/src/show/rollouts.rs
+++ b/crates/tool/src/show/rollouts.rs
@@ -1,6 +1,7 @@
 //! `show rollouts`.
 //!
-//! Owns: its table and JSON; keys are stable. Relies on: the daemons, of which the one that decides knows most.
+//! Owns: table and JSON of `show rollouts`; the JSON keys are stable. Relies on: the status of rollouts from the
+//! daemons; the daemon that decides a rollout has the most complete one.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::arguments::Arguments;
 use crate::{daemons, table, ToolExit};
 
-/// Columns, and the keys of what stands in them.
+/// Titles of the columns and the JSON keys of their values.
 const COLUMNS: [(&str, &str); 8] = [
     ("POOL", "pool"),
     ("VERSION", "version"),
@@ -23,24 +24,29 @@
     ("BAD", "bad_answers"),
 ];
 
-/// Shows the orders to move pools to other versions, of each what the daemon knows that has seen most answers.
-pub(super) async fn rollouts(arguments: &Arguments) -> Result<ToolExit> {
-    let mut failure = anyhow!("this needs --daemons, the operators' addresses to ask");
-    let mut known: BTreeMap<String, Value> = BTreeMap::new();
-    let mut has_answer = false;
+/// Prints the rollouts; of each, the status from the daemon that has counted the most answers.
+pub(super) async fn show_rollouts(arguments: &Arguments) -> Result<ToolExit> {
+    let mut last_error =
+        anyhow!("this command needs --daemons: operators' addresses of daemons as ip:port,ip:port");
+    let mut by_pool: BTreeMap<String, Value> = BTreeMap::new();
+    let mut any_answered = false;
     for daemon in &arguments.daemons {
         match daemons::rollouts(daemon).await {
             Ok(rollouts) => {
-                has_answer = true;
-                rollouts.as_array().into_iter().flatten().for_each(|told| keep(&mut known, told));
+                any_answered = true;
+                rollouts
+                    .as_array()
+                    .into_iter()
+                    .flatten()
+                    .for_each(|reported| keep_most_complete(&mut by_pool, reported));
             }
-            Err(error) => failure = error,
+            Err(error) => last_error = error,
         }
     }
-    if !has_answer {
-        return Err(failure);
+    if !any_answered {
+        return Err(last_error);
     }
-    let rollouts: Vec<Value> = known.into_values().collect();
+    let rollouts: Vec<Value> = by_pool.into_values().collect();
     if arguments.json {
         println!("{}", Value::Array(rollouts));
         return Ok(ToolExit::Done);
@@ -50,11 +56,11 @@
     Ok(ToolExit::Done)
 }
 
-/// Keeps what a daemon tells of an order where it has seen more answers than those before.
-fn keep(known: &mut BTreeMap<String, Value>, told: &Value) {
+/// Keeps a daemon's status of a rollout if it has counted more answers than the status kept so far.
+fn keep_most_complete(by_pool: &mut BTreeMap<String, Value>, reported: &Value) {
     let answers = |rollout: &Value| rollout["answers"].as_u64().unwrap_or(0);
-    let pool = text(&told["pool"]);
-    if known.get(&pool).is_none_or(|before| answers(before) < answers(told)) {
-        known.insert(pool, told.clone());
+    let pool = text(&reported["pool"]);
+    if by_pool.get(&pool).is_none_or(|kept| answers(kept) < answers(reported)) {
+        by_pool.insert(pool, reported.clone());
     }
 }
--- a/crates/tool/src/table.rs
+++ b/crates/tool/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables on the terminal.
+//! Prints tables on the terminal.
 
-/// Prints rows under titles, each column as wide as its widest cell.
+/// Prints a row of titles and the given rows; each column is as wide as its widest cell.
 pub fn print(titles: &[&str], rows: &[Vec<String>]) {
     let mut widths: Vec<usize> = titles.iter().map(|title| title.len()).collect();
     for row in rows {
