--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -258,6 +258,6 @@
             applied_at: self.options.applied_at,
             files: Vec::new(),
         };
-        ApplyAction::PutManifest(self.version, self.current.succeed(&self.hashes, record))
+        ApplyAction::PutManifest(self.version, self.current.with_apply(&self.hashes, record))
     }
 }
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the manifest that an apply of `files` (content hash by name) leads to.
-    pub fn succeed(
+    pub fn with_apply(
         &self,
         files: &BTreeMap<String, String>,
         mut record: ApplyRecord,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -24,11 +24,11 @@
     pub caller_address: String,
     /// `ip:port` for operators: health, status and metrics.
     pub operator_address: String,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
-    /// Requests held at the same time.
+    /// Maximum number of requests held at the same time.
     pub request_limit: usize,
-    /// Connections from callers held at the same time, per thread.
+    /// Maximum number of connections from callers held at the same time, per thread.
     pub connection_limit: usize,
     /// Time within which a caller must send the head of a request.
     pub head_limit: Duration,
--- a/crates/explain/src/merged.rs
+++ b/crates/explain/src/merged.rs
@@ -1,7 +1,7 @@
 //! Collects the lines of all logs.
 
 use crate::line::LogLine;
-use crate::story::RequestStory;
+use crate::timeline::RequestTimeline;
 
 /// Lines from the logs of many daemons.
 #[derive(Clone, Debug, Default)]
@@ -12,7 +12,7 @@
 
 impl MergedLog {
     /// Adds the lines of a log; `file` is its name.
-    pub fn read(&mut self, file: &str, text: &str) {
+    pub fn add_log(&mut self, file: &str, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match LogLine::parse(file, line) {
                 Some(line) => self.lines.push(line),
@@ -27,7 +27,7 @@
     }
 
     /// Returns what happened to a request, given the system's or the caller's id; `None` if no line has this id.
-    pub fn story(&self, id: &str) -> Option<RequestStory> {
-        RequestStory::from_lines(id, &self.lines)
+    pub fn request_timeline(&self, id: &str) -> Option<RequestTimeline> {
+        RequestTimeline::from_lines(id, &self.lines)
     }
 }
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/timeline.rs
@@ -37,7 +37,7 @@
 
 /// One step in the course of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct StoryStep {
+pub struct TimelineStep {
     /// Milliseconds since the request arrived; negative for earlier state changes of the daemon.
     pub after_ms: i64,
     /// Source of the line, see [`LogLine::source`].
@@ -52,20 +52,20 @@
 
 /// What happened to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct RequestStory {
+pub struct RequestTimeline {
     /// The id by which the request was looked up.
     pub id: String,
     /// Steps by the time of the daemons' clocks; each log has a clock of its own.
-    pub steps: Vec<StoryStep>,
+    pub steps: Vec<TimelineStep>,
     /// How the request ended.
     pub outcome: String,
     /// The most likely cause.
     pub cause: LikelyCause,
 }
 
-impl RequestStory {
+impl RequestTimeline {
     /// Selects the lines of a request and the state changes that its daemons logged shortly before and while it ran.
-    pub(crate) fn from_lines(id: &str, lines: &[LogLine]) -> Option<RequestStory> {
+    pub(crate) fn from_lines(id: &str, lines: &[LogLine]) -> Option<RequestTimeline> {
         let request_lines: Vec<&LogLine> = lines.iter().filter(|line| line.is_about(id)).collect();
         let first = request_lines.iter().map(|line| line.at_ms).min()?;
         let last = request_lines.iter().map(|line| line.at_ms).max()?;
@@ -80,7 +80,7 @@
         });
         let mut lines: Vec<&LogLine> = state_changes.chain(request_lines.iter().copied()).collect();
         lines.sort_by_key(|line| line.at_ms);
-        let steps = lines.iter().map(|line| StoryStep {
+        let steps = lines.iter().map(|line| TimelineStep {
             after_ms: line.at_ms as i64 - arrival as i64,
             source: line.source.clone(),
             event: line.event.clone(),
@@ -88,7 +88,7 @@
             own: line.is_about(id),
         });
         let outcome = outcome(&request_lines);
-        Some(RequestStory {
+        Some(RequestTimeline {
             id: id.to_string(),
             steps: steps.collect(),
             outcome,
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -24,15 +24,15 @@
                 "request_refused",
                 &request("\"reason\":\"configuration_stale\",\"may_have_run\":false,\"held_ms\":0"),
             );
-    log.read("vm-1.log", &text);
-    let story = log.story(id).expect("a story");
-    assert_eq!(story.outcome, "refused (configuration_stale); it did not run");
+    log.add_log("vm-1.log", &text);
+    let timeline = log.request_timeline(id).expect("a timeline");
+    assert_eq!(timeline.outcome, "refused (configuration_stale); it did not run");
     assert!(
-        story.cause.text.contains("lost the platform's store")
-            && story.cause.text.contains("no answer")
+        timeline.cause.text.contains("lost the platform's store")
+            && timeline.cause.text.contains("no answer")
     );
-    assert!(story.cause.page.contains("Platform lost"));
-    assert_eq!(story.steps.len(), 2);
+    assert!(timeline.cause.page.contains("Platform lost"));
+    assert_eq!(timeline.steps.len(), 2);
 }
 
 #[test]
@@ -46,11 +46,11 @@
                 "request_served",
                 &request("\"target\":\"i-2\",\"attempts\":2,\"end_ms\":1500"),
             );
-    log.read("vm-1.log", &text);
-    let story = log.story("r1").expect("a story");
-    assert_eq!(story.outcome, "served");
-    assert!(story.cause.text.contains("1 failed attempt(s), the last at i-1"));
-    let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
+    log.add_log("vm-1.log", &text);
+    let timeline = log.request_timeline("r1").expect("a timeline");
+    assert_eq!(timeline.outcome, "served");
+    assert!(timeline.cause.text.contains("1 failed attempt(s), the last at i-1"));
+    let events: Vec<&str> = timeline.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["pool_waits", "attempt_failed", "request_served"]);
 }
 
@@ -59,18 +59,18 @@
     let mut log = MergedLog::default();
     let whole =
         line(5_000, "attempt_failed", &request("\"target\":\"i-1\",\"reason\":\"target_closed\""));
-    log.read("vm-1.log", &format!("{whole}{{\"level\":\"info\",\"timest"));
-    let story = log.story("r1").expect("a story");
-    assert!(story.outcome.contains("no end in these logs"));
-    assert!(story.cause.text.contains("interrupted after a failed attempt at i-1"));
+    log.add_log("vm-1.log", &format!("{whole}{{\"level\":\"info\",\"timest"));
+    let timeline = log.request_timeline("r1").expect("a timeline");
+    assert!(timeline.outcome.contains("no end in these logs"));
+    assert!(timeline.cause.text.contains("interrupted after a failed attempt at i-1"));
     assert_eq!(log.unreadable(), 1);
-    assert!(log.story("r2").is_none() && log.story("").is_none());
+    assert!(log.request_timeline("r2").is_none() && log.request_timeline("").is_none());
 }
 
 #[test]
 fn state_changes_of_other_daemons_and_earlier_times_are_left_out() {
     let mut log = MergedLog::default();
-    log.read(
+    log.add_log(
         "vm-1.log",
         &line(
             100_000,
@@ -78,12 +78,12 @@
             &request("\"reason\":\"draining\",\"may_have_run\":false"),
         ),
     );
-    log.read("vm-1.log", &line(50_000, "drain_begun", ""));
-    log.read("vm-1.log", &line(99_000, "drain_closing", ""));
+    log.add_log("vm-1.log", &line(50_000, "drain_begun", ""));
+    log.add_log("vm-1.log", &line(99_000, "drain_closing", ""));
     // A line of another daemon, whose clock may differ: of that log only lines of the request itself would be shown.
-    log.read("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
-    let story = log.story("r1").expect("a story");
-    let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
+    log.add_log("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
+    let timeline = log.request_timeline("r1").expect("a timeline");
+    let events: Vec<&str> = timeline.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["drain_closing", "request_refused"]);
 }
 
@@ -95,11 +95,11 @@
         line(1_500, "started", "\"vm\":\"x\""),
         line(1_600, "request_refused", &request("\"reason\":\"no_rule\",\"may_have_run\":false"))
     );
-    log.read("", &text);
-    let story = log.story("a1").expect("a story");
-    assert_eq!(story.steps.len(), 1);
-    assert_eq!(story.steps[0].source, "front-2");
-    assert!(story.to_text().contains("no route has this host and path"));
+    log.add_log("", &text);
+    let timeline = log.request_timeline("a1").expect("a timeline");
+    assert_eq!(timeline.steps.len(), 1);
+    assert_eq!(timeline.steps[0].source, "front-2");
+    assert!(timeline.to_text().contains("no route has this host and path"));
 }
 
 #[test]
@@ -110,8 +110,8 @@
     for reason in RefusalReason::ALL {
         let mut log = MergedLog::default();
         let fields = format!("\"reason\":\"{}\",\"may_have_run\":false", reason.code());
-        log.read("vm-1.log", &line(1_000, "request_refused", &request(&fields)));
-        let cause = log.story("r1").expect("a story").cause;
+        log.add_log("vm-1.log", &line(1_000, "request_refused", &request(&fields)));
+        let cause = log.request_timeline("r1").expect("a timeline").cause;
         assert!(
             !cause.text.contains("unknown to this version"),
             "{}: {}",
@@ -139,10 +139,10 @@
         logged += &line(2_000, later, "\"kind\":\"target\",\"entry\":\"i-7\"");
     }
     let mut log = MergedLog::default();
-    log.read("reader.log", &logged);
+    log.add_log("reader.log", &logged);
     let refused = request("\"reason\":\"no_target\",\"may_have_run\":false,\"held_ms\":0");
-    log.read("vm-1.log", &line(90_000, "request_refused", &refused));
-    let cause = log.story("r1").expect("a story").cause.text;
+    log.add_log("vm-1.log", &line(90_000, "request_refused", &refused));
+    let cause = log.request_timeline("r1").expect("a timeline").cause.text;
     assert!(cause.contains(expected), "{cause}");
     assert_eq!(cause.contains("i-7"), later.is_empty(), "{cause}");
 }
--- a/crates/tool/src/explain.rs
+++ b/crates/tool/src/explain.rs
@@ -29,18 +29,18 @@
             _ => std::fs::read(file).with_context(|| format!("logs: cannot read {name}"))?,
         };
         let source = if name == STANDARD_INPUT { "" } else { name.as_str() };
-        log.read(source, &String::from_utf8_lossy(&bytes));
+        log.add_log(source, &String::from_utf8_lossy(&bytes));
     }
     if log.unreadable() > 0 {
         eprintln!("{} line(s) could not be parsed: not a log line, or cut off", log.unreadable());
     }
-    let Some(story) = log.story(&options.request) else {
+    let Some(timeline) = log.request_timeline(&options.request) else {
         eprintln!("no log line belongs to the request {}", options.request);
         return Ok(ToolExit::Invalid);
     };
     match arguments.json {
-        true => println!("{}", serde_json::to_string_pretty(&story)?),
-        false => print!("{}", story.to_text()),
+        true => println!("{}", serde_json::to_string_pretty(&timeline)?),
+        false => print!("{}", timeline.to_text()),
     }
     Ok(ToolExit::Done)
 }
