--- a/crates/config/src/check/file.rs
+++ b/crates/config/src/check/file.rs
@@ -209,10 +209,10 @@
 fn read_shared_rate(section: &mut IniSection<'_>, report: &mut CheckReport) -> Option<SharedRate> {
     let per_s = section.number("shared_rate_per_s", 0, 0..=u64::MAX >> 20, report);
     let burst = section.number("shared_burst", per_s, 0..=u64::MAX >> 20, report);
-    let plain_tokens = section.number("plain_request_tokens", 0, 0..=u64::MAX >> 20, report);
+    let default_tokens = section.number("plain_request_tokens", 0, 0..=u64::MAX >> 20, report);
     let unit = match section.text("shared_rate_unit").as_deref() {
         None | Some("requests") => RateUnit::Request,
-        Some("tokens") => RateUnit::Tokens(plain_tokens),
+        Some("tokens") => RateUnit::Tokens(default_tokens),
         Some(other) => {
             let message = format!("'{other}' should be requests or tokens");
             section.report_problem("shared_rate_unit", message, report);
