--- a/crates/store/src/applying.rs
+++ b/crates/store/src/applying.rs
@@ -1,6 +1,6 @@
-//! Carries an apply out against the platform.
+//! Applies a configuration by making the calls that `ConfigApply` requests.
 //!
-//! Owns: the order of calls of an apply. Relies on: `ConfigApply` for the decisions.
+//! Owns: making the calls and repeating them. Relies on: `ConfigApply` for all decisions.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use crate::store::{ObjectStore, PutOutcome};
 
-/// Time between tries while the platform does not answer.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay before the next step after a call with an unclear result.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Applies files; see [`ConfigApply`] for the protocol.
+/// Applies configuration files; see [`ConfigApply`] for the protocol.
 pub async fn run_apply(
     store: &dyn ObjectStore,
     options: ApplyOptions,
@@ -25,15 +25,15 @@
         if let ApplyAction::Finish(result) = action {
             return result;
         }
-        let event = perform(store, action).await;
+        let event = perform_action(store, action).await;
         if event == ApplyEvent::Unclear {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         action = apply.handle(event);
     }
 }
 
-async fn perform(store: &dyn ObjectStore, action: ApplyAction) -> ApplyEvent {
+async fn perform_action(store: &dyn ObjectStore, action: ApplyAction) -> ApplyEvent {
     match action {
         ApplyAction::ReadManifest => match store.get(MANIFEST_KEY).await {
             Ok(None) => ApplyEvent::Manifest(None),
@@ -50,7 +50,7 @@
             },
             _ => ApplyEvent::Unclear,
         },
-        // A content that is there already has the same bytes, since its key is their hash.
+        // The key is the hash of the content, so an existing object already has the same bytes.
         ApplyAction::PutContent(hash, text) => {
             match store.put(&content_key(&hash), 0, text.into_bytes()).await {
                 Ok(_) => ApplyEvent::ContentStored,
@@ -58,7 +58,7 @@
             }
         }
         ApplyAction::PutManifest(version, manifest) => {
-            // Nothing is stored in place of a manifest that cannot be written.
+            // A manifest that cannot be serialized is not stored.
             let Ok(bytes) = manifest_bytes(&manifest) else { return ApplyEvent::Unclear };
             match store.put(MANIFEST_KEY, version, bytes).await {
                 Ok(PutOutcome::Stored(_)) => ApplyEvent::ManifestStored,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,7 +1,7 @@
-//! One exchange with a store over HTTP: the only way in which the product calls its platform.
+//! HTTP client of the platform's store; all calls to the platform go through it.
 //!
-//! Owns: the connections to one store. Relies on: `curlewcleat-targets`, which tells a whole answer
-//! from a cut one.
+//! Owns: the connections to one store. Relies on: `curlewcleat-targets`, which distinguishes complete answers from
+//! truncated ones.
 
 use std::future::Future;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 
 use crate::store::{Error, Result};
 
-/// Longest answer in bytes: a page of objects, of which each has a megabyte at most.
+/// Maximum size of an answer in bytes. An answer is a page of objects of at most a megabyte each.
 const ANSWER_LIMIT: usize = 16 << 20;
-/// Times the limit of a call that its answer may take in all, as long as its parts keep coming: a megabyte takes most
-/// of a second over 10 Mbit/s, and several beside callers' requests.
-const WHOLE_LIMITS: u32 = 8;
-/// Time for the answer of a watch beyond the time for which it waits.
+/// Factor on the limit of a call that bounds the total time of its answer while parts keep arriving. A megabyte takes
+/// most of a second over 10 Mbit/s, and several seconds when callers' requests share the link.
+const TOTAL_LIMIT_FACTOR: u32 = 8;
+/// Time for the answer of a watch beyond the time for which the store waits.
 const WATCH_SLACK: Duration = Duration::from_secs(1);
 
-/// A call of a store.
+/// A call to a store.
 pub struct StoreRequest {
     method: Method,
     path: String,
@@ -32,17 +32,17 @@
 }
 
 impl StoreRequest {
-    /// A read.
+    /// Creates a read.
     pub fn get(path: String) -> StoreRequest {
         StoreRequest { method: Method::GET, path, header: None, body: None }
     }
 
-    /// A write.
+    /// Creates a write.
     pub fn write(method: Method, path: String, body: Vec<u8>) -> StoreRequest {
         StoreRequest { method, path, header: None, body: Some(body) }
     }
 
-    /// The same with a header.
+    /// Sets the header of the call, in place of an earlier one.
     pub fn header(self, name: HeaderName, value: String) -> StoreRequest {
         StoreRequest { header: Some((name, value)), ..self }
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The whole answer of a store.
+/// The complete answer of a store.
 pub struct StoreReply {
     /// Status.
     pub status: StatusCode,
@@ -69,10 +69,10 @@
 }
 
 impl StoreReply {
-    /// The answer where the store has carried the call out.
+    /// Returns the answer if its status is a success.
     ///
     /// # Errors
-    /// What its status says otherwise.
+    /// Returns the error for any other status.
     pub fn success(self) -> Result<StoreReply> {
         match self.status {
             status if status.is_success() => Ok(self),
@@ -80,25 +80,25 @@
         }
     }
 
-    /// The body in a type.
+    /// Decodes the body from JSON.
     ///
     /// # Errors
-    /// [`Error::Protocol`] where it cannot be read as one.
+    /// Returns [`Error::Protocol`] if the body is not a valid `T`.
     pub fn json<'r, T: Deserialize<'r>>(&'r self) -> Result<T> {
         serde_json::from_slice(&self.body).map_err(unreadable)
     }
 }
 
-/// When a call is given up.
+/// Time limits after which a call is abandoned.
 #[derive(Clone, Copy)]
 struct CallLimits {
-    /// Time until its answer begins, and between two parts of it.
+    /// Time until the answer begins, and between two parts of it.
     pause: Duration,
-    /// Time for all of it.
-    whole: Duration,
+    /// Time for the complete call.
+    total: Duration,
 }
 
-/// Calls one store.
+/// Client of one store.
 pub struct StoreClient {
     address: String,
     limit: Duration,
@@ -106,30 +106,29 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `ip:port`. A call is given up where `limit` passes without a part of its
-    /// answer.
+    /// Creates a client for the store at `ip:port`. A call fails when no part of its answer arrives for `limit`.
     pub fn new(address: &str, limit: Duration) -> StoreClient {
         let options = ConnectionOptions { rest: Duration::ZERO, ..ConnectionOptions::default() };
         let connections = ConnectionPool::new(options);
         StoreClient { address: address.to_string(), limit, connections }
     }
 
-    /// Makes one call. Its connection is used again only after a whole answer.
+    /// Makes one call. Its connection is reused only after a complete answer.
     ///
     /// # Errors
-    /// [`Error::Unclear`] where no whole answer comes in time; the call may have taken effect.
+    /// Returns [`Error::Unclear`] if no complete answer arrives in time; the call may have taken effect.
     pub async fn call(&self, request: StoreRequest) -> Result<StoreReply> {
-        let limits = CallLimits { pause: self.limit, whole: self.limit * WHOLE_LIMITS };
+        let limits = CallLimits { pause: self.limit, total: self.limit * TOTAL_LIMIT_FACTOR };
         self.call_within(request, limits).await
     }
 
-    /// Makes a call for which the store waits up to `wait` for a change, before its answer or within it.
+    /// Makes a call in which the store waits up to `wait` for a change, before the answer begins or after.
     ///
     /// # Errors
-    /// As [`call`](StoreClient::call).
+    /// Same as [`call`](StoreClient::call).
     pub async fn watch(&self, request: StoreRequest, wait: Duration) -> Result<StoreReply> {
         let limit = wait + WATCH_SLACK;
-        self.call_within(request, CallLimits { pause: limit, whole: limit }).await
+        self.call_within(request, CallLimits { pause: limit, total: limit }).await
     }
 
     async fn call_within(&self, request: StoreRequest, limits: CallLimits) -> Result<StoreReply> {
@@ -137,33 +136,33 @@
             let answer = within(limits.pause, self.begin(request, limits.pause)).await?;
             read(answer, limits.pause).await
         };
-        within(limits.whole, exchange).await
+        within(limits.total, exchange).await
     }
 
     async fn begin(&self, request: StoreRequest, limit: Duration) -> Result<TargetAnswer> {
         let connection = self.connections.connect(&self.address, limit).await.map_err(unclear)?;
         let head = request.head()?;
-        // Reads have no body.
+        // Reads are sent with an empty body.
         let body = request.body.map(Bytes::from).unwrap_or_default();
         connection.exchange(head, body).await.map_err(unclear)
     }
 }
 
-/// Reads an answer whole. It is given up when nothing comes for `pause`: one that was given up while it
-/// comes would have to be carried again from its beginning.
+/// Reads a complete answer. It is abandoned only when nothing arrives for `pause`, because an answer abandoned while it
+/// arrives would have to be sent again from its beginning.
 async fn read(answer: TargetAnswer, pause: Duration) -> Result<StoreReply> {
     let TargetAnswer { head, mut body } = answer;
     let mut bytes = Vec::new();
     while let Some(part) = within(pause, async { Ok(body.next().await) }).await? {
         bytes.extend_from_slice(&part.map_err(unclear)?);
         if bytes.len() > ANSWER_LIMIT {
-            return Err(Error::Protocol("the answer is too long".to_string()));
+            return Err(Error::Protocol("the answer exceeds the size limit".to_string()));
         }
     }
     Ok(StoreReply { status: head.status, headers: head.headers, body: bytes })
 }
 
-/// Gives a step of a call up after a limit.
+/// Runs a step of a call and abandons it after a limit.
 async fn within<T>(limit: Duration, step: impl Future<Output = Result<T>>) -> Result<T> {
     match tokio::time::timeout(limit, step).await {
         Ok(result) => result,
@@ -171,11 +170,11 @@
     }
 }
 
-/// What a status says that is no success.
+/// Returns the error for a status that is no success.
 pub(crate) fn refusal(status: StatusCode) -> Error {
     match status {
         StatusCode::TOO_MANY_REQUESTS => Error::RateLimited,
-        // A failing store may have carried a write out before it failed.
+        // The store may have made the write before it failed.
         status if status.is_server_error() => Error::Unclear(format!("status {status}")),
         status => Error::Refused(status.as_u16()),
     }
--- a/crates/store/src/entry_fault.rs
+++ b/crates/store/src/entry_fault.rs
@@ -1,30 +1,30 @@
-//! Entries of a platform that name nothing to use, and why.
+//! Describes unusable entries in the platform's lists.
 //!
-//! Owns: the reasons. Relies on: an implementation of the border, which finds them.
+//! Owns: the reasons. Relies on: an implementation of `FleetPlatform`, which detects them.
 
-/// Why an entry names nothing to use.
+/// Why a list entry is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultReason {
-    /// Its bytes are no UTF-8.
+    /// The entry is not valid UTF-8.
     NotText,
-    /// Its bytes are no JSON, or no object.
+    /// The entry is not valid JSON, or not an object.
     NotJson,
-    /// It has no name, so that its target is unknown.
+    /// The entry has no name, so its target is unknown.
     NoName,
-    /// A field is missing, given twice, of another type or out of range.
+    /// A field is missing, duplicate, of another type or out of range.
     Fields,
-    /// Its address is none.
+    /// The address is invalid.
     Address,
-    /// Its state is not a known one.
+    /// The state is unknown.
     State,
-    /// No configuration names its service.
+    /// The service is not in the configuration.
     Service,
-    /// The request that it names is none.
+    /// The request digest is invalid.
     Digest,
 }
 
 impl FaultReason {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [FaultReason; 8] = [
         FaultReason::NotText,
         FaultReason::NotJson,
@@ -36,7 +36,7 @@
         FaultReason::Digest,
     ];
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the reason in logs and metrics.
     pub const fn code(self) -> &'static str {
         match self {
             FaultReason::NotText => "not_text",
@@ -51,13 +51,13 @@
     }
 }
 
-/// An entry that names nothing to use.
+/// An unusable list entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryFault {
-    /// Its name, empty where that cannot be read.
+    /// Name of the entry, empty if it is unreadable.
     pub name: String,
-    /// Why.
+    /// Why the entry is unusable.
     pub reason: FaultReason,
-    /// What was found; of any length.
+    /// What is wrong, with text from the entry; the length is not limited.
     pub detail: String,
 }
--- a/crates/store/src/fleet.rs
+++ b/crates/store/src/fleet.rs
@@ -1,7 +1,6 @@
-//! The border towards a platform that keeps the configuration itself and on which targets announce
-//! themselves.
+//! Defines the interface to a platform that stores the configuration itself and at which targets register themselves.
 //!
-//! Owns: the border, no state. Relies on: an implementation in `platform/`.
+//! Owns: the interface, no state. Relies on: an implementation in `platform/`.
 
 use std::time::Duration;
 
@@ -13,34 +12,34 @@
 use crate::entry_fault::EntryFault;
 use crate::store::StoreFuture;
 
-/// What a read of the configuration gave.
+/// Result of reading the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigRead {
-    /// There is none.
+    /// No configuration exists.
     Absent,
-    /// It still has the version that the reader knows.
+    /// The configuration still has the version that the reader knows.
     Unchanged,
-    /// It is new to the reader.
+    /// The configuration has another version than the reader knows.
     Changed(ObjectVersion, ConfigBundle),
 }
 
 /// How old a list may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAge {
-    /// As of now.
+    /// The current list.
     Newest,
-    /// Some seconds old. Such a call is a small part of the price of one for the newest list.
+    /// A list that may be some seconds old. It costs the platform a small fraction of a call for the current list.
     Seconds,
 }
 
 /// All targets at one revision of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetList {
-    /// The targets; an entry that names none stands here as [`DiscoveredTarget::unusable`].
+    /// The targets. An unusable entry with a name is included as [`DiscoveredTarget::unusable`].
     pub targets: Vec<DiscoveredTarget>,
-    /// The revision, from which a watch goes on.
+    /// Revision of the list, from which a watch can continue.
     pub revision: ObjectVersion,
-    /// The entries that name no target.
+    /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
 
@@ -49,135 +48,137 @@
 pub struct DaemonList {
     /// The records.
     pub daemons: Vec<DaemonRecord>,
-    /// The entries that are no record.
+    /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
 
-/// A request that is refused for good, as the platform keeps it.
+/// A permanently refused request, as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRefusal {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The lives of targets that ended under it.
+    /// The target instances that terminated while running it.
     pub lives: Vec<TargetLife>,
-    /// When it was stored, by the clock of whoever stored it.
+    /// When it was stored, by the clock of the daemon that stored it.
     pub at: WallTime,
 }
 
-/// The requests that are refused for good.
+/// The permanently refused requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RefusalList {
     /// The requests.
     pub refusals: Vec<StoredRefusal>,
-    /// The entries that name none.
+    /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
 
-/// What a watch of the targets gave.
+/// Result of watching the targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetWatch {
-    /// Changes in order, the revision after them, and the entries among them that name no target. Such an
-    /// entry is present as [`DiscoveredTarget::unusable`] where it has a name.
+    /// Changes in order, the revision after them, and the unusable entries among them. An unusable entry with a name is
+    /// also included in the changes, as [`DiscoveredTarget::unusable`].
     Changes(Vec<TargetChange>, ObjectVersion, Vec<EntryFault>),
-    /// The platform has forgotten what came after the revision; the list has to be read again.
+    /// The platform no longer has the changes after the given revision; the list has to be read again.
     HistoryGone,
 }
 
-/// All orders to move a pool to targets of another version.
+/// All rollout orders, which move a pool to targets of another version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutList {
     /// The orders.
     pub rollouts: Vec<RolloutRecord>,
-    /// The revision, from which a watch goes on.
+    /// Revision of the list, from which a watch can continue.
     pub at: ObjectVersion,
-    /// The entries that name none.
+    /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
 
-/// What a watch of the orders gave.
+/// Result of watching the rollout orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutWatch {
-    /// Nothing has changed up to this revision.
+    /// No order has changed up to this revision.
     Quiet(ObjectVersion),
-    /// Something has changed, or may have: the list has to be read again.
+    /// Orders have changed or may have changed; the list has to be read again.
     Changed,
 }
 
-/// The calls that the daemons of a fleet make. A call that got no answer may have taken effect.
+/// The calls that the daemons of a fleet make. A call without an answer may have taken effect.
 pub trait FleetPlatform {
-    /// Names of headers on the wire.
+    /// Returns the header names used between callers, daemons and targets.
     fn profile(&self) -> &WireProfile;
 
-    /// Times that the platform's store has come back from an older copy, as far as its answers show.
+    /// Returns the latest era of the platform's store that its answers stated: how often it was restored from an older
+    /// copy.
     fn era(&self) -> StoreEra;
 
-    /// Reads the newest configuration; never an old one.
+    /// Reads the current configuration, never an older one.
     fn read_config(&self, known: ObjectVersion) -> StoreFuture<'_, ConfigRead>;
 
     /// Reads all targets.
     fn list_targets(&self, age: ListAge) -> StoreFuture<'_, TargetList>;
 
-    /// Waits for a change among the targets after a revision, for `limit` at most.
+    /// Waits at most `limit` for changes to the targets after a revision.
     fn watch_targets(&self, after: ObjectVersion, limit: Duration) -> StoreFuture<'_, TargetWatch>;
 
-    /// Records this daemon in place of any earlier one of its VM.
+    /// Records this daemon and replaces the record of an earlier daemon on its VM.
     fn record_daemon<'a>(&'a self, record: &'a DaemonRecord) -> StoreFuture<'a, ()>;
 
-    /// Keeps that a request is refused. Few places are kept, and a later request may take the place of an earlier one.
+    /// Stores the refusal of a request. The number of stored refusals is bounded; a later one may replace an earlier
+    /// one.
     fn store_refusal<'a>(&'a self, refusal: &'a StoredRefusal) -> StoreFuture<'a, ()>;
 
-    /// Keeps that no longer.
+    /// Removes a stored refusal.
     fn drop_refusal<'a>(&'a self, digest: &'a RequestDigest) -> StoreFuture<'a, ()>;
 
     /// Reads the refused requests.
     fn list_refusals(&self) -> StoreFuture<'_, RefusalList>;
 
-    /// Reads the orders to move pools to targets of other versions; never an old list.
+    /// Reads the current rollout orders, never an older list.
     fn list_rollouts(&self) -> StoreFuture<'_, RolloutList>;
 
-    /// Waits for a change among them after a revision, for `limit` at most.
+    /// Waits at most `limit` for a change to the rollout orders after a revision.
     fn watch_rollouts(
         &self,
         after: ObjectVersion,
         limit: Duration,
     ) -> StoreFuture<'_, RolloutWatch>;
 
-    /// Has the platform keep how far an order is, if it has not changed. The list tells whether it was taken.
+    /// Stores the state of a rollout if its order has not changed. The next list shows whether the state was stored.
     fn write_rollout<'a>(&'a self, write: &'a RolloutWrite) -> StoreFuture<'a, ()>;
 
-    /// Reads the recorded daemons; they may have ended.
+    /// Reads the recorded daemons, including ones that no longer run.
     fn list_daemons(&self, age: ListAge) -> StoreFuture<'_, DaemonList>;
 }
 
-/// Names of headers with which callers, daemons and targets of a fleet talk. All are in lower case.
+/// Names of the headers used between callers, daemons and targets of a fleet. All are in lower case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireProfile {
-    /// Names one try of a caller; a target echoes it.
+    /// Identifies one attempt of a caller; a target repeats it in its answer.
     pub attempt_id: &'static str,
     /// Milliseconds for which the sender waits.
     pub time_left: &'static str,
-    /// The account that is passed to a target.
+    /// The client account, passed on to a target.
     pub account: &'static str,
-    /// The start of a process that a request is meant for.
+    /// Start of the target instance to which a request is addressed.
     pub instance: &'static str,
     /// On an answer: the request did not run.
     pub not_run: &'static str,
-    /// Status of a target that is not the one meant.
+    /// Status with which a target answers a request addressed to another target or instance.
     pub misdirected_status: u16,
-    /// Tokens in and at most out, by a comma.
+    /// Number of prompt tokens and maximum number of generated tokens, separated by a comma.
     pub tokens: &'static str,
-    /// Tokens that the caller expects out.
+    /// Number of generated tokens that the caller expects.
     pub length_hint: &'static str,
-    /// Shared parts of a prompt in order, as `ID:TOKENS` by commas.
+    /// Shared parts of a prompt in order, as `ID:TOKENS`, separated by commas.
     pub prompt_parts: &'static str,
-    /// Last event that the reader of a stream has.
+    /// Last event that the reader of a stream has received.
     pub last_event: &'static str,
-    /// Load of a target: running, waiting and slots by commas.
+    /// Load of a target: running requests, waiting requests and slots, separated by commas.
     pub load: &'static str,
-    /// On an answer: the target leaves.
+    /// On an answer: the target is leaving.
     pub leaving: &'static str,
-    /// On an answer: the requests a second that the target takes from all daemons together.
+    /// On an answer: the requests a second that the target accepts from all daemons together.
     pub limit: &'static str,
-    /// Headers with which only a daemon orders a target about; a caller's end at the daemon.
+    /// Headers with which only a daemon may control a target; daemons remove them from callers' requests.
     pub reserved: &'static [&'static str],
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,6 +1,7 @@
-//! The product's own object API (docs/PLATFORM.md).
+//! Client of the object API that this project defines (docs/PLATFORM.md).
 //!
-//! Owns: nothing but its client. Relies on: [`StoreClient`] for the exchange; versions travel as ETags.
+//! Owns: the paths and headers of the API; versions are sent as ETags. Relies on: [`StoreClient`] for the HTTP
+//! exchange.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 }
 
 impl HttpStore {
-    /// A client for `ip:port`; a call is given up where `limit` passes without a part of its answer.
+    /// Creates a client for the store at `ip:port`. A call fails when no part of its answer arrives for `limit`.
     pub fn new(address: &str, limit: Duration) -> HttpStore {
         HttpStore { client: StoreClient::new(address, limit) }
     }
@@ -57,7 +58,8 @@
             return Ok(PutOutcome::Conflict);
         }
         let version = version(&reply.success()?.headers);
-        let version = version.ok_or_else(|| Error::Protocol("a write without ETag".to_string()))?;
+        let version = version
+            .ok_or_else(|| Error::Protocol("the answer to a write has no ETag".to_string()))?;
         Ok(PutOutcome::Stored(version))
     }
 }
@@ -94,13 +96,13 @@
     }
 }
 
-/// The object of an answer, `None` where there is none, or none that is newer.
+/// Returns the object in an answer, or `None` if it does not exist or has not changed.
 fn object(reply: StoreReply) -> Result<Option<StoredObject>> {
     match reply.status {
         StatusCode::OK => {
             let version = version(&reply.headers);
             let version =
-                version.ok_or_else(|| Error::Protocol("an object without ETag".to_string()))?;
+                version.ok_or_else(|| Error::Protocol("the object has no ETag".to_string()))?;
             Ok(Some(StoredObject { version, bytes: reply.body }))
         }
         StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The border towards the platform's store: what daemons and the tool ask of it.
+//! Interface of daemons and the tool to the platform's store.
 //!
-//! [`ObjectStore`] is the product's own object API, which [`HttpStore`] calls; [`FleetPlatform`] is a
-//! platform that keeps the configuration itself, called by the crate in `platform/`. Both make their
-//! calls through [`StoreClient`]. docs/PLATFORM.md describes the object API.
+//! [`ObjectStore`] is the object API that this project defines; [`HttpStore`] is its client. [`FleetPlatform`] is the
+//! interface to a platform that stores the configuration itself; the crate in `platform/` implements it. Both make
+//! their calls through [`StoreClient`]. docs/PLATFORM.md describes the object API.
 
 mod applying;
 mod client;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,6 +1,6 @@
-//! The border towards the platform.
+//! Defines the interface to the platform's objects and its list of VMs.
 //!
-//! Owns: the border and the errors of calls. Relies on: an implementation, `http` or a stand-in.
+//! Owns: the interface and the errors of calls. Relies on: an implementation, `http` or a stand-in.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,19 +9,19 @@
 use curlewcleat_core::{ObjectVersion, VmId};
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong with a call of the platform.
+/// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No whole answer came; a write may have taken effect.
+    /// No complete answer arrived; a write may have taken effect.
     #[error("platform: no answer: {0}")]
     Unclear(String),
-    /// The platform takes no more calls for now.
+    /// The platform accepts no more calls for now.
     #[error("platform: rate limit reached")]
     RateLimited,
-    /// The platform refuses the call; it had no effect.
+    /// The platform refused the call; it had no effect.
     #[error("platform: refused with status {0}")]
     Refused(u16),
-    /// The answer cannot be read.
+    /// The answer is invalid.
     #[error("platform: unreadable answer: {0}")]
     Protocol(String),
 }
@@ -29,19 +29,19 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A call under way. Calls stay on the thread that made them.
+/// A call in progress. It must be awaited on the thread that made it.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T>> + 'a>>;
 
 /// An object as read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredObject {
-    /// Counts up with each change of the object, from 1.
+    /// Version of the object; it starts at 1 and increases with each change.
     pub version: ObjectVersion,
     /// Content.
     pub bytes: Vec<u8>,
 }
 
-/// What a conditional write led to.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
     /// Stored under this version.
@@ -54,13 +54,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// Runs.
+    /// The VM runs.
     Live,
-    /// Runs and is about to be taken away.
+    /// The VM runs and is about to be removed.
     Leaving,
 }
 
-/// A line of the platform's list. A VM that has ended is no longer listed.
+/// An entry of the platform's list of VMs. A VM that has ended is not listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
     /// Name of the VM.
@@ -73,10 +73,10 @@
 
 /// The object API and the VM list.
 pub trait ObjectStore {
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; returns `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<StoredObject>>;
 
-    /// Writes an object if its version is still `expected`, 0 for absent.
+    /// Writes an object if its version is still `expected`; 0 means that the object must not exist.
     fn put<'a>(
         &'a self,
         key: &'a str,
@@ -84,7 +84,7 @@
         bytes: Vec<u8>,
     ) -> StoreFuture<'a, PutOutcome>;
 
-    /// Waits until the object has a version above `known` and reads it; `None` if `limit` passes.
+    /// Waits until the object has a version above `known`, and reads it; returns `None` after `limit`.
     fn watch<'a>(
         &'a self,
         key: &'a str,
@@ -92,9 +92,9 @@
         limit: Duration,
     ) -> StoreFuture<'a, Option<StoredObject>>;
 
-    /// Keys that begin with a prefix.
+    /// Returns the keys that begin with a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> StoreFuture<'a, Vec<String>>;
 
-    /// The VMs as the platform knows them, late.
+    /// Returns the platform's list of VMs, which lags behind their actual state.
     fn vms(&self) -> StoreFuture<'_, Vec<VmRecord>>;
 }
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,9 +1,9 @@
-//! Calls of a store whose answers take their time.
+//! Time limits of calls to a store that answers slowly.
 //!
-//! A daemon on a small VM whose peers could not tell it the configuration read it itself: a megabyte over
-//! a link of 10 Mbit/s. Each read was given up after a second, although its bytes were coming, and begun
-//! anew, which filled the link and never ended; the configuration could not be proved, and keyed requests
-//! were refused.
+//! Guards against reads that are abandoned while their answer still arrives. A daemon on a small VM that cannot get
+//! the configuration from its peers reads it from the store: a megabyte over a link of 10 Mbit/s. If each read is
+//! abandoned after a second and started again, the reads fill the link and never complete; the configuration cannot be
+//! verified as current, and keyed requests are refused.
 
 use std::future::{pending, Future};
 use std::io::Result as IoResult;
@@ -13,11 +13,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Limit of a call.
+/// Time without a part of an answer after which a call fails.
 const LIMIT: Duration = Duration::from_millis(400);
 
-/// A store that reads one call, answers it so, and keeps the connection open without a further byte.
-/// Returns its address.
+/// Starts a store that reads one call, answers it with `answer`, and keeps the connection open without sending another
+/// byte. Returns its address.
 async fn store_of_one_call<F>(answer: impl FnOnce(TcpStream) -> F + 'static) -> IoResult<String>
 where
     F: Future<Output = IoResult<TcpStream>>,
@@ -27,7 +27,7 @@
     tokio::task::spawn_local(async move {
         let (mut stream, _) = listener.accept().await?;
         let mut buffer = [0u8; 4096];
-        // The request is short enough to come at once.
+        // The request is short enough to arrive in one read.
         let _ = stream.read(&mut buffer).await?;
         let _open = answer(stream).await?;
         pending::<IoResult<()>>().await
@@ -35,8 +35,8 @@
     Ok(address)
 }
 
-/// A store that answers one call with so many parts of 100 bytes and a pause after each; it announces
-/// `announced` parts.
+/// Starts a store that answers one call with `parts` parts of 100 bytes and a pause after each; its `content-length`
+/// announces `announced` parts.
 async fn store(parts: usize, announced: usize, pause: Duration) -> IoResult<String> {
     let answer = move |mut stream: TcpStream| async move {
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", announced * 100);
@@ -58,7 +58,7 @@
 }
 
 #[actix_rt::test]
-async fn answer_that_keeps_coming_is_read_to_its_end() -> IoResult<()> {
+async fn slow_answer_is_read_while_parts_keep_arriving() -> IoResult<()> {
     let address = store(10, 10, LIMIT / 4).await?;
     let (result, took) = read(&address).await;
     assert_eq!(result.ok(), Some(1_000), "after {took:?}");
@@ -67,7 +67,7 @@
 }
 
 #[actix_rt::test]
-async fn answer_that_stops_coming_is_given_up_after_the_limit() -> IoResult<()> {
+async fn stalled_answer_is_abandoned_after_the_limit() -> IoResult<()> {
     let address = store(2, 10, Duration::ZERO).await?;
     let (result, took) = read(&address).await;
     assert!(matches!(result, Err(Error::Unclear(_))), "{result:?}");
@@ -76,7 +76,7 @@
 }
 
 #[actix_rt::test]
-async fn answer_that_does_not_end_is_given_up() -> IoResult<()> {
+async fn endless_answer_is_abandoned() -> IoResult<()> {
     let address = store(1_000, 1_000, LIMIT / 4).await?;
     let (result, took) = read(&address).await;
     assert!(matches!(result, Err(Error::Unclear(_))), "{result:?}");
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-/// A store that begins the answer of a watch at once, and ends it when something changes.
+/// Starts a store that begins the answer of a watch at once and ends it after `wait`, as if an object changed then.
 async fn store_that_streams_watches(wait: Duration) -> IoResult<String> {
     let answer = move |mut stream: TcpStream| async move {
         stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
@@ -96,7 +96,7 @@
 }
 
 #[actix_rt::test]
-async fn watch_whose_answer_begins_before_the_change_is_not_given_up() -> IoResult<()> {
+async fn watch_whose_answer_begins_before_the_change_is_not_abandoned() -> IoResult<()> {
     let address = store_that_streams_watches(LIMIT * 3).await?;
     let client = StoreClient::new(&address, LIMIT);
     let request = StoreRequest::get("/objects?watch=1".to_string());
@@ -105,9 +105,9 @@
     Ok(())
 }
 
-/// The daemon and the tool expect a watch to end one second after its own limit.
+/// The daemon and the tool expect a watch to end one second after its limit.
 #[actix_rt::test]
-async fn watch_ends_soon_after_its_own_limit() -> IoResult<()> {
+async fn watch_ends_soon_after_its_limit() -> IoResult<()> {
     let address = store(1_000, 1_000, LIMIT / 4).await?;
     let client = StoreClient::new(&address, LIMIT);
     let begun = Instant::now();
