--- a/crates/targets/src/answer.rs
+++ b/crates/targets/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a target, part by part, with its true end.
+//! Reads the answer of a target part by part and detects whether it is complete.
 //!
 //! Owns: one connection until the end of its answer. Relies on: actix-http's client codec.
 
@@ -13,15 +13,15 @@
 use futures_util::{Stream, StreamExt};
 use tokio::net::TcpStream;
 
-use crate::pool::{ConnectionEnd, ConnectionPool};
+use crate::pool::{ConnectionEndpoint, ConnectionPool};
 use crate::stall::StallGuard;
 
-/// Bytes read at once from an answer that ends with its connection.
+/// Size in bytes of one read from an answer that ends when its connection closes.
 const READ_SIZE: usize = 16 << 10;
 
-/// The body ended before its own end mark.
+/// The body ended before its announced length or last chunk.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("targets: the answer was cut: {0}")]
+#[error("targets: the answer was truncated: {0}")]
 pub struct BodyCut(pub String);
 
 /// Head and body of an answer.
@@ -32,37 +32,38 @@
     pub body: AnswerBody,
 }
 
-/// Where a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyFrame {
-    /// There is none.
+    /// The answer has no body.
     Empty,
-    /// After its length, or its last chunk.
+    /// By its length, or its last chunk.
     Framed,
-    /// With its connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
 enum BodyState {
-    /// No body.
+    /// The answer has no body.
     Empty(Framed<TcpStream, ClientCodec>),
-    /// Parts are awaited.
+    /// The body is being read.
     Open(Framed<TcpStream, ClientPayloadCodec>),
-    /// Parts are awaited until the connection ends; the bytes came with the head.
+    /// The body is being read until the connection ends; the bytes arrived with the head.
     UntilClose(TcpStream, BytesMut),
-    /// Whole; the connection may be used again.
-    Whole(Framed<TcpStream, ClientCodec>),
-    /// Ended, whole or cut.
+    /// The body is complete, and the connection was not returned to the pool but may be reused.
+    Complete(Framed<TcpStream, ClientCodec>),
+    /// The body has ended, complete or truncated.
     Ended,
 }
 
-/// Parts of an answer. Ends with `None` only after the last byte that the length announced or the
-/// last chunk; then the connection goes back to its pool.
+/// The body of an answer as a stream of parts. It ends with `None` only after the last byte of the announced length,
+/// the last chunk, or, where that is allowed, the end of the connection. Otherwise it ends with [`BodyCut`]. The
+/// connection of a complete body returns to its pool if it can be reused.
 pub struct AnswerBody {
     state: BodyState,
     reusable: bool,
     idle_limit: Option<Duration>,
-    end: ConnectionEnd,
+    endpoint: ConnectionEndpoint,
     pool: ConnectionPool,
     stall: StallGuard,
 }
@@ -72,7 +73,7 @@
         framed: Framed<TcpStream, ClientCodec>,
         frame: BodyFrame,
         reusable: bool,
-        end: ConnectionEnd,
+        endpoint: ConnectionEndpoint,
         pool: ConnectionPool,
     ) -> AnswerBody {
         let state = match frame {
@@ -85,24 +86,24 @@
                 BodyState::UntilClose(parts.io, parts.read_buf)
             }
         };
-        let stall = StallGuard::begin(&pool, &end);
-        AnswerBody { state, reusable, idle_limit: None, end, pool, stall }
+        let stall = StallGuard::begin(&pool, &endpoint);
+        AnswerBody { state, reusable, idle_limit: None, endpoint, pool, stall }
     }
 
-    /// The target closes the connection after it has rested for so long.
+    /// Sets the idle time after which the target closes the connection.
     pub fn set_idle_limit(&mut self, limit: Duration) {
         self.idle_limit = Some(limit);
     }
 
-    /// The connection after a whole body that is not given back to the pool.
+    /// Returns the connection after a complete body, if it was not returned to the pool.
     pub(crate) fn into_connection(self) -> Option<Framed<TcpStream, ClientCodec>> {
         match self.state {
-            BodyState::Whole(framed) => Some(framed),
+            BodyState::Complete(framed) => Some(framed),
             _ => None,
         }
     }
 
-    /// Gives the connection back if it may be used again and nothing was left to read on it.
+    /// Returns the connection to the pool if it can be reused and no unread bytes remain on it.
     fn release(&mut self) {
         let framed = match std::mem::replace(&mut self.state, BodyState::Ended) {
             BodyState::Empty(framed) => framed,
@@ -115,9 +116,9 @@
             return;
         }
         if self.reusable && framed.is_read_buf_empty() {
-            self.pool.put_idle(&self.end, framed.into_parts().io, self.idle_limit);
+            self.pool.put_idle(&self.endpoint, framed.into_parts().io, self.idle_limit);
         } else {
-            self.state = BodyState::Whole(framed);
+            self.state = BodyState::Complete(framed);
         }
     }
 
@@ -125,14 +126,14 @@
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, BodyCut>>> {
-        let BodyState::UntilClose(stream, early) = &mut self.state else {
+        let BodyState::UntilClose(stream, bytes_with_head) = &mut self.state else {
             return Poll::Ready(None);
         };
-        if !early.is_empty() {
-            return Poll::Ready(Some(Ok(early.split().freeze())));
+        if !bytes_with_head.is_empty() {
+            return Poll::Ready(Some(Ok(bytes_with_head.split().freeze())));
         }
-        let mut space = [0u8; READ_SIZE];
-        let mut buffer = ReadBuf::new(&mut space);
+        let mut storage = [0u8; READ_SIZE];
+        let mut buffer = ReadBuf::new(&mut storage);
         match Pin::new(stream).poll_read(context, &mut buffer) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Ok(())) if buffer.filled().is_empty() => {
@@ -148,21 +149,21 @@
     }
 }
 
-/// Why an answer could not be read whole.
+/// Why an answer could not be read completely.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CollectError {
-    /// It was cut.
+    /// The answer was truncated.
     #[error(transparent)]
     Cut(#[from] BodyCut),
-    /// It has more bytes than were wanted.
+    /// The answer has more bytes than the limit.
     #[error("targets: the answer has more than {0} bytes")]
     TooLong(usize),
 }
 
-/// Reads the parts of an answer to its end, `limit` bytes at most.
+/// Reads a complete answer of at most `limit` bytes.
 ///
 /// # Errors
-/// Where it is cut or too long.
+/// Returns an error if the answer is truncated or too long.
 pub async fn collect(
     mut parts: impl Stream<Item = std::result::Result<Bytes, BodyCut>> + Unpin,
     limit: usize,
@@ -184,8 +185,8 @@
         let polled = self.poll_part(context);
         match &polled {
             Poll::Pending => {}
-            Poll::Ready(Some(Ok(_))) => self.stall.note_sign(),
-            Poll::Ready(Some(Err(_)) | None) => self.stall.end(),
+            Poll::Ready(Some(Ok(_))) => self.stall.record_activity(),
+            Poll::Ready(Some(Err(_)) | None) => self.stall.finish(),
         }
         polled
     }
@@ -194,7 +195,7 @@
 impl AnswerBody {
     fn poll_part(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyCut>>> {
         let polled = match &mut self.state {
-            BodyState::Ended | BodyState::Whole(_) => return Poll::Ready(None),
+            BodyState::Ended | BodyState::Complete(_) => return Poll::Ready(None),
             BodyState::Empty(_) => {
                 self.release();
                 return Poll::Ready(None);
--- a/crates/targets/src/connection.rs
+++ b/crates/targets/src/connection.rs
@@ -1,4 +1,4 @@
-//! One request on one connection.
+//! Sends one request on a connection and reads the head of its answer.
 //!
 //! Owns: one exchange until the head of its answer. Relies on: actix-http's client codec.
 
@@ -16,30 +16,30 @@
 
 use crate::answer::{AnswerBody, BodyFrame, TargetAnswer};
 use crate::error::{Error, Result};
-use crate::pool::{ConnectionEnd, ConnectionPool, PooledConnection};
+use crate::pool::{ConnectionEndpoint, ConnectionPool, PooledConnection};
 use crate::stall::StallGuard;
 
-/// Answers to earlier requests that one exchange passes over.
-const STALE_LIMIT: usize = 4;
+/// Maximum number of heads that one exchange reads: informational ones, answers to earlier requests, and its own.
+const HEAD_LIMIT: usize = 4;
 
-/// How the answers of a target are distinguished and where they may end.
+/// How to match the answers of a target to requests, and how the answers may end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExchangeOptions {
-    /// Header and value that the answer has to repeat. Answers that repeat another value belong to
-    /// earlier requests on this connection and are passed over.
+    /// Header and value that the answer must repeat. Answers with another value belong to earlier requests on this
+    /// connection and are skipped.
     pub echo: Option<(HeaderName, String)>,
-    /// Whether an answer may end with its connection.
+    /// Whether the end of the connection may be the end of an answer.
     pub unframed: bool,
 }
 
 type Connection = Framed<TcpStream, ClientCodec>;
 
 impl PooledConnection {
-    /// Writes a request and reads the head of its answer. Consumes the connection, so that nothing
-    /// can be sent on it again before the answer's end.
+    /// Writes a request and reads the head of its answer. Consumes the connection, so that nothing else can be sent on
+    /// it before the end of the answer.
     ///
     /// # Errors
-    /// Any but [`Error::Connect`]: from here on bytes may have been written.
+    /// Returns any error but [`Error::Connect`]: bytes may have been written.
     pub async fn exchange<B>(self, head: RequestHead, body: B) -> Result<TargetAnswer>
     where
         B: MessageBody,
@@ -48,10 +48,10 @@
         self.exchange_with(head, body, &ExchangeOptions::default()).await
     }
 
-    /// As [`exchange`](PooledConnection::exchange), for targets that need options.
+    /// Same as [`exchange`](PooledConnection::exchange), with options.
     ///
     /// # Errors
-    /// Any but [`Error::Connect`]: from here on bytes may have been written.
+    /// Returns any error but [`Error::Connect`]: bytes may have been written.
     pub async fn exchange_with<B>(
         self,
         mut head: RequestHead,
@@ -63,40 +63,42 @@
         B::Error: std::fmt::Display,
     {
         if !head.headers.contains_key(header::HOST) {
-            let host = HeaderValue::from_str(&self.end.address)
+            let host = HeaderValue::from_str(&self.endpoint.address)
                 .map_err(|error| Error::Protocol(error.to_string()))?;
             head.headers.insert(header::HOST, host);
         }
         let method = head.method.clone();
-        let mut stall = StallGuard::begin(&self.pool, &self.end);
+        let mut stall = StallGuard::begin(&self.pool, &self.endpoint);
         let mut framed = Framed::new(self.stream, ClientCodec::default());
         let mut upload = Upload::begin(&mut framed, head, body)?;
-        for _ in 0..STALE_LIMIT {
+        for _ in 0..HEAD_LIMIT {
             let answer_head = upload.answer_head(&mut framed).await;
-            let answer_head = answer_head.inspect_err(|_| stall.end())?;
-            stall.note_sign();
+            let answer_head = answer_head.inspect_err(|_| stall.finish())?;
+            stall.record_activity();
             if answer_head.status.is_informational() {
                 continue;
             }
             let frame = body_frame(&method, &answer_head, &framed, options.unframed)?;
-            if !belongs(&answer_head.headers, options)? {
-                framed = skip_body(framed, frame, &self.end, &self.pool).await?;
+            if !is_answer_to_request(&answer_head.headers, options)? {
+                framed = skip_body(framed, frame, &self.endpoint, &self.pool).await?;
                 continue;
             }
-            let reusable = upload.is_done();
-            let body = AnswerBody::new(framed, frame, reusable, self.end, self.pool);
+            let reusable = upload.is_flushed();
+            let body = AnswerBody::new(framed, frame, reusable, self.endpoint, self.pool);
             return Ok(TargetAnswer { head: answer_head, body });
         }
-        Err(Error::Protocol("too many answers to earlier requests".to_string()))
+        Err(Error::Protocol(
+            "too many informational answers or answers to earlier requests".to_string(),
+        ))
     }
 }
 
-/// The sending of a request while its answer may already come.
+/// Sends a request body while its answer may already arrive.
 struct Upload<B> {
     body: Pin<Box<B>>,
-    /// Whether all of the body is in the write buffer.
+    /// Whether the complete body is in the write buffer.
     written: bool,
-    /// Whether all of it has left.
+    /// Whether the complete body has been written to the connection.
     flushed: bool,
     failed: Option<Error>,
 }
@@ -114,11 +116,11 @@
         Ok(Upload { body: Box::pin(body), written, flushed: false, failed: None })
     }
 
-    fn is_done(&self) -> bool {
+    fn is_flushed(&self) -> bool {
         self.flushed
     }
 
-    /// Sends on and reads, whichever can go on, until the head of an answer is there.
+    /// Sends the body and reads at the same time until the head of an answer has arrived.
     async fn answer_head(&mut self, framed: &mut Connection) -> Result<ResponseHead> {
         poll_fn(|context| {
             if !self.flushed && self.failed.is_none() {
@@ -126,7 +128,7 @@
                     if matches!(error, Error::Upload(_)) {
                         return Poll::Ready(Err(error));
                     }
-                    // The target may have answered before it closed.
+                    // The target may have answered before it closed the connection, so reading continues.
                     self.failed = Some(error);
                 }
             }
@@ -180,23 +182,25 @@
     Error::Closed(error.to_string())
 }
 
-/// Whether an answer belongs to the request that waits for one.
-fn belongs(headers: &HeaderMap, options: &ExchangeOptions) -> Result<bool> {
-    let Some((name, wanted)) = &options.echo else { return Ok(true) };
+/// Returns whether an answer belongs to this request, and not to an earlier one.
+fn is_answer_to_request(headers: &HeaderMap, options: &ExchangeOptions) -> Result<bool> {
+    let Some((name, expected)) = &options.echo else { return Ok(true) };
     match headers.get(name) {
-        Some(value) => Ok(value.as_bytes() == wanted.as_bytes()),
-        None => Err(Error::Protocol("an answer that names no request".to_string())),
+        Some(value) => Ok(value.as_bytes() == expected.as_bytes()),
+        None => Err(Error::Protocol(
+            "the answer does not repeat the header that identifies its request".to_string(),
+        )),
     }
 }
 
-/// Reads the rest of an answer to an earlier request and gives the connection back.
+/// Reads the remaining body of an answer to an earlier request and returns the connection.
 async fn skip_body(
     framed: Connection,
     frame: BodyFrame,
-    end: &ConnectionEnd,
+    endpoint: &ConnectionEndpoint,
     pool: &ConnectionPool,
 ) -> Result<Connection> {
-    let mut body = AnswerBody::new(framed, frame, false, end.clone(), pool.clone());
+    let mut body = AnswerBody::new(framed, frame, false, endpoint.clone(), pool.clone());
     while let Some(part) = body.next().await {
         part.map_err(|cut| Error::Closed(cut.to_string()))?;
     }
@@ -204,8 +208,8 @@
         .ok_or_else(|| Error::Closed("after an answer to an earlier request".to_string()))
 }
 
-/// How the body of an answer is framed. One that ends with its connection cannot be distinguished from
-/// one whose target ended in between, so it is taken only where that is allowed.
+/// Returns how the end of an answer's body is determined. A body that ends with its connection cannot be
+/// distinguished from one whose target terminated while sending, so it is accepted only if `unframed` is set.
 fn body_frame(
     method: &Method,
     head: &ResponseHead,
@@ -222,7 +226,9 @@
         MessageType::None if has_length => Ok(BodyFrame::Empty),
         MessageType::Payload if has_length => Ok(BodyFrame::Framed),
         _ if unframed => Ok(BodyFrame::UntilClose),
-        MessageType::Stream => Err(Error::Protocol("an answer without its own end".to_string())),
-        _ => Err(Error::Protocol("an answer without its length".to_string())),
+        MessageType::Stream => {
+            Err(Error::Protocol("the answer ends only with its connection".to_string()))
+        }
+        _ => Err(Error::Protocol("the answer has no length".to_string())),
     }
 }
--- a/crates/targets/src/error.rs
+++ b/crates/targets/src/error.rs
@@ -1,15 +1,15 @@
-//! How an exchange with a target fails, and whether something was written.
+//! Errors of an exchange with a target, which distinguish whether the request may have been written.
 
-/// How an exchange fails before its answer begins.
+/// Why an exchange failed before its answer began.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection; nothing was written.
+    /// The connection could not be established; nothing was written.
     #[error("targets: connect: {0}")]
     Connect(String),
-    /// The connection ended after something was written.
-    #[error("targets: closed under a request: {0}")]
+    /// The connection closed after part of the request may have been written.
+    #[error("targets: connection closed during a request: {0}")]
     Closed(String),
-    /// The answer cannot be read, or does not say where it ends.
+    /// The answer is invalid, or its end cannot be determined.
     #[error("targets: unreadable answer: {0}")]
     Protocol(String),
     /// The body of the request failed while it was sent.
--- a/crates/targets/src/events.rs
+++ b/crates/targets/src/events.rs
@@ -1,32 +1,32 @@
-//! Whole events out of the parts of an event stream.
+//! Assembles complete events from the parts of an event stream.
 //!
-//! Owns: the beginning of an event that is not whole yet. Relies on: events that end with a blank line.
+//! Owns: the bytes of an incomplete event. Relies on: events that end with a blank line.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held back until it is whole.
+/// Maximum number of buffered bytes of an incomplete event; more are returned as they are.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// Splits a stream after whole events, so that a stream that breaks within one can be taken up.
+/// Splits a stream at the ends of events, so that a stream that is interrupted within an event can be resumed.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    buffered: BytesMut,
     last: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Number of the last whole event that was given out.
+    /// Returns the number of the last complete event returned by [`push`](EventSplitter::push).
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Takes a part and gives the whole events that it completes. Events that were given out before,
-    /// by the stream that this one takes up, are left out.
+    /// Appends a part and returns the events that it completes. Events whose number was already returned before the
+    /// stream was resumed are skipped.
     pub fn push(&mut self, part: &[u8]) -> Bytes {
-        self.held.extend_from_slice(part);
+        self.buffered.extend_from_slice(part);
         let mut out = BytesMut::new();
-        while let Some(end) = event_end(&self.held) {
-            let event = self.held.split_to(end);
+        while let Some(end) = event_end(&self.buffered) {
+            let event = self.buffered.split_to(end);
             match event_number(&event) {
                 Some(number) if self.last.is_some_and(|last| number <= last) => {}
                 Some(number) => {
@@ -36,35 +36,35 @@
                 None => out.extend_from_slice(&event),
             }
         }
-        if self.held.len() > EVENT_LIMIT {
-            out.extend_from_slice(&self.held.split());
+        if self.buffered.len() > EVENT_LIMIT {
+            out.extend_from_slice(&self.buffered.split());
         }
         out.freeze()
     }
 
-    /// What is left at the end of a whole stream.
+    /// Returns the buffered bytes at the end of a complete stream.
     pub fn rest(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.buffered.split().freeze()
     }
 
-    /// The stream broke: the beginning of an event is dropped.
+    /// Prepares for a resumed stream: discards the bytes of the incomplete event.
     pub fn restart(&mut self) {
-        self.held.clear();
+        self.buffered.clear();
     }
 }
 
-/// Where the first event ends, blank line included.
+/// Returns the length of the first event, including its blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
-    let mut line = 0;
+    let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let content = &bytes[line..index];
+        let content = &bytes[line_start..index];
         if index > 0 && (content.is_empty() || content == b"\r") {
             return Some(index + 1);
         }
-        line = index + 1;
+        line_start = index + 1;
     }
     None
 }
--- a/crates/targets/src/lib.rs
+++ b/crates/targets/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 exchanges with targets, over the client codec of actix-http.
+//! HTTP/1.1 exchanges with targets, based on the client codec of actix-http.
 //!
-//! awc is not used towards targets, for two reasons that this repository's tests show: awc 3.11
-//! reports a connection that closes under a written request as a failure to connect, and ends a cut
-//! body as if it were whole. Both would make a verdict untrue. This crate knows of every exchange
-//! whether a byte was written, and of every answer whether its own end mark arrived.
+//! The awc client is not used for targets, for two reasons that tests in this repository show: awc 3.11 reports a
+//! connection that closes after a request was written as a failure to connect, and ends a truncated body as if it were
+//! complete. Either would lead to a wrong verdict on the request. This crate determines for each exchange whether a
+//! byte may have been written, and for each answer whether it arrived completely.
 
 mod answer;
 mod connection;
--- a/crates/targets/src/pool.rs
+++ b/crates/targets/src/pool.rs
@@ -1,10 +1,10 @@
-//! Idle connections by the life of their target.
+//! Pools idle connections by target instance.
 //!
-//! A connection reaches one life of a target. A later life at the same address, or another target there,
-//! gets connections of its own: what an earlier connection says is nothing that the later life says, and
-//! its end may not have been noticed yet.
+//! Each connection belongs to one target instance. A later instance at the same address, or another target there, gets
+//! separate connections: bytes on an earlier connection don't come from the later instance, and the close of that
+//! connection may not have been noticed yet.
 //!
-//! Owns: idle connections. Relies on: `answer` for giving back only sound ones.
+//! Owns: idle connections. Relies on: `answer` for returning only reusable ones.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,15 +17,14 @@
 
 use crate::error::{Error, Result};
 
-/// Bounds of a connection pool.
+/// Limits of a connection pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionOptions {
     /// Time after which an idle connection is closed.
     pub idle_limit: Duration,
-    /// Idle connections kept for each life of a target; 0 never uses one twice.
+    /// Maximum number of idle connections for each target instance; 0 disables reuse.
     pub idle_count: usize,
-    /// Time for which a connection rests before it is used again, so that unsolicited bytes
-    /// have arrived and are noticed.
+    /// Minimum idle time before a connection is reused, so that unsolicited bytes have arrived and are detected.
     pub rest: Duration,
 }
 
@@ -39,12 +38,12 @@
     }
 }
 
-/// What a connection leads to.
+/// The endpoint of a connection: an address and the target instance there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ConnectionEnd {
+pub(crate) struct ConnectionEndpoint {
     /// `ip:port`.
     pub address: String,
-    /// The target there, `None` where only its address is known.
+    /// The target instance, or `None` if only its address is known.
     life: Option<TargetLife>,
 }
 
@@ -65,80 +64,92 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPool {
     options: ConnectionOptions,
-    idle: Rc<RefCell<BTreeMap<ConnectionEnd, Vec<IdleConnection>>>>,
+    idle: Rc<RefCell<BTreeMap<ConnectionEndpoint, Vec<IdleConnection>>>>,
 }
 
-/// A connection on which nothing is under way.
+/// A connection without an exchange in progress.
 #[derive(Debug)]
 pub struct PooledConnection {
     pub(crate) stream: TcpStream,
-    pub(crate) end: ConnectionEnd,
+    pub(crate) endpoint: ConnectionEndpoint,
     pub(crate) pool: ConnectionPool,
 }
 
 impl PooledConnection {
-    /// Gives back a connection on which nothing was written.
+    /// Returns an unused connection to its pool.
     pub fn put_back(self) {
-        let PooledConnection { stream, end, pool } = self;
-        pool.put_idle(&end, stream, None);
+        let PooledConnection { stream, endpoint, pool } = self;
+        pool.put_idle(&endpoint, stream, None);
     }
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(options: ConnectionOptions) -> ConnectionPool {
         ConnectionPool { options, idle: Rc::default() }
     }
 
-    /// An idle connection to this life of the target that is still sound, or a new one. Nothing is written.
+    /// Returns a usable idle connection to this target instance, or opens a new one. Nothing is written.
     ///
     /// # Errors
-    /// [`Error::Connect`] where the target does not take the connection within `limit`.
+    /// Returns [`Error::Connect`] if the target does not accept the connection within `limit`.
     pub async fn connect_to(
         &self,
         target: &TargetEntry,
         limit: Duration,
     ) -> Result<PooledConnection> {
-        let end = ConnectionEnd { address: target.address.clone(), life: Some(target.life()) };
-        self.connect_end(end, limit).await
+        let endpoint =
+            ConnectionEndpoint { address: target.address.clone(), life: Some(target.life()) };
+        self.connect_endpoint(endpoint, limit).await
     }
 
-    /// As [`connect_to`](ConnectionPool::connect_to), where only an address is known.
+    /// Same as [`connect_to`](ConnectionPool::connect_to), if only an address is known.
     ///
     /// # Errors
-    /// [`Error::Connect`] where the connection is not taken within `limit`.
+    /// Returns [`Error::Connect`] if the connection is not accepted within `limit`.
     pub async fn connect(&self, address: &str, limit: Duration) -> Result<PooledConnection> {
-        let end = ConnectionEnd { address: address.to_string(), life: None };
-        self.connect_end(end, limit).await
+        let endpoint = ConnectionEndpoint { address: address.to_string(), life: None };
+        self.connect_endpoint(endpoint, limit).await
     }
 
-    async fn connect_end(&self, end: ConnectionEnd, limit: Duration) -> Result<PooledConnection> {
-        let stream = match self.take_idle(&end) {
+    async fn connect_endpoint(
+        &self,
+        endpoint: ConnectionEndpoint,
+        limit: Duration,
+    ) -> Result<PooledConnection> {
+        let stream = match self.take_idle(&endpoint) {
             Some(stream) => stream,
-            None => connect(&end.address, limit).await?,
+            None => connect(&endpoint.address, limit).await?,
         };
-        Ok(PooledConnection { stream, end, pool: self.clone() })
+        Ok(PooledConnection { stream, endpoint, pool: self.clone() })
     }
 
-    fn take_idle(&self, end: &ConnectionEnd) -> Option<TcpStream> {
+    fn take_idle(&self, endpoint: &ConnectionEndpoint) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
-        let connections = idle.get_mut(end)?;
-        connections.retain(|connection| connection.is_fresh() && is_sound(&connection.stream));
-        // The newest that has rested is the least likely to be closed by its target meanwhile.
-        let rested = |connection: &IdleConnection| connection.since.elapsed() >= self.options.rest;
-        let place = connections.iter().rposition(rested)?;
-        Some(connections.remove(place).stream)
+        let connections = idle.get_mut(endpoint)?;
+        connections
+            .retain(|connection| connection.is_fresh() && has_nothing_to_read(&connection.stream));
+        // Of the connections that were idle for the minimum time, the newest is the least likely to have been closed.
+        let is_reusable =
+            |connection: &IdleConnection| connection.since.elapsed() >= self.options.rest;
+        let index = connections.iter().rposition(is_reusable)?;
+        Some(connections.remove(index).stream)
     }
 
-    /// Closes the idle connections that were used last before then.
-    pub(crate) fn discard_rested(&self, end: &ConnectionEnd, before: Moment) {
-        if let Some(connections) = self.idle.borrow_mut().get_mut(end) {
+    /// Closes the connections to an endpoint that have been idle since before `before`.
+    pub(crate) fn discard_idle_since_before(&self, endpoint: &ConnectionEndpoint, before: Moment) {
+        if let Some(connections) = self.idle.borrow_mut().get_mut(endpoint) {
             connections.retain(|connection| connection.since >= before);
         }
     }
 
-    /// Keeps a connection for a further request; `limit` is the time for which its target does.
-    pub(crate) fn put_idle(&self, end: &ConnectionEnd, stream: TcpStream, limit: Option<Duration>) {
+    /// Stores an idle connection for reuse; `limit` is the idle time after which its target closes it.
+    pub(crate) fn put_idle(
+        &self,
+        endpoint: &ConnectionEndpoint,
+        stream: TcpStream,
+        limit: Option<Duration>,
+    ) {
         if self.options.idle_count == 0 {
             return;
         }
@@ -147,8 +158,8 @@
             connections.retain(IdleConnection::is_fresh);
             !connections.is_empty()
         });
-        let connections = idle.entry(end.clone()).or_default();
-        // The oldest connections are the least likely to be sound.
+        let connections = idle.entry(endpoint.clone()).or_default();
+        // The oldest connection is the least likely to be still usable.
         if connections.len() >= self.options.idle_count {
             connections.remove(0);
         }
@@ -166,8 +177,8 @@
     Ok(stream)
 }
 
-/// A sound idle connection has nothing to read: neither its end nor unsolicited bytes.
-fn is_sound(stream: &TcpStream) -> bool {
+/// Returns whether an idle connection is usable: it has nothing to read, neither its close nor unsolicited bytes.
+fn has_nothing_to_read(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
--- a/crates/targets/src/stall.rs
+++ b/crates/targets/src/stall.rs
@@ -1,54 +1,55 @@
-//! What an exchange that is given up tells of the idle connections to the same target.
+//! Discards idle connections to a target after an exchange with it has stalled.
 //!
-//! Connections may die without a reset, all at once; an idle one shows nothing of it. Without this,
-//! each of five idle connections cost a request its whole limit, at a target that served new connections at
-//! once; with it one request is enough.
+//! All connections to a target may stop working at once without a reset, and an idle connection doesn't show it.
+//! Without this module, each of five idle connections makes one request wait for its full time limit, although the
+//! target answers on new connections at once. With it, only one request waits.
 //!
-//! Owns: [`StallGuard`]. Relies on: whoever waits gives up by dropping the exchange or the answer.
+//! Owns: [`StallGuard`]. Relies on: callers that abandon an exchange or an answer by dropping it.
 
 use std::time::Duration;
 
 use curlewcleat_clock::Moment;
 
-use crate::pool::{ConnectionEnd, ConnectionPool};
+use crate::pool::{ConnectionEndpoint, ConnectionPool};
 
-/// Time without a sign of the target after which an exchange that is given up counts as unanswered: half of the least
-/// time after which a target counts as stalled; callers that leave sooner say nothing of the target.
+/// Time without bytes from the target after which a dropped exchange is considered unanswered: half of the minimum
+/// time after which a target is considered stalled. An exchange dropped sooner, as when its caller disconnects, shows
+/// nothing about the target.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(250);
 
-/// Watches one exchange. Where it is dropped while an answer is awaited, the connections that have rested
-/// since before the target's last sign are not used again.
+/// Monitors one exchange. If it is dropped unanswered, the connections to the same endpoint that have been idle since
+/// before the target's last activity are closed.
 #[derive(Debug)]
 pub(crate) struct StallGuard {
     pool: ConnectionPool,
-    end: ConnectionEnd,
-    /// The target's last sign, or the beginning.
-    heard: Moment,
+    endpoint: ConnectionEndpoint,
+    /// When the target last sent bytes, or the exchange began.
+    last_activity: Moment,
     waiting: bool,
 }
 
 impl StallGuard {
-    /// An exchange begins.
-    pub(crate) fn begin(pool: &ConnectionPool, end: &ConnectionEnd) -> StallGuard {
-        let (pool, end) = (pool.clone(), end.clone());
-        StallGuard { pool, end, heard: Moment::now(), waiting: true }
+    /// Starts to monitor an exchange.
+    pub(crate) fn begin(pool: &ConnectionPool, endpoint: &ConnectionEndpoint) -> StallGuard {
+        let (pool, endpoint) = (pool.clone(), endpoint.clone());
+        StallGuard { pool, endpoint, last_activity: Moment::now(), waiting: true }
     }
 
-    /// Bytes have come.
-    pub(crate) fn note_sign(&mut self) {
-        self.heard = Moment::now();
+    /// Records that bytes have arrived.
+    pub(crate) fn record_activity(&mut self) {
+        self.last_activity = Moment::now();
     }
 
-    /// Nothing is awaited any more: the answer is whole, or the connection has ended visibly.
-    pub(crate) fn end(&mut self) {
+    /// Stops monitoring: the answer is complete, or the connection has failed with an error.
+    pub(crate) fn finish(&mut self) {
         self.waiting = false;
     }
 }
 
 impl Drop for StallGuard {
     fn drop(&mut self) {
-        if self.waiting && self.heard.elapsed() >= UNANSWERED_AFTER {
-            self.pool.discard_rested(&self.end, self.heard);
+        if self.waiting && self.last_activity.elapsed() >= UNANSWERED_AFTER {
+            self.pool.discard_idle_since_before(&self.endpoint, self.last_activity);
         }
     }
 }
--- a/crates/targets/tests/events.rs
+++ b/crates/targets/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of streams that come in any parts, break, and are taken up.
+//! Splitting of event streams that arrive in arbitrary parts, are interrupted and are resumed.
 
 use curlewcleat_targets::EventSplitter;
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn part_of_an_event_is_held_back() {
+fn incomplete_event_is_buffered() {
     let mut splitter = EventSplitter::default();
     assert_eq!(splitter.push(b"id: 1\ndata: a\n"), "");
     assert_eq!(splitter.push(b"\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn events_that_were_given_out_are_left_out_of_what_takes_the_stream_up() {
+fn resumed_stream_does_not_repeat_events() {
     let mut splitter = EventSplitter::default();
     splitter.push(stream(1, 3).as_bytes());
     splitter.push(b"id: 4\nda");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn carriage_returns_and_events_without_a_number_pass() {
+fn carriage_returns_and_unnumbered_events_are_accepted() {
     let mut splitter = EventSplitter::default();
     assert_eq!(splitter.push(b"id: 1\r\ndata: a\r\n\r\n"), "id: 1\r\ndata: a\r\n\r\n");
     assert_eq!(splitter.push(b": comment\n\n"), ": comment\n\n");
@@ -39,29 +39,29 @@
 
 proptest! {
     #[test]
-    fn stream_in_any_parts_comes_out_whole(
+    fn stream_in_arbitrary_parts_is_returned_completely(
         events in 1u64..12,
         cuts in prop::collection::vec(0usize..400, 0..8),
     ) {
         let whole = stream(1, events);
-        let mut places: Vec<usize> = cuts.into_iter().map(|cut| cut.min(whole.len())).collect();
-        places.sort_unstable();
-        places.push(whole.len());
+        let mut part_ends: Vec<usize> = cuts.into_iter().map(|cut| cut.min(whole.len())).collect();
+        part_ends.sort_unstable();
+        part_ends.push(whole.len());
         let mut splitter = EventSplitter::default();
         let mut out = String::new();
         let mut begin = 0;
-        for place in places {
-            let part = splitter.push(&whole.as_bytes()[begin..place]);
+        for part_end in part_ends {
+            let part = splitter.push(&whole.as_bytes()[begin..part_end]);
             prop_assert!(part.is_empty() || part.ends_with(b"\n\n"));
             out.push_str(std::str::from_utf8(&part).expect("text"));
-            begin = place;
+            begin = part_end;
         }
         prop_assert_eq!(out, whole);
         prop_assert!(splitter.rest().is_empty());
     }
 
     #[test]
-    fn nothing_is_lost_doubled_or_broken_where_a_stream_is_taken_up(
+    fn resumed_stream_loses_and_repeats_nothing(
         events in 2u64..12,
         cut in 0usize..400,
     ) {
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn any_bytes_pass_through_in_order(parts in prop::collection::vec(any::<Vec<u8>>(), 0..6)) {
+    fn bytes_without_event_numbers_are_returned_in_order(parts in prop::collection::vec(any::<Vec<u8>>(), 0..6)) {
         let mut splitter = EventSplitter::default();
         let mut out = Vec::new();
         for part in &parts {
--- a/crates/targets/tests/exchanges.rs
+++ b/crates/targets/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a server that closes, cuts, repeats and redirects.
+//! Exchanges with a server that closes connections, truncates answers, sends extra bytes or refuses requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// A server that reads once from each connection and writes one text; gives its address.
+/// Starts a server that reads once from each connection and writes one text; returns its address.
 async fn server(texts: Vec<&'static str>) -> std::io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
@@ -57,7 +57,7 @@
     "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"
 )]
 #[actix_rt::test]
-async fn whole_answer_is_read(#[case] text: &'static str) -> std::io::Result<()> {
+async fn complete_answer_is_read(#[case] text: &'static str) -> std::io::Result<()> {
     let address = server(vec![text]).await?;
     let answer = exchange(&ConnectionPool::default(), &address, Method::POST).await;
     let answer = answer.map_err(std::io::Error::other)?;
@@ -69,11 +69,11 @@
 #[case::by_length("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello")]
 #[case::by_chunks("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n")]
 #[case::within_a_chunk("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nhello")]
-#[case::before_the_last_mark(
+#[case::before_the_final_line_break(
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n"
 )]
 #[actix_rt::test]
-async fn cut_answer_is_an_error(#[case] text: &'static str) -> std::io::Result<()> {
+async fn truncated_answer_is_an_error(#[case] text: &'static str) -> std::io::Result<()> {
     let address = server(vec![text]).await?;
     let answer = exchange(&ConnectionPool::default(), &address, Method::POST).await;
     let answer = answer.map_err(std::io::Error::other)?;
@@ -82,7 +82,7 @@
 }
 
 #[actix_rt::test]
-async fn close_under_a_written_request_is_not_a_failure_to_connect() -> std::io::Result<()> {
+async fn close_after_a_written_request_is_not_a_failure_to_connect() -> std::io::Result<()> {
     let address = server(vec![""]).await?;
     let failed = exchange(&ConnectionPool::default(), &address, Method::POST).await.err();
     assert!(matches!(failed, Some(Error::Closed(_))), "{failed:?}");
@@ -102,9 +102,9 @@
 #[rstest]
 #[case::until_close("HTTP/1.1 200 OK\r\n\r\nhello")]
 #[case::old_version("HTTP/1.0 200 OK\r\n\r\nhello")]
-#[case::nonsense("hello\r\n\r\n")]
+#[case::no_status_line("hello\r\n\r\n")]
 #[actix_rt::test]
-async fn answer_without_an_end_of_its_own_is_not_taken(
+async fn answer_without_length_or_chunks_is_an_error(
     #[case] text: &'static str,
 ) -> std::io::Result<()> {
     let address = server(vec![text]).await?;
@@ -114,7 +114,7 @@
 }
 
 #[actix_rt::test]
-async fn bytes_after_an_answer_reach_nobody() -> std::io::Result<()> {
+async fn bytes_after_an_answer_do_not_answer_the_next_request() -> std::io::Result<()> {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\noneHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\ntwo";
     let address = server(vec![twice, "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown"]).await?;
     let pool = ConnectionPool::default();
@@ -125,7 +125,7 @@
     Ok(())
 }
 
-/// Answers each connection by its number, for as long as it is open; gives the address.
+/// Starts a server that answers each request with the number of its connection; returns its address.
 async fn numbered_server() -> std::io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
@@ -145,17 +145,17 @@
 }
 
 async fn read_from(pool: &ConnectionPool, target: &TargetEntry) -> Result<String, Error> {
-    // Until a connection has rested.
+    // Longer than the minimum idle time before a connection is reused.
     tokio::time::sleep(Duration::from_millis(30)).await;
     let connection = pool.connect_to(target, LIMIT).await?;
     let answer = connection.exchange(head(Method::GET), ()).await?;
     read(answer).await.map_err(|cut| Error::Closed(cut.to_string()))
 }
 
-/// Idle connections went by address: a request to a target that had started again was written on a
-/// connection to its earlier life, whose end had not been noticed, and counted as one that may have run.
+/// Guards against idle connections that are pooled by address only: a request to a restarted target is then written on
+/// a connection to the earlier instance, whose close has not been noticed, and is counted as one that may have run.
 #[actix_rt::test]
-async fn connection_to_an_earlier_life_is_not_used_for_a_later_one() -> std::io::Result<()> {
+async fn connection_to_an_earlier_instance_is_not_used_for_a_later_one() -> std::io::Result<()> {
     let address = numbered_server().await?;
     let target = |id: &str, start: Option<u64>| TargetEntry {
         id: id.to_string(),
@@ -164,30 +164,30 @@
         ..TargetEntry::default()
     };
     let pool = ConnectionPool::default();
-    let asked = [
+    let requests = [
         (target("a", Some(1)), "1"),
         (target("a", Some(1)), "1"),
         (target("a", Some(2)), "2"),
-        // A request that was under way to the earlier life has left a connection to that one.
+        // A request to the earlier instance still uses the connection to that one.
         (target("a", Some(1)), "1"),
         (target("a", Some(2)), "2"),
         (target("b", Some(2)), "3"),
         (target("c", None), "4"),
         (target("c", None), "4"),
     ];
-    for (target, number) in asked {
+    for (target, number) in requests {
         let answer = read_from(&pool, &target).await.map_err(std::io::Error::other)?;
         assert_eq!(answer, number, "{:?}", target.life());
     }
     Ok(())
 }
 
-/// A request is written to the earlier life, which ends. What the later life at the same address says on
-/// a connection of its own is no proof about that request.
+/// A request is written to an instance that then terminates. A refusal by the later instance at the same address, on
+/// another connection, does not prove that the request did not run.
 #[actix_rt::test]
-async fn refusal_of_a_later_life_is_not_the_answer_to_an_earlier_request() -> std::io::Result<()> {
+async fn refusal_by_a_later_instance_does_not_answer_an_earlier_request() -> std::io::Result<()> {
     let refusal = "HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n";
-    // The first connection ends without a word, the second is refused.
+    // The first connection closes without an answer, the second gets the refusal.
     let address = server(vec!["", refusal]).await?;
     let target = TargetEntry { address, start: Some(TargetStart(1)), ..TargetEntry::default() };
     let later = TargetEntry { start: Some(TargetStart(2)), ..target.clone() };
--- a/crates/targets/tests/silence.rs
+++ b/crates/targets/tests/silence.rs
@@ -1,8 +1,8 @@
-//! Connections that go silent for good, without a reset, while new ones work.
+//! Idle connections that stop working permanently without a reset, while new ones work.
 //!
-//! What happened: five requests had left five idle connections to a target. All of them went silent. Each further
-//! request took one of them and waited its whole limit, until none was left: five time-outs in a row at a target
-//! that served new connections at once.
+//! Guards against repeated timeouts: five requests leave five idle connections to a target, and all of them stop
+//! working. If each further request takes one of them and waits for its full limit, five consecutive requests time out
+//! at a target that answers on new connections at once.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,19 +18,19 @@
 const LIMIT: Duration = Duration::from_millis(300);
 const IDLE: usize = 5;
 
-/// A target whose connections of one time go silent.
+/// A target whose connections up to some moment stall.
 #[derive(Default)]
-struct SilencedTarget {
+struct StallingTarget {
     accepted: Cell<usize>,
-    /// Connections that were accepted before so many say nothing again.
-    silent_before: Cell<usize>,
+    /// Connections with a number below this one send nothing more.
+    stalled_below: Cell<usize>,
 }
 
-impl SilencedTarget {
-    async fn start() -> std::io::Result<(Rc<SilencedTarget>, String)> {
+impl StallingTarget {
+    async fn start() -> std::io::Result<(Rc<StallingTarget>, String)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
-        let target = Rc::<SilencedTarget>::default();
+        let target = Rc::<StallingTarget>::default();
         let serving = Rc::clone(&target);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -41,24 +41,24 @@
         Ok((target, address))
     }
 
-    /// All present connections go silent.
-    fn silence(&self) {
-        self.silent_before.set(self.accepted.get());
+    /// Stalls all connections accepted so far.
+    fn stall_connections(&self) {
+        self.stalled_below.set(self.accepted.get());
     }
 
-    async fn serve(self: Rc<SilencedTarget>, mut stream: TcpStream, number: usize) {
+    async fn serve(self: Rc<StallingTarget>, mut stream: TcpStream, number: usize) {
         let mut buffer = [0u8; 4_096];
         while stream.read(&mut buffer).await.is_ok_and(|length| length > 0) {
-            // Long enough that requests sent together take a connection each.
+            // Long enough that concurrent requests use separate connections.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            if number < self.silent_before.get() {
+            if number < self.stalled_below.get() {
                 continue;
             }
             let answer = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n";
             let _ = stream.write_all(answer.as_bytes()).await;
             let _ = stream.write_all(b"begin").await;
             tokio::time::sleep(Duration::from_millis(20)).await;
-            if number >= self.silent_before.get() {
+            if number >= self.stalled_below.get() {
                 let _ = stream.write_all(b"ended").await;
             }
         }
@@ -77,7 +77,7 @@
     tokio::time::timeout(LIMIT, connection.exchange(head(), ())).await.ok()?.ok()
 }
 
-/// Whether a request is answered whole, each part within the limit.
+/// Returns whether a request gets a complete answer, each part within the limit.
 async fn is_served(pool: &ConnectionPool, address: &str) -> bool {
     let Some(mut answer) = begin(pool, address).await else { return false };
     loop {
@@ -89,55 +89,52 @@
     }
 }
 
-async fn with_idle_connections(pool: &ConnectionPool, address: &str) {
+async fn open_idle_connections(pool: &ConnectionPool, address: &str) {
     let served = join_all((0..IDLE).map(|_| is_served(pool, address))).await;
     assert_eq!(served, vec![true; IDLE]);
-    // Until they have rested.
+    // Longer than the minimum idle time before a connection is reused.
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
 #[actix_rt::test]
-async fn one_request_without_an_answer_is_enough() -> std::io::Result<()> {
-    let (target, address) = SilencedTarget::start().await?;
+async fn unanswered_request_discards_the_idle_connections() -> std::io::Result<()> {
+    let (target, address) = StallingTarget::start().await?;
     let pool = ConnectionPool::default();
-    with_idle_connections(&pool, &address).await;
-    target.silence();
+    open_idle_connections(&pool, &address).await;
+    target.stall_connections();
     assert!(!is_served(&pool, &address).await);
     for request in 0..IDLE {
-        assert!(is_served(&pool, &address).await, "request {request} after the one that failed");
+        assert!(is_served(&pool, &address).await, "request {request} after the unanswered one");
     }
     Ok(())
 }
 
 #[actix_rt::test]
-async fn one_answer_that_stops_is_enough() -> std::io::Result<()> {
-    let (target, address) = SilencedTarget::start().await?;
+async fn stalled_answer_discards_the_idle_connections() -> std::io::Result<()> {
+    let (target, address) = StallingTarget::start().await?;
     let pool = ConnectionPool::default();
-    with_idle_connections(&pool, &address).await;
+    open_idle_connections(&pool, &address).await;
     let mut answer = begin(&pool, &address).await.expect("the head of an answer");
-    target.silence();
+    target.stall_connections();
     while let Ok(Some(Ok(_))) = tokio::time::timeout(LIMIT, answer.body.next()).await {}
     drop(answer);
     for request in 0..IDLE {
-        assert!(
-            is_served(&pool, &address).await,
-            "request {request} after the answer that stopped"
-        );
+        assert!(is_served(&pool, &address).await, "request {request} after the stalled answer");
     }
     Ok(())
 }
 
-/// A caller that leaves soon tells nothing of the target.
+/// A request that is dropped early, as when its caller disconnects, shows nothing about the target.
 #[actix_rt::test]
-async fn request_that_is_given_up_soon_keeps_the_others() -> std::io::Result<()> {
-    let (target, address) = SilencedTarget::start().await?;
+async fn early_dropped_request_keeps_the_idle_connections() -> std::io::Result<()> {
+    let (target, address) = StallingTarget::start().await?;
     let pool = ConnectionPool::default();
-    with_idle_connections(&pool, &address).await;
+    open_idle_connections(&pool, &address).await;
     let soon = Duration::from_millis(5);
     assert!(tokio::time::timeout(soon, is_served(&pool, &address)).await.is_err());
     for _ in 0..IDLE - 1 {
         assert!(is_served(&pool, &address).await);
     }
-    assert_eq!(target.accepted.get(), IDLE, "no new connection was needed");
+    assert_eq!(target.accepted.get(), IDLE, "a new connection was opened");
     Ok(())
 }
--- a/crates/targets/tests/suspended.rs
+++ b/crates/targets/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A machine that was suspended takes no connection that its target has closed meanwhile for one that it still keeps.
+//! After a suspension of the machine, idle connections that the target has closed meanwhile are not reused.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-static SUSPENDED: AtomicU64 = AtomicU64::new(0);
+static SUSPENDED_SECONDS: AtomicU64 = AtomicU64::new(0);
 
 struct JumpingClock;
 
 impl AgeClock for JumpingClock {
     fn read(&self) -> Duration {
-        BootClock.read() + Duration::from_secs(SUSPENDED.load(Ordering::SeqCst))
+        BootClock.read() + Duration::from_secs(SUSPENDED_SECONDS.load(Ordering::SeqCst))
     }
 }
 
-/// Asks once, and counts the connections that the target has taken.
-async fn ask(pool: &ConnectionPool, address: &str) {
+/// Sends one request and reads its answer.
+async fn send_request(pool: &ConnectionPool, address: &str) {
     let mut head = RequestHead::default();
     head.method = Method::GET;
     head.uri = "/".parse().expect("a path");
@@ -30,12 +30,12 @@
 }
 
 #[actix_rt::test]
-async fn idle_connection_is_not_used_after_a_suspension_that_is_longer_than_its_limit() {
+async fn idle_connection_is_not_reused_after_a_suspension_longer_than_its_limit() {
     install(Box::new(JumpingClock)).expect("the first clock");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address").to_string();
-    let taken = std::rc::Rc::new(std::cell::Cell::new(0));
-    let count = std::rc::Rc::clone(&taken);
+    let accepted = std::rc::Rc::new(std::cell::Cell::new(0));
+    let count = std::rc::Rc::clone(&accepted);
     actix_rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             count.set(count.get() + 1);
@@ -50,12 +50,16 @@
     });
     let options = ConnectionOptions { rest: Duration::ZERO, ..ConnectionOptions::default() };
     let pool = ConnectionPool::new(options);
-    ask(&pool, &address).await;
-    ask(&pool, &address).await;
-    assert_eq!(taken.get(), 1, "an idle connection is used");
+    send_request(&pool, &address).await;
+    send_request(&pool, &address).await;
+    assert_eq!(accepted.get(), 1, "the idle connection was not reused");
     let before = Moment::now();
-    SUSPENDED.fetch_add(16, Ordering::SeqCst);
+    SUSPENDED_SECONDS.fetch_add(16, Ordering::SeqCst);
     assert!(before.elapsed() >= Duration::from_secs(16));
-    ask(&pool, &address).await;
-    assert_eq!(taken.get(), 2, "one that has rested for longer than its limit is not");
+    send_request(&pool, &address).await;
+    assert_eq!(
+        accepted.get(),
+        2,
+        "a connection that was idle for longer than its limit was reused"
+    );
 }
