--- a/crates/targets/src/answer.rs
+++ b/crates/targets/src/answer.rs
@@ -22,7 +22,7 @@
 /// The body ended before its announced length or last chunk.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("targets: the answer was truncated: {0}")]
-pub struct BodyCut(pub String);
+pub struct TruncatedBody(pub String);
 
 /// Head and body of an answer.
 pub struct TargetAnswer {
@@ -57,7 +57,7 @@
 }
 
 /// The body of an answer as a stream of parts. It ends with `None` only after the last byte of the announced length,
-/// the last chunk, or, where that is allowed, the end of the connection. Otherwise it ends with [`BodyCut`]. The
+/// the last chunk, or, where that is allowed, the end of the connection. Otherwise it ends with [`TruncatedBody`]. The
 /// connection of a complete body returns to its pool if it can be reused.
 pub struct AnswerBody {
     state: BodyState,
@@ -125,7 +125,7 @@
     fn poll_until_close(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BodyCut>>> {
+    ) -> Poll<Option<Result<Bytes, TruncatedBody>>> {
         let BodyState::UntilClose(stream, bytes_with_head) = &mut self.state else {
             return Poll::Ready(None);
         };
@@ -143,7 +143,7 @@
             Poll::Ready(Ok(())) => Poll::Ready(Some(Ok(Bytes::copy_from_slice(buffer.filled())))),
             Poll::Ready(Err(error)) => {
                 self.state = BodyState::Ended;
-                Poll::Ready(Some(Err(BodyCut(error.to_string()))))
+                Poll::Ready(Some(Err(TruncatedBody(error.to_string()))))
             }
         }
     }
@@ -154,7 +154,7 @@
 pub enum CollectError {
     /// The answer was truncated.
     #[error(transparent)]
-    Cut(#[from] BodyCut),
+    Truncated(#[from] TruncatedBody),
     /// The answer has more bytes than the limit.
     #[error("targets: the answer has more than {0} bytes")]
     TooLong(usize),
@@ -165,7 +165,7 @@
 /// # Errors
 /// Returns an error if the answer is truncated or too long.
 pub async fn collect(
-    mut parts: impl Stream<Item = std::result::Result<Bytes, BodyCut>> + Unpin,
+    mut parts: impl Stream<Item = std::result::Result<Bytes, TruncatedBody>> + Unpin,
     limit: usize,
 ) -> std::result::Result<Bytes, CollectError> {
     let mut bytes = BytesMut::new();
@@ -179,7 +179,7 @@
 }
 
 impl Stream for AnswerBody {
-    type Item = Result<Bytes, BodyCut>;
+    type Item = Result<Bytes, TruncatedBody>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let polled = self.poll_part(context);
@@ -193,7 +193,10 @@
 }
 
 impl AnswerBody {
-    fn poll_part(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyCut>>> {
+    fn poll_part(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, TruncatedBody>>> {
         let polled = match &mut self.state {
             BodyState::Ended | BodyState::Complete(_) => return Poll::Ready(None),
             BodyState::Empty(_) => {
@@ -203,17 +206,17 @@
             BodyState::UntilClose(..) => return self.poll_until_close(context),
             BodyState::Open(framed) => Pin::new(framed).next_item(context),
         };
-        let cut = match polled {
+        let truncated = match polled {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Some(Ok(Some(bytes)))) => return Poll::Ready(Some(Ok(bytes))),
             Poll::Ready(Some(Ok(None))) => {
                 self.release();
                 return Poll::Ready(None);
             }
-            Poll::Ready(Some(Err(error))) => BodyCut(error.to_string()),
-            Poll::Ready(None) => BodyCut("the connection closed".to_string()),
+            Poll::Ready(Some(Err(error))) => TruncatedBody(error.to_string()),
+            Poll::Ready(None) => TruncatedBody("the connection closed".to_string()),
         };
         self.state = BodyState::Ended;
-        Poll::Ready(Some(Err(cut)))
+        Poll::Ready(Some(Err(truncated)))
     }
 }
--- a/crates/targets/src/lib.rs
+++ b/crates/targets/src/lib.rs
@@ -12,7 +12,7 @@
 mod pool;
 mod stall;
 
-pub use answer::{collect, AnswerBody, BodyCut, CollectError, TargetAnswer};
+pub use answer::{collect, AnswerBody, CollectError, TargetAnswer, TruncatedBody};
 pub use connection::ExchangeOptions;
 pub use error::{Error, Result};
 pub use events::EventSplitter;
--- a/crates/targets/tests/exchanges.rs
+++ b/crates/targets/tests/exchanges.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{Method, RequestHead};
 use curlewcleat_core::{TargetEntry, TargetStart};
-use curlewcleat_targets::{BodyCut, ConnectionPool, Error, TargetAnswer};
+use curlewcleat_targets::{ConnectionPool, Error, TargetAnswer, TruncatedBody};
 use futures_util::StreamExt;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -42,7 +42,7 @@
     pool.connect(address, LIMIT).await?.exchange(head(method), "body").await
 }
 
-async fn read(mut answer: TargetAnswer) -> Result<String, BodyCut> {
+async fn read(mut answer: TargetAnswer) -> Result<String, TruncatedBody> {
     let mut text = String::new();
     while let Some(part) = answer.body.next().await {
         text.push_str(&String::from_utf8_lossy(&part?));
