--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request is sent to one target, once.
+//! Sends a request to one target once and waits for the head of the answer.
 //!
-//! Owns: the exchange up to the head of the answer. Relies on: [`CallerProtocol`] for the head and its
-//! limits, `curlewcleat-targets` for what may have been written.
+//! Owns: the exchange up to the head of the answer. Relies on: [`CallerProtocol`] for the request's head and the
+//! time limits, `curlewcleat-targets` to report whether anything may have been written.
 //!
 //! [`CallerProtocol`]: super::CallerProtocol
 
@@ -18,19 +18,19 @@
 use super::target_wait::{GrantedTarget, TargetWait, WaitEnd};
 use crate::context::DaemonContext;
 
-/// How an attempt began.
+/// Result of an attempt up to the head of the answer.
 pub enum AttemptStart {
-    /// The target answers.
+    /// The target has sent the head of its answer.
     Answer(Box<TargetAnswer>),
-    /// Provably nothing ran.
+    /// The target provably did not run the request.
     NotRun(RetryReason, AttemptCause),
-    /// It may have run and there is no answer.
+    /// The request may have run and there is no answer.
     Failed(RefusalReason, AttemptCause),
-    /// Its target was stalled and is left for this one.
+    /// The target stalled; the request moves to this one.
     Replaced(Box<GrantedTarget>),
 }
 
-/// Sends a request to its target, by `connection` where there is one, and waits for the head of the answer.
+/// Sends a request to its target, over `connection` if there is one, and waits for the head of the answer.
 pub async fn send(
     attempt: TargetAttempt<'_>,
     connection: Option<PooledConnection>,
@@ -43,13 +43,13 @@
     };
     let head = protocol.target_head(&attempt);
     let options = protocol.exchange_options(request);
-    let exchange = connection.exchange_with(head, attempt.caller.body.sending(), &options);
+    let exchange = connection.exchange_with(head, attempt.caller.body.outgoing(), &options);
     let sent = Moment::now();
-    let head_by = head_limit(protocol, request, sent + protocol.limits(request).head);
-    let limit = head_by.saturating_duration_since(Moment::now());
+    let head_deadline = cap_head_deadline(protocol, request, sent + protocol.limits(request).head);
+    let limit = head_deadline.saturating_duration_since(Moment::now());
     let answer = match wait.wait(limit, exchange).await {
-        WaitEnd::Came(Ok(answer)) => answer,
-        WaitEnd::Came(Err(error)) => return exchange_failed(attempt.target, &error),
+        WaitEnd::Arrived(Ok(answer)) => answer,
+        WaitEnd::Arrived(Err(error)) => return exchange_failed(attempt.target, &error),
         WaitEnd::Replaced(target) => return AttemptStart::Replaced(target),
         WaitEnd::TimedOut => {
             return AttemptStart::Failed(RefusalReason::FirstByteTimeout, AttemptCause::HeadTimeout)
@@ -57,13 +57,13 @@
     };
     let notice = protocol.target_notice(&answer.head);
     if let Some(notice) = notice {
-        let heard = ReceivedNotice { sent: context.uptime_at(sent), notice };
-        hear(context, &attempt, &heard);
+        let received = ReceivedNotice { sent: context.uptime_at(sent), notice };
+        apply_notice(context, &attempt, &received);
     }
-    judge(protocol, request, answer, notice)
+    evaluate_answer(protocol, request, answer, notice)
 }
 
-/// The connection by which the request may be sent now: one that stands, and a target whose own word does not exclude it.
+/// Returns an established connection to a target whose notices allow the request to be sent now.
 async fn connect(
     attempt: &TargetAttempt<'_>,
     connection: Option<PooledConnection>,
@@ -72,7 +72,7 @@
     let (context, protocol, request) = (wait.context, wait.protocol, attempt.request);
     let instance = attempt.target.instance();
     if let Some(stop) = context.gate.stop(context.uptime(), &instance) {
-        return Err(stopped(context, stop));
+        return Err(gate_stopped(context, stop));
     }
     let connected = match connection {
         Some(connection) => Ok(connection),
@@ -81,66 +81,72 @@
             protocol.connections(&request.pool).connect_to(attempt.target, limit).await
         }
     };
-    // Nothing is written before the connection stands.
+    // Nothing is written before the connection is established.
     let failed = AttemptStart::NotRun(RetryReason::ConnectFailed, AttemptCause::ConnectFailed);
     let connection = connected.map_err(|_| failed)?;
-    // The target may have spoken while the connection was made.
+    // A notice of the target may have arrived while the connection was established.
     match context.gate.pass(context.uptime(), &instance) {
         Some(stop) => {
             connection.put_back();
-            Err(stopped(context, stop))
+            Err(gate_stopped(context, stop))
         }
         None => Ok(connection),
     }
 }
 
-/// What the target says of itself counts before anything of its answer is passed on.
-fn hear(context: &DaemonContext, attempt: &TargetAttempt<'_>, heard: &ReceivedNotice) {
+/// Applies the target's notice at the gate before any of the answer is relayed, and reports it to the node.
+fn apply_notice(context: &DaemonContext, attempt: &TargetAttempt<'_>, received: &ReceivedNotice) {
     let (instance, request) = (attempt.target.instance(), attempt.request);
-    if let Some(report) = context.gate.heard(context.uptime(), &instance, heard, request.id) {
+    if let Some(report) = context.gate.heard(context.uptime(), &instance, received, request.id) {
         context.tell(NodeEvent::NoticeReceived(request.pool.id.clone(), report));
     }
 }
 
-fn judge(
+/// Decides from the head of the answer whether the target runs the request.
+fn evaluate_answer(
     protocol: &dyn CallerProtocol,
     request: &AdmittedRequest,
     mut answer: TargetAnswer,
     notice: Option<TargetNotice>,
 ) -> AttemptStart {
-    match protocol.judge_head(request, &mut answer) {
+    match protocol.evaluate_head(request, &mut answer) {
         HeadVerdict::Accepted => AttemptStart::Answer(Box::new(answer)),
         HeadVerdict::NotRun => {
-            let asks_for_rest = notice.is_some_and(|notice| notice.rest.is_some());
-            let cause = match asks_for_rest {
-                true => AttemptCause::AskedForRest,
+            let requests_rest = notice.is_some_and(|notice| notice.rest.is_some());
+            let cause = match requests_rest {
+                true => AttemptCause::RestRequested,
                 false => AttemptCause::NotStarted,
             };
             AttemptStart::NotRun(RetryReason::TargetNotStarted, cause)
         }
-        HeadVerdict::Foreign => {
+        HeadVerdict::OtherRequest => {
             AttemptStart::Failed(RefusalReason::TargetProtocol, AttemptCause::Unreadable)
         }
     }
 }
 
-/// The target's own word excludes it.
-fn stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
+/// Counts and returns an attempt that the gate stopped because of the target's notices.
+fn gate_stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
     let cause = AttemptCause::from(stop);
     context.metrics.gate_stop(cause.code());
     AttemptStart::NotRun(RetryReason::TargetUnwilling, cause)
 }
 
-/// Until when the head of the answer is waited for. Where a request is cut at its deadline, the wait
-/// ends no later: at the same instant this limit is looked at first, so that a target that says nothing
-/// is always the reason, however long it took to connect.
-fn head_limit(protocol: &dyn CallerProtocol, request: &AdmittedRequest, head_by: Moment) -> Moment {
+/// Returns when the wait for the head of the answer ends. Where a request is cut at its deadline, the wait
+/// ends no later than that. If both expire at the same instant, this limit has priority, so that the refusal
+/// always names the unresponsive target as the reason, however long it took to connect.
+fn cap_head_deadline(
+    protocol: &dyn CallerProtocol,
+    request: &AdmittedRequest,
+    head_deadline: Moment,
+) -> Moment {
     match protocol.options().cuts_at_deadline {
-        true => head_by.min(request.deadline),
-        false => head_by,
+        true => head_deadline.min(request.deadline),
+        false => head_deadline,
     }
 }
 
+/// Returns the result of an exchange that failed before the head of the answer; the request may have run.
 fn exchange_failed(target: &TargetEntry, error: &Error) -> AttemptStart {
     debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
     match error {
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of a caller's request: its beginning is read before the scheduling, the rest streams.
+//! Reads the beginning of a caller's body before scheduling and streams the rest to the target.
 //!
 //! Owns: the bytes read so far and the caller's payload. Relies on: nothing; the limits come from the
 //! request's rule and protocol.
@@ -17,50 +17,50 @@
 
 use crate::headers;
 
-/// Time between two parts of a caller's body.
+/// Longest time between two parts of a caller's body.
 const PART_LIMIT: Duration = Duration::from_secs(10);
 
-/// How bodies are read and sent on.
+/// How bodies are read and forwarded.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyOptions {
-    /// Bytes read before the scheduling. A body that is longer can be sent only once.
+    /// Bytes read before scheduling. A longer body can be sent only once.
     pub peek_limit: usize,
-    /// How an empty body is framed towards a target.
+    /// Body size with which an empty body is sent to a target.
     pub empty: BodySize,
 }
 
 /// Why a body cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BodyFault {
+pub enum BodyError {
     /// Longer than the rule allows.
-    #[error("body: longer than its rule allows")]
+    #[error("request body is longer than its rule allows")]
     TooLarge,
-    /// The caller stopped sending.
-    #[error("body: the caller stopped sending")]
+    /// The caller stopped sending before the end.
+    #[error("caller stopped sending the request body before its end")]
     Incomplete,
 }
 
-impl BodyFault {
-    /// The reason given to the caller.
+impl BodyError {
+    /// Returns the refusal reason that the caller gets.
     pub fn reason(self) -> RefusalReason {
         match self {
-            BodyFault::TooLarge => RefusalReason::BodyTooLarge,
-            BodyFault::Incomplete => RefusalReason::BodyIncomplete,
+            BodyError::TooLarge => RefusalReason::BodyTooLarge,
+            BodyError::Incomplete => RefusalReason::BodyIncomplete,
         }
     }
 }
 
 struct BodyState {
-    /// `None` where the beginning is all.
+    /// `None` where the beginning is the complete body.
     rest: Option<Payload>,
-    /// Bytes of the rest that are still allowed.
+    /// Bytes that the rest may still have.
     allowed: usize,
-    /// Whether some of the rest was taken, after which the body cannot be sent again.
-    taken: bool,
-    fault: Option<BodyFault>,
+    /// Whether reading the rest has started, after which the body cannot be sent again.
+    rest_started: bool,
+    error: Option<BodyError>,
 }
 
-/// A body that can be sent again as long as nothing but its beginning was taken.
+/// A body that can be sent again as long as only its beginning was read.
 #[derive(Clone)]
 pub struct RequestBody {
     beginning: Bytes,
@@ -70,16 +70,16 @@
 }
 
 impl RequestBody {
-    /// Reads the beginning of a request's body; the whole may have `limit` bytes.
+    /// Reads the beginning of a request's body; the complete body may have `limit` bytes.
     pub async fn read(
         request: &mut Request,
         limit: usize,
         options: BodyOptions,
-    ) -> Result<RequestBody, BodyFault> {
-        let announced = headers::text(request.headers(), "content-length");
-        let announced = announced.and_then(|text| text.parse::<u64>().ok());
-        if announced.is_some_and(|length| length > limit as u64) {
-            return Err(BodyFault::TooLarge);
+    ) -> Result<RequestBody, BodyError> {
+        let stated_length = headers::text(request.headers(), "content-length");
+        let stated_length = stated_length.and_then(|text| text.parse::<u64>().ok());
+        if stated_length.is_some_and(|length| length > limit as u64) {
+            return Err(BodyError::TooLarge);
         }
         let mut payload = request.take_payload();
         let mut beginning = BytesMut::new();
@@ -88,63 +88,63 @@
             match tokio::time::timeout(PART_LIMIT, payload.next()).await {
                 Ok(Some(Ok(bytes))) => beginning.extend_from_slice(&bytes),
                 Ok(None) => ended = true,
-                Ok(Some(Err(_))) | Err(_) => return Err(BodyFault::Incomplete),
+                Ok(Some(Err(_))) | Err(_) => return Err(BodyError::Incomplete),
             }
             if beginning.len() > limit {
-                return Err(BodyFault::TooLarge);
+                return Err(BodyError::TooLarge);
             }
         }
         let size = beginning.len();
         let rest = (!ended).then_some(payload);
-        let state = BodyState { rest, allowed: limit - size, taken: false, fault: None };
+        let state = BodyState { rest, allowed: limit - size, rest_started: false, error: None };
         Ok(RequestBody {
             beginning: beginning.freeze(),
             state: Rc::new(RefCell::new(state)),
-            length: if ended { Some(size as u64) } else { announced },
+            length: if ended { Some(size as u64) } else { stated_length },
             empty: options.empty,
         })
     }
 
-    /// The bytes read before the scheduling.
+    /// Returns the bytes read before scheduling.
     pub fn beginning(&self) -> &Bytes {
         &self.beginning
     }
 
-    /// Whether the beginning is all.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether the complete body was read before scheduling.
+    pub fn is_fully_read(&self) -> bool {
         self.state.borrow().rest.is_none()
     }
 
-    /// Length of the whole body in bytes, where it is known.
+    /// Returns the length of the complete body in bytes, if it is known.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether the body can be sent (again).
-    pub fn is_intact(&self) -> bool {
-        !self.state.borrow().taken
+    /// Returns whether the body can be sent, or sent again.
+    pub fn can_be_sent(&self) -> bool {
+        !self.state.borrow().rest_started
     }
 
-    /// What went wrong while the rest streamed.
-    pub fn fault(&self) -> Option<BodyFault> {
-        self.state.borrow().fault
+    /// Returns the error that occurred while the rest was streamed.
+    pub fn error(&self) -> Option<BodyError> {
+        self.state.borrow().error
     }
 
-    /// The body for one sending.
-    pub fn sending(&self) -> BodySending {
-        BodySending { body: self.clone(), begun: false }
+    /// Returns the body as a stream for one attempt.
+    pub fn outgoing(&self) -> OutgoingBody {
+        OutgoingBody { body: self.clone(), beginning_sent: false }
     }
 }
 
-/// One sending of a body.
-pub struct BodySending {
+/// The body of one attempt.
+pub struct OutgoingBody {
     body: RequestBody,
-    /// Whether the beginning was handed out.
-    begun: bool,
+    /// Whether the beginning was sent.
+    beginning_sent: bool,
 }
 
-impl MessageBody for BodySending {
-    type Error = BodyFault;
+impl MessageBody for OutgoingBody {
+    type Error = BodyError;
 
     fn size(&self) -> BodySize {
         match self.body.length {
@@ -157,9 +157,9 @@
     fn poll_next(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BodyFault>>> {
-        if !self.begun {
-            self.begun = true;
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
+        if !self.beginning_sent {
+            self.beginning_sent = true;
             if !self.body.beginning.is_empty() {
                 return Poll::Ready(Some(Ok(self.body.beginning.clone())));
             }
@@ -167,7 +167,7 @@
         let mut state = self.body.state.borrow_mut();
         let Some(rest) = state.rest.as_mut() else { return Poll::Ready(None) };
         let polled = Pin::new(rest).poll_next(context);
-        state.taken = true;
+        state.rest_started = true;
         match polled {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => Poll::Ready(None),
@@ -176,16 +176,16 @@
                     state.allowed = allowed;
                     Poll::Ready(Some(Ok(bytes)))
                 }
-                None => Poll::Ready(Some(Err(state.fail(BodyFault::TooLarge)))),
+                None => Poll::Ready(Some(Err(state.fail(BodyError::TooLarge)))),
             },
-            Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(state.fail(BodyFault::Incomplete)))),
+            Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(state.fail(BodyError::Incomplete)))),
         }
     }
 }
 
 impl BodyState {
-    fn fail(&mut self, fault: BodyFault) -> BodyFault {
-        self.fault = Some(fault);
-        fault
+    fn fail(&mut self, error: BodyError) -> BodyError {
+        self.error = Some(error);
+        error
     }
 }
--- a/crates/daemon/src/request/form.rs
+++ b/crates/daemon/src/request/framing.rs
@@ -1,7 +1,7 @@
-//! How the parts of an answer are passed on, and what is known of a stream that breaks.
+//! Splits an answer into the parts that are relayed, and tracks the position from which an interrupted stream resumes.
 //!
 //! Owns: the position in the answer of one request, over all its attempts. Relies on: the pool's
-//! `end_event` and `resumable` ([`ByteForm`]), numbered events ([`EventForm`]).
+//! `end_event` and `resumable` ([`ByteFraming`]), numbered events ([`EventFraming`]).
 
 use actix_http::{Method, RequestHead, ResponseHead};
 use bytes::Bytes;
@@ -10,81 +10,81 @@
 
 use crate::headers;
 
-/// Longest answer in bytes that is kept with its idempotency key: a record of the services is about 800 bytes.
-const KEPT_LIMIT: usize = 4 << 10;
-/// Resumptions of one stream at most.
+/// Longest answer in bytes that is kept with its idempotency key. A record of the services has about 800 bytes.
+const KEPT_ANSWER_LIMIT: usize = 4 << 10;
+/// Maximum number of resumptions of one stream.
 const RESUME_LIMIT: u32 = 3;
-/// Header with which an engine names a stream that can be resumed.
+/// Header with the id of a stream that its engine can resume.
 const STREAM_ID: &str = "stream-id";
-/// Bytes kept before the data of the end event: its field name and line ends.
-/// `data: ` and two line ends need ten.
+/// Bytes kept in addition to the data of the end event, for its field name and line ends: `data: ` and two line ends
+/// need ten.
 const END_EVENT_MARGIN: usize = 16;
 
-/// The form of an answer.
-pub trait AnswerForm {
-    /// A target has begun to answer.
+/// Splits the answer of one request into parts that may be relayed.
+pub trait AnswerFraming {
+    /// Starts the answer of an attempt with its head.
     fn begin(&mut self, head: &ResponseHead);
 
-    /// Whether the head is held back until the first part can be passed on, because until then a
+    /// Returns whether the head is delayed until the first part can be relayed, because until then a
     /// further attempt may replace the answer.
-    fn holds_head(&self) -> bool;
+    fn delays_head(&self) -> bool;
 
-    /// Takes a part and gives what can be passed on now.
+    /// Adds a part and returns the bytes that can be relayed now.
     fn push(&mut self, part: Bytes) -> Bytes;
 
-    /// Whether the end of the body is the end of the answer.
-    fn is_whole(&self) -> bool;
+    /// Returns whether the answer is complete if its body ends now.
+    fn is_complete(&self) -> bool;
 
-    /// What is left to pass on after the end.
-    fn rest(&mut self) -> Bytes;
+    /// Returns the remaining bytes after the end of the body.
+    fn take_remaining(&mut self) -> Bytes;
 
-    /// A request to the same target for the rest of a cut answer, `None` where it has none.
-    fn resumption(&mut self) -> Option<RequestHead>;
+    /// Builds a request to the same target for the rest of an interrupted answer, `None` if it cannot be resumed.
+    fn resume_request(&mut self) -> Option<RequestHead>;
 
-    /// The attempt broke; a further one may begin the answer anew after the last event.
+    /// Prepares for another attempt after an interruption; that attempt may continue after the last event.
     fn restart(&mut self);
 
-    /// Number of the last event that was passed on.
+    /// Returns the number of the last event that was relayed.
     fn last_event(&self) -> Option<u64>;
 
-    /// Whether the times of the parts tell the target's pace.
-    fn is_paced(&self) -> bool;
+    /// Returns whether the times of the parts are reported as the target's streaming speed.
+    fn reports_timing(&self) -> bool;
 
-    /// The whole answer, where it is small enough to be kept with its idempotency key.
+    /// Returns the complete answer if it is short enough to be kept with its idempotency key.
     fn kept_answer(&mut self) -> Option<KeptAnswer>;
 }
 
-/// Bytes as they come. A cut stream is resumed at its offset by the target that runs it.
-pub struct ByteForm {
+/// Relays bytes as they arrive. The target that runs the request resumes an interrupted stream at its offset.
+pub struct ByteFraming {
     end_event: Option<String>,
     resumable: bool,
     status: u16,
     content_type: String,
     stream_id: Option<String>,
     offset: u64,
-    resumed: u32,
-    /// The last bytes, in which the end event is looked for.
+    resumptions: u32,
+    /// The last bytes, which are searched for the end event.
     tail: Vec<u8>,
     kept: Option<Vec<u8>>,
 }
 
-impl ByteForm {
-    /// The form of an answer from `pool`; `keyed` where it is kept with an idempotency key.
-    pub fn new(pool: &TargetPool, keyed: bool) -> ByteForm {
-        ByteForm {
+impl ByteFraming {
+    /// Creates the framing of an answer from `pool`; `keyed` if the answer is kept with an idempotency key.
+    pub fn new(pool: &TargetPool, keyed: bool) -> ByteFraming {
+        ByteFraming {
             end_event: pool.end_event.clone(),
             resumable: pool.resumable,
             status: 0,
             content_type: String::new(),
             stream_id: None,
             offset: 0,
-            resumed: 0,
+            resumptions: 0,
             tail: Vec::new(),
             kept: keyed.then(Vec::new),
         }
     }
 
-    fn note_tail(&mut self, bytes: &Bytes) {
+    fn update_tail(&mut self, bytes: &Bytes) {
         let Some(end) = &self.end_event else { return };
         let length = end.len() + END_EVENT_MARGIN;
         self.tail.extend_from_slice(&bytes[bytes.len().saturating_sub(length)..]);
@@ -92,15 +92,17 @@
         self.tail.drain(..surplus);
     }
 
-    fn keep(&mut self, bytes: &Bytes) {
+    fn keep_body(&mut self, bytes: &Bytes) {
         match &mut self.kept {
-            Some(kept) if kept.len() + bytes.len() <= KEPT_LIMIT => kept.extend_from_slice(bytes),
+            Some(kept) if kept.len() + bytes.len() <= KEPT_ANSWER_LIMIT => {
+                kept.extend_from_slice(bytes)
+            }
             _ => self.kept = None,
         }
     }
 }
 
-impl AnswerForm for ByteForm {
+impl AnswerFraming for ByteFraming {
     fn begin(&mut self, head: &ResponseHead) {
         self.status = head.status.as_u16();
         // A kept answer without a type is replayed with an empty one.
@@ -110,19 +112,19 @@
         self.stream_id = stream_id.map(str::to_string);
     }
 
-    fn holds_head(&self) -> bool {
+    fn delays_head(&self) -> bool {
         false
     }
 
     fn push(&mut self, part: Bytes) -> Bytes {
         self.offset += part.len() as u64;
-        self.note_tail(&part);
-        self.keep(&part);
+        self.update_tail(&part);
+        self.keep_body(&part);
         part
     }
 
-    /// An event stream is whole after its end event; other answers carry their length.
-    fn is_whole(&self) -> bool {
+    /// An event stream is complete after its end event. Other answers have a length, so the end of the body suffices.
+    fn is_complete(&self) -> bool {
         match &self.end_event {
             Some(end) if self.content_type.starts_with("text/event-stream") => {
                 String::from_utf8_lossy(&self.tail).contains(end.as_str())
@@ -131,19 +133,19 @@
         }
     }
 
-    fn rest(&mut self) -> Bytes {
+    fn take_remaining(&mut self) -> Bytes {
         Bytes::new()
     }
 
-    fn resumption(&mut self) -> Option<RequestHead> {
+    fn resume_request(&mut self) -> Option<RequestHead> {
         let id = self.stream_id.as_ref()?;
-        if self.resumed >= RESUME_LIMIT {
+        if self.resumptions >= RESUME_LIMIT {
             return None;
         }
-        self.resumed += 1;
+        self.resumptions += 1;
         let mut head = RequestHead::default();
         head.method = Method::GET;
-        // An engine whose stream id makes no path cannot be asked for the rest.
+        // A stream cannot be resumed if its id does not form a valid path.
         head.uri = format!("/v1/streams/{id}?offset={}", self.offset).parse().ok()?;
         Some(head)
     }
@@ -154,7 +156,7 @@
         None
     }
 
-    fn is_paced(&self) -> bool {
+    fn reports_timing(&self) -> bool {
         false
     }
 
@@ -165,16 +167,16 @@
     }
 }
 
-/// Whole events. A broken stream goes on after its last event in an attempt at another target.
+/// Relays complete events. An attempt at another target continues an interrupted stream after its last event.
 #[derive(Default)]
-pub struct EventForm {
+pub struct EventFraming {
     events: EventSplitter,
 }
 
-impl AnswerForm for EventForm {
+impl AnswerFraming for EventFraming {
     fn begin(&mut self, _: &ResponseHead) {}
 
-    fn holds_head(&self) -> bool {
+    fn delays_head(&self) -> bool {
         true
     }
 
@@ -182,15 +184,15 @@
         self.events.push(&part)
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         true
     }
 
-    fn rest(&mut self) -> Bytes {
+    fn take_remaining(&mut self) -> Bytes {
         self.events.rest()
     }
 
-    fn resumption(&mut self) -> Option<RequestHead> {
+    fn resume_request(&mut self) -> Option<RequestHead> {
         None
     }
 
@@ -202,7 +204,7 @@
         self.events.last()
     }
 
-    fn is_paced(&self) -> bool {
+    fn reports_timing(&self) -> bool {
         true
     }
 
--- a/crates/daemon/src/request/progress.rs
+++ b/crates/daemon/src/request/progress.rs
@@ -1,16 +1,16 @@
-//! What was seen of a request on its way, for its log line and for the scheduler's view of the target.
+//! Records times and sizes of a request's attempts, for its log line and for the scheduler's view of the target.
 //!
-//! Owns: times of the attempts and parts of one request.
+//! Owns: times of the attempts and parts of one request. Relies on: nothing.
 
 use std::time::Duration;
 
 use curlewcleat_clock::Moment;
 use curlewcleat_core::{AnswerObservation, AttemptEnd, StreamTiming, TargetId};
 
-/// Parts from which the mean time between two says something of the target.
-const PACED_PARTS: u32 = 8;
+/// Number of parts after which the mean time between two parts is reported.
+const MEAN_INTERVAL_PARTS: u32 = 8;
 
-/// What was seen of a request.
+/// Progress of a request over all its attempts.
 #[derive(Default)]
 pub struct RequestProgress {
     /// Attempts sent.
@@ -19,45 +19,46 @@
     pub target: Option<TargetId>,
     /// When the latest attempt was sent.
     pub sent: Option<Moment>,
-    /// When the first part of the answer came.
+    /// When the first part of the answer arrived.
     pub first: Option<Moment>,
     /// Longest time between two parts.
     pub longest_pause: Duration,
-    /// Parts passed on.
+    /// Parts relayed to the caller.
     pub parts: u64,
-    /// Bytes passed on.
+    /// Bytes relayed to the caller.
     pub bytes: u64,
+    /// When the latest part of the answer arrived.
     latest: Option<Moment>,
     attempt: AttemptProgress,
 }
 
-/// What was seen of the latest attempt.
+/// Progress of the latest attempt.
 #[derive(Default)]
 struct AttemptProgress {
-    /// Whether the target has answered that it failed.
-    failed: bool,
+    /// Whether the target answered with a server error.
+    server_error: bool,
     first: Option<Moment>,
     parts: u32,
-    pause: Duration,
+    longest_pause: Duration,
 }
 
 impl RequestProgress {
-    /// An attempt is sent.
-    pub fn note_sent(&mut self, target: &TargetId) {
+    /// Records that an attempt is sent.
+    pub fn record_sent(&mut self, target: &TargetId) {
         self.attempts += 1;
         self.target = Some(target.clone());
         self.sent = Some(Moment::now());
         self.attempt = AttemptProgress::default();
     }
 
-    /// A part of the answer is passed on.
-    pub fn note_part(&mut self, bytes: usize) {
+    /// Records that a part of the answer is relayed.
+    pub fn record_part(&mut self, bytes: usize) {
         let now = Moment::now();
         if let Some(latest) = self.latest {
             let pause = now.saturating_duration_since(latest);
             self.longest_pause = self.longest_pause.max(pause);
             if self.attempt.parts > 0 {
-                self.attempt.pause = self.attempt.pause.max(pause);
+                self.attempt.longest_pause = self.attempt.longest_pause.max(pause);
             }
         }
         self.attempt.first.get_or_insert(now);
@@ -68,27 +69,29 @@
         self.bytes += bytes as u64;
     }
 
-    /// The target has answered with a status that says that it failed.
-    pub fn note_failed(&mut self) {
-        self.attempt.failed = true;
+    /// Records that the target answered with a server error.
+    pub fn record_server_error(&mut self) {
+        self.attempt.server_error = true;
     }
 
-    /// What is seen of the latest attempt now that a part of its answer came, where that tells anything new.
-    pub fn part_sight(&self) -> Option<AnswerObservation> {
+    /// Returns the observation that the newest part allows: the time to the first part, or the mean interval once
+    /// [`MEAN_INTERVAL_PARTS`] have arrived.
+    pub fn part_observation(&self) -> Option<AnswerObservation> {
         let (first, latest) = self.attempt.first.zip(self.latest)?;
         match self.attempt.parts {
             1 => Some(AnswerObservation::Begun(first.saturating_duration_since(self.sent?))),
-            PACED_PARTS => {
-                let pauses = latest.saturating_duration_since(first) / (PACED_PARTS - 1);
-                Some(AnswerObservation::Paced(pauses))
+            MEAN_INTERVAL_PARTS => {
+                let mean_interval =
+                    latest.saturating_duration_since(first) / (MEAN_INTERVAL_PARTS - 1);
+                Some(AnswerObservation::Paced(mean_interval))
             }
             _ => None,
         }
     }
 
-    /// What is seen of the latest attempt, which was answered whole.
-    pub fn end_sights(&self) -> Vec<AnswerObservation> {
-        if self.attempt.failed {
+    /// Returns the observations of the latest attempt once its answer is complete.
+    pub fn end_observations(&self) -> Vec<AnswerObservation> {
+        if self.attempt.server_error {
             return vec![AnswerObservation::Failed];
         }
         let took = self.sent.map_or(Duration::ZERO, |sent| sent.elapsed());
@@ -96,18 +99,18 @@
         begun.into_iter().chain([AnswerObservation::Whole(took)]).collect()
     }
 
-    /// Parts that came in the latest attempt.
+    /// Returns the number of parts that arrived in the latest attempt.
     pub fn attempt_parts(&self) -> u32 {
         self.attempt.parts
     }
 
-    /// Time since the latest attempt was sent or had a part.
-    pub fn unheard_for(&self) -> Duration {
+    /// Returns the time since the latest attempt was sent or received a part.
+    pub fn idle_time(&self) -> Duration {
         let part = self.latest.filter(|_| self.attempt.parts > 0);
-        part.or(self.sent).map_or(Duration::ZERO, |heard| heard.elapsed())
+        part.or(self.sent).map_or(Duration::ZERO, |active| active.elapsed())
     }
 
-    /// What the target's scheduler learns of the latest attempt, which was sent then and is whole.
+    /// Returns the timing of the latest attempt's complete stream, which the target's scheduler gets.
     pub fn stream_end(&self, sent: Moment) -> AttemptEnd {
         let attempt = &self.attempt;
         let (Some(first), Some(latest)) = (attempt.first, self.latest) else {
@@ -117,7 +120,7 @@
             first: first.saturating_duration_since(sent),
             rest: latest.saturating_duration_since(first),
             parts: attempt.parts,
-            pause: attempt.pause,
+            pause: attempt.longest_pause,
         })
     }
 }
--- /dev/null
+++ b/crates/daemon/src/request/relay.rs
@@ -0,0 +1,211 @@
+//! Relays the answer of a target to the caller.
+//!
+//! Owns: the choice between relaying parts as they arrive and buffering an answer until it is complete, and the
+//! handling of interrupted answers. Relies on: [`AnswerFraming`](super::framing::AnswerFraming) for the position in the
+//! answer.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use curlewcleat_clock::Moment;
+use curlewcleat_core::{AttemptEnd, RefusalReason, RetryReason, TargetEntry, Verdict};
+use curlewcleat_targets::{collect, AnswerBody, TargetAnswer};
+use futures_util::StreamExt;
+use spdlog::prelude::*;
+
+use super::cause::AttemptCause;
+use super::run::{AttemptOutcome, RequestRun};
+use super::target_wait::{GrantedTarget, WaitEnd};
+
+/// Longest answer in bytes that is buffered until it is complete: the platform's values have a megabyte at most.
+const BUFFERED_ANSWER_LIMIT: usize = 1 << 20;
+/// Time to connect when a stream is resumed.
+const RESUME_CONNECT_LIMIT: Duration = Duration::from_secs(1);
+
+/// Next event in an answer.
+enum NextPart {
+    /// A part of the answer.
+    Part(Bytes),
+    /// The end of the answer.
+    End,
+    /// The target stalled and is replaced by this one.
+    Replaced(Box<GrantedTarget>),
+    /// The answer was interrupted before its end.
+    Interrupted(AttemptCause),
+}
+
+impl RequestRun {
+    /// Relays an answer to the caller; `sent` is when its request was sent.
+    pub(super) async fn relay_answer(
+        &mut self,
+        answer: TargetAnswer,
+        target: &TargetEntry,
+        sent: Moment,
+    ) -> AttemptOutcome {
+        if answer.head.status.is_server_error() {
+            self.progress.record_server_error();
+        }
+        match self.protocol().buffers_answer(&self.request, answer.head.status) {
+            true => self.relay_complete(answer, target, sent).await,
+            false => self.relay_parts(answer, target, sent).await,
+        }
+    }
+
+    /// Relays an answer once it is complete. A server error is kept as a fallback if the request may be
+    /// sent to another target.
+    async fn relay_complete(
+        &mut self,
+        answer: TargetAnswer,
+        target: &TargetEntry,
+        sent: Moment,
+    ) -> AttemptOutcome {
+        let TargetAnswer { head, body } = answer;
+        let bytes = match collect(body, BUFFERED_ANSWER_LIMIT).await {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                debug!("exchange_broken", kv: { target = target.id.as_str(), error = error.to_string() });
+                return self.interrupted(RefusalReason::TargetClosed, AttemptCause::Closed);
+            }
+        };
+        if self.answer.has_begun() {
+            // The caller has the beginning of another target's answer, which this one cannot continue.
+            return self.interrupted(RefusalReason::TargetProtocol, AttemptCause::Unreadable);
+        }
+        let caller_answer = self.protocol().caller_answer(self.request.id, &head).with_body(bytes);
+        if head.status.is_server_error() && self.protocol().may_repeat(&self.request) {
+            self.fallback = Some(caller_answer);
+            return AttemptOutcome::Retry(RetryReason::TargetFailed, AttemptCause::Failed);
+        }
+        self.record_answer_begin();
+        self.answer.send_head(caller_answer);
+        self.verdict = Verdict::Ran;
+        AttemptOutcome::Served(AttemptEnd::Whole(sent.elapsed()))
+    }
+
+    /// Relays parts as they arrive.
+    async fn relay_parts(
+        &mut self,
+        answer: TargetAnswer,
+        target: &TargetEntry,
+        sent: Moment,
+    ) -> AttemptOutcome {
+        let TargetAnswer { head, mut body } = answer;
+        self.begin_parts(&head);
+        let mut limit = self.part_limit();
+        loop {
+            let part = match self.next_part(&mut body, target, limit).await {
+                NextPart::Part(part) => self.framing.push(part),
+                NextPart::End => break,
+                NextPart::Replaced(other) => {
+                    return AttemptOutcome::Replaced(other, AttemptCause::PartTimeout)
+                }
+                NextPart::Interrupted(cause) => {
+                    let Some(rest) = self.resume(target, limit).await else {
+                        return self.interrupted(RefusalReason::TargetClosed, cause);
+                    };
+                    body = rest;
+                    continue;
+                }
+            };
+            if part.is_empty() {
+                continue;
+            }
+            if !self.answer.has_begun() {
+                self.begin_answer(&head);
+                limit = self.part_limit();
+            }
+            if !self.relay_part(part).await {
+                return AttemptOutcome::CallerStalled;
+            }
+            self.report_observations(target, self.progress.part_observation());
+        }
+        // Sends the head of an answer that has no parts.
+        self.begin_answer(&head);
+        self.finish_parts(sent).await
+    }
+
+    fn begin_parts(&mut self, head: &actix_http::ResponseHead) {
+        self.framing.begin(head);
+        if !self.framing.delays_head() {
+            self.begin_answer(head);
+        }
+    }
+
+    /// Waits for the next part of the answer, its end, an interruption or a replacement of the target.
+    async fn next_part(
+        &mut self,
+        body: &mut AnswerBody,
+        target: &TargetEntry,
+        limit: Duration,
+    ) -> NextPart {
+        let wait = self.target_wait(target);
+        match wait.wait(limit, body.next()).await {
+            WaitEnd::Arrived(Some(Ok(part))) => {
+                self.report_target_activity();
+                NextPart::Part(part)
+            }
+            WaitEnd::Arrived(None) if self.framing.is_complete() => NextPart::End,
+            WaitEnd::Arrived(_) => NextPart::Interrupted(AttemptCause::Closed),
+            WaitEnd::Replaced(other) => NextPart::Replaced(other),
+            WaitEnd::TimedOut => NextPart::Interrupted(AttemptCause::PartTimeout),
+        }
+    }
+
+    /// Relays what the framing has buffered, and finishes the answer.
+    async fn finish_parts(&mut self, sent: Moment) -> AttemptOutcome {
+        let remaining = self.framing.take_remaining();
+        if !remaining.is_empty() && !self.relay_part(remaining).await {
+            return AttemptOutcome::CallerStalled;
+        }
+        self.answer.finish();
+        self.verdict = Verdict::Ran;
+        match self.framing.reports_timing() {
+            true => AttemptOutcome::Served(self.progress.stream_end(sent)),
+            false => AttemptOutcome::Served(AttemptEnd::Whole(sent.elapsed())),
+        }
+    }
+
+    fn begin_answer(&mut self, head: &actix_http::ResponseHead) {
+        if self.answer.has_begun() {
+            return;
+        }
+        self.record_answer_begin();
+        let answer = self.protocol().caller_answer(self.request.id, head);
+        self.answer.send_head(answer);
+    }
+
+    /// Relays a part; returns `false` if the caller has not read for `stall_limit`.
+    async fn relay_part(&mut self, part: Bytes) -> bool {
+        self.progress.record_part(part.len());
+        let limit = self.service.context.settings.stall_limit;
+        tokio::time::timeout(limit, self.answer.send_part(part)).await.is_ok()
+    }
+
+    /// Requests the rest of an interrupted answer from the same target, which does not run the request again.
+    async fn resume(&mut self, target: &TargetEntry, limit: Duration) -> Option<AnswerBody> {
+        let connections = self.protocol().connections(&self.request.pool);
+        while let Some(head) = self.framing.resume_request() {
+            self.service.context.metrics.retry(RetryReason::StreamResumed);
+            let exchange = async {
+                let connection = connections.connect_to(target, RESUME_CONNECT_LIMIT).await;
+                connection?.exchange(head, ()).await
+            };
+            match tokio::time::timeout(limit, exchange).await {
+                Ok(Ok(answer)) if answer.head.status.is_success() => return Some(answer.body),
+                // Each failure counts as one resumption, and the framing limits their number.
+                _ => {}
+            }
+        }
+        None
+    }
+
+    fn part_limit(&self) -> Duration {
+        self.protocol().limits(&self.request).between_parts
+    }
+
+    fn record_answer_begin(&self) {
+        let elapsed_s = self.request.arrived.elapsed().as_secs_f64();
+        let metrics = &self.service.context.metrics;
+        metrics.began(elapsed_s, &self.request.tier, &self.request.pool.id);
+    }
+}
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -1,6 +1,6 @@
-//! The decisions about one request: it waits for a permit, is sent, is sent again or is given up.
+//! Runs one request: waits for a permit, sends it to a target, and retries or refuses it after a failed attempt.
 //!
-//! Owns: the request until its end. It alone sends it, and a further attempt is made only after proof
+//! Owns: the request until its end. Only this module sends it, and it makes a further attempt only after proof
 //! that the earlier one did not run, or where the rule lets requests run more than once.
 //! Relies on: the node, which grants permits and counts attempts ([`PendingRequest`]).
 
@@ -23,7 +23,7 @@
 use super::admitted::AdmittedRequest;
 use super::answer::{AnswerChannel, AnswerContent, CallerAnswer};
 use super::cause::AttemptCause;
-use super::form::AnswerForm;
+use super::framing::AnswerFraming;
 use super::problem::REQUEST_ID;
 use super::progress::RequestProgress;
 use super::protocol::CallerProtocol;
@@ -31,55 +31,55 @@
 use super::{CallerRequest, RequestService};
 use crate::pending::PendingRequest;
 
-pub use self::log::note_refusal;
+pub use self::log::record_refusal;
 
-/// Header that marks an answer which an earlier attempt with the same idempotency key got.
+/// Header that marks an answer replayed from an earlier attempt with the same idempotency key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
 
-/// How an attempt ended for its request.
-pub enum AttemptVerdict {
-    /// The request has its answer.
+/// Result of an attempt, which decides how the request goes on.
+pub enum AttemptOutcome {
+    /// The caller has the complete answer.
     Served(AttemptEnd),
-    /// It goes to a further target, if the node has one.
-    Again(RetryReason, AttemptCause),
-    /// Its target was stalled for as long as this cause says and is left for another one.
+    /// The request is sent to another target if the node grants one.
+    Retry(RetryReason, AttemptCause),
+    /// The target stalled in the phase that the cause names; the request moves to this other target.
     Replaced(Box<GrantedTarget>, AttemptCause),
-    /// It was not sent and is given up.
+    /// The request was not sent and is refused.
     NotSent(RefusalReason),
-    /// It was sent and is given up.
+    /// The request was sent, failed, and is refused.
     Failed(AttemptEnd, RefusalReason, AttemptCause),
-    /// The caller no longer reads its answer.
-    Stalled,
+    /// The caller stopped reading its answer.
+    CallerStalled,
 }
 
-/// What the node decided.
+/// The node's decision about a request that waits for a permit.
 enum PermitOutcome {
     /// The request may be sent to this target.
     Granted(Box<GrantedTarget>),
-    /// The node refuses it.
+    /// The node refuses the request.
     Refused(Refusal),
-    /// An earlier attempt with the same idempotency key got this answer.
+    /// This answer was kept from an earlier attempt with the same idempotency key.
     Replayed(KeptAnswer),
 }
 
-/// One request on its way.
+/// One admitted request in progress.
 pub struct RequestRun {
     pub(super) service: Rc<RequestService>,
     pub(super) request: AdmittedRequest,
     caller: CallerRequest,
-    /// `None` once the node knows the end.
+    /// `None` once the node knows that the request has ended.
     pending: Option<PendingRequest>,
     pub(super) answer: AnswerChannel,
-    pub(super) form: Box<dyn AnswerForm>,
-    /// Whether any attempt may have run.
+    pub(super) framing: Box<dyn AnswerFraming>,
+    /// Whether any attempt so far ran or may have run.
     pub(super) verdict: Verdict,
-    /// A target's answer that the caller gets if no later attempt has a better one.
+    /// A target's server error, which the caller gets if no later attempt succeeds.
     pub(super) fallback: Option<CallerAnswer>,
     pub(super) progress: RequestProgress,
 }
 
 impl RequestRun {
-    /// A run of an admitted request.
+    /// Creates the run of an admitted request.
     pub(super) fn new(
         service: Rc<RequestService>,
         request: AdmittedRequest,
@@ -87,36 +87,37 @@
         pending: PendingRequest,
         answer: AnswerChannel,
     ) -> RequestRun {
-        let form = service.protocol.answer_form(&request);
+        let framing = service.protocol.answer_framing(&request);
         RequestRun {
             service,
             request,
             caller,
             pending: Some(pending),
             answer,
-            form,
+            framing,
             verdict: Verdict::NotRun,
             fallback: None,
             progress: RequestProgress::default(),
         }
     }
 
-    /// Runs until the caller has its whole answer, or a final refusal.
+    /// Runs until the caller has the complete answer or a final refusal.
     pub async fn run(mut self) {
         if !self.protocol().options().cuts_at_deadline {
-            return self.follow().await;
+            return self.run_attempts().await;
         }
         let context = self.service.context.clone();
         let deadline = context.until(self.request.deadline);
-        let passed = tokio::select! {
-            // At the same moment the limits within go first: they name the reason.
+        let deadline_passed = tokio::select! {
+            // If a limit of the attempt expires together with the deadline, the limit has priority: it names the
+            // reason of the refusal.
             biased;
-            () = self.follow() => false,
+            () = self.run_attempts() => false,
             () = deadline => true,
         };
-        if passed {
-            let end = self.end_at_deadline();
-            self.end(end);
+        if deadline_passed {
+            let end = self.attempt_end_at_deadline();
+            self.report_end(end);
             self.refuse(RefusalReason::DeadlinePassed);
         }
     }
@@ -125,7 +126,8 @@
         self.service.protocol.as_ref()
     }
 
-    async fn follow(&mut self) {
+    /// Sends the request to one target after another until it has ended.
+    async fn run_attempts(&mut self) {
         let mut granted = None;
         loop {
             let next = match granted.take() {
@@ -135,49 +137,50 @@
             let Some(next) = next else { return };
             let GrantedTarget { entry: target, connection } = *next;
             match self.attempt(&target, connection).await {
-                AttemptVerdict::Served(end) => {
-                    self.note_answer(&target, self.progress.end_sights());
+                AttemptOutcome::Served(end) => {
+                    self.report_observations(&target, self.progress.end_observations());
                     self.log_served(&target);
-                    return self.end(end);
+                    return self.report_end(end);
                 }
-                AttemptVerdict::Again(reason, cause) => self.again(&target, reason, cause),
-                AttemptVerdict::Replaced(other, cause) => {
-                    self.log_attempt(&target.id, RetryReason::StreamResumed.code(), cause);
-                    self.note_break(&target, cause);
-                    self.form.restart();
+                AttemptOutcome::Retry(reason, cause) => self.retry(&target, reason, cause),
+                AttemptOutcome::Replaced(other, cause) => {
+                    self.log_failed_attempt(&target.id, RetryReason::StreamResumed.code(), cause);
+                    self.report_interruption(&target, cause);
+                    self.framing.restart();
                     granted = Some(other);
                 }
-                AttemptVerdict::NotSent(reason) => {
-                    self.end(AttemptEnd::Unused);
+                AttemptOutcome::NotSent(reason) => {
+                    self.report_end(AttemptEnd::Unused);
                     return self.refuse(reason);
                 }
-                AttemptVerdict::Failed(end, reason, cause) => {
-                    self.log_attempt(&target.id, reason.code(), cause);
-                    self.note_break(&target, cause);
-                    self.end(end);
+                AttemptOutcome::Failed(end, reason, cause) => {
+                    self.log_failed_attempt(&target.id, reason.code(), cause);
+                    self.report_interruption(&target, cause);
+                    self.report_end(end);
                     return self.refuse(reason);
                 }
-                AttemptVerdict::Stalled => return self.give_up_caller(),
+                AttemptOutcome::CallerStalled => return self.abandon_stalled_caller(),
             }
         }
     }
 
-    /// The target that the node grants, `None` where it has decided the end itself.
+    /// Waits for the target that the node grants; `None` where the node refused the request or replayed an answer.
     async fn next_target(&mut self) -> Option<Box<GrantedTarget>> {
         match self.wait_for_permit().await {
             PermitOutcome::Granted(granted) => return Some(granted),
             PermitOutcome::Refused(refusal) => {
-                self.forget();
+                self.close_pending();
                 self.refuse_with(refusal);
             }
             PermitOutcome::Replayed(answer) => {
-                self.forget();
-                self.answer.begin(replayed_answer(self.request.id, answer));
+                self.close_pending();
+                self.answer.send_head(replayed_answer(self.request.id, answer));
             }
         }
         None
     }
 
+    /// Waits for the node's decision. If the process ends without one, the request is refused as draining.
     async fn wait_for_permit(&mut self) -> PermitOutcome {
         let decision = match &mut self.pending {
             Some(pending) => pending.decision().await,
@@ -196,58 +199,59 @@
         }
     }
 
-    fn again(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
-        self.log_attempt(&target.id, reason.code(), cause);
-        // Before the node decides about another attempt.
-        self.note_break(target, cause);
-        let begun = self.answer.has_begun();
+    /// Reports a failed attempt to the node, which then decides about another one.
+    fn retry(&mut self, target: &TargetEntry, reason: RetryReason, cause: AttemptCause) {
+        self.log_failed_attempt(&target.id, reason.code(), cause);
+        // The node needs the report before it decides about another attempt.
+        self.report_interruption(target, cause);
+        let answer_begun = self.answer.has_begun();
         if let Some(pending) = &mut self.pending {
-            if begun {
+            if answer_begun {
                 pending.answer_begun();
             }
             pending.not_run(cause.attempt_end(), reason);
         }
     }
 
-    /// The request may be the reason for which its target ended.
-    fn note_break(&self, target: &TargetEntry, cause: AttemptCause) {
-        self.note_answer(target, cause.answer_sight());
-        if let (Some(digest), Some(kind)) = (self.request.digest, cause.break_kind()) {
+    /// Reports an interrupted attempt to the node: the request may be what terminated its target.
+    fn report_interruption(&self, target: &TargetEntry, cause: AttemptCause) {
+        self.report_observations(target, cause.answer_observation());
+        if let (Some(digest), Some(kind)) = (self.request.digest, cause.interruption_kind()) {
             let begun = self.progress.attempt_parts() > 0;
             let interruption = RequestInterruption { instance: target.instance(), kind, begun };
             self.service.context.tell(NodeEvent::RequestInterrupted(digest, interruption));
         }
     }
 
-    /// What the scheduler learns of the target that has the request at its deadline.
-    fn end_at_deadline(&self) -> AttemptEnd {
+    /// Returns what is reported to the scheduler about the target that still runs the request at its deadline.
+    fn attempt_end_at_deadline(&self) -> AttemptEnd {
         match self.pending.as_ref().is_some_and(PendingRequest::is_stalled) {
             true => AttemptEnd::Failed,
             false => AttemptEnd::Unused,
         }
     }
 
-    /// The node decided the end itself.
-    fn forget(&mut self) {
+    /// Closes the request at the node without a report: the node ended it itself.
+    fn close_pending(&mut self) {
         if let Some(pending) = self.pending.take() {
             pending.close();
         }
     }
 
-    /// Tells the node how the request ended.
-    fn end(&mut self, end: AttemptEnd) {
+    /// Reports to the node how the request ended.
+    fn report_end(&mut self, end: AttemptEnd) {
         let Some(pending) = self.pending.take() else { return };
         let request = &self.request;
         self.service.context.metrics.end(self.verdict, &request.tier, &request.pool.id);
         let kept = match self.verdict {
-            Verdict::Ran => self.form.kept_answer(),
+            Verdict::Ran => self.framing.kept_answer(),
             Verdict::NotRun | Verdict::MayHaveRun => None,
         };
         pending.finish(NodeEvent::Finished(request.id, self.verdict, end, kept));
     }
 
-    /// The caller does not read: dropping the request cancels it at the node and cuts its answer.
-    fn give_up_caller(&mut self) {
+    /// Gives up a request whose caller stopped reading: dropping it cancels it at the node and cuts its answer.
+    fn abandon_stalled_caller(&mut self) {
         warn!("caller_stalled", kv: {
             request = self.request.id.to_string(), offset = self.progress.bytes
         });
@@ -255,36 +259,37 @@
         self.pending = None;
     }
 
+    /// Refuses the request with the verdict so far and the protocol's `Retry-After`.
     fn refuse(&mut self, reason: RefusalReason) {
         let retry_after = Some(self.protocol().options().retry_after);
         self.refuse_with(Refusal { reason, verdict: self.verdict, retry_after });
     }
 
-    /// Gives the caller its final answer, which says whether the request may have run. An answer that
-    /// has begun is cut, which dropping its channel does.
+    /// Sends the caller the final refusal, which states whether the request may have run, or the fallback answer.
+    /// An answer that has begun is cut when its channel is dropped.
     fn refuse_with(&mut self, mut refusal: Refusal) {
         refusal.verdict = refusal.verdict.join(self.verdict);
         let request = &self.request;
-        note_refusal(&self.service, request.id, &request.attempt_id, Some(request), &refusal);
+        record_refusal(&self.service, request.id, &request.attempt_id, Some(request), &refusal);
         if self.answer.has_begun() {
             return self.log_cut(refusal.reason);
         }
         let fallback = self.fallback.take();
         let answer =
             fallback.unwrap_or_else(|| self.protocol().refusal_answer(request.id, &refusal));
-        self.answer.begin(answer);
+        self.answer.send_head(answer);
     }
 }
 
-/// The answer that an earlier attempt with the same idempotency key got.
+/// Builds the answer that was kept from an earlier attempt with the same idempotency key.
 fn replayed_answer(id: RequestId, kept: KeptAnswer) -> CallerAnswer {
-    // Both were taken from a target's answer; what cannot be read any more is left out.
+    // Status and content type come from a target's answer. An invalid status becomes 200.
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    // As above.
+    // An invalid content type is left out.
     let content_type = HeaderValue::from_str(&kept.content_type).ok();
     let mut headers = vec![(REPLAYED, HeaderValue::from_static("true"))];
     headers.extend(content_type.map(|value| (header::CONTENT_TYPE, value)));
     headers.extend(HeaderValue::from_str(&id.to_string()).ok().map(|value| (REQUEST_ID, value)));
-    let content = AnswerContent::Whole(Bytes::from(kept.body));
+    let content = AnswerContent::Complete(Bytes::from(kept.body));
     CallerAnswer { status, headers, content, close: false }
 }
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -1,7 +1,8 @@
-//! The wait for the next sign of a target that has the request.
+//! Waits for the next data from the target that runs the request.
 //!
-//! Owns: the rule when a stalled target is left: where the request may be repeated, only for another one that the
-//! node has granted and that takes a connection. Relies on: the node, which grants one or says nothing.
+//! Owns: the rule when a stalled target is replaced: only if the request may be repeated, and only by a target that
+//! the node has granted and that accepts a connection. Relies on: the node, which grants a replacement if there is one
+//! and otherwise sends no decision.
 
 use std::future::{pending, Future};
 use std::pin::Pin;
@@ -17,74 +18,76 @@
 use crate::context::DaemonContext;
 use crate::pending::PendingRequest;
 
-/// Least time after which another target is asked for: where no time is left, the deadline comes first.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum wait before another target is requested, so that a request without remaining time ends at its deadline
+/// first.
+const MIN_STALL_LIMIT: Duration = Duration::from_millis(10);
 
-/// A target that was granted, with the connection to it where one stands.
+/// A target that was granted, with the connection to it if one is established.
 pub struct GrantedTarget {
     pub entry: TargetEntry,
     pub connection: Option<PooledConnection>,
 }
 
-/// How a wait ended.
+/// Result of a wait.
 pub enum WaitEnd<T> {
-    /// What was waited for has come.
-    Came(T),
-    /// The target is left for this one.
+    /// The expected value arrived.
+    Arrived(T),
+    /// The target stalled and is replaced by this one.
     Replaced(Box<GrantedTarget>),
-    /// The limit has passed and the request may not go elsewhere.
+    /// The limit has passed and the request may not move to another target.
     TimedOut,
 }
 
-/// Waits for a target.
+/// A wait for the target that runs a request.
 pub struct TargetWait<'a> {
     pub context: &'a DaemonContext,
-    /// `None` where the request may not go to another target; then the limit ends the wait.
+    /// `None` where the request may not move to another target; then the limit ends the wait.
     pub pending: Option<&'a mut PendingRequest>,
     pub protocol: &'a dyn CallerProtocol,
     pub request: &'a AdmittedRequest,
     pub target: &'a TargetEntry,
 }
 
-/// Another target that was granted and is being connected to.
-struct OfferedTarget {
+/// A granted replacement to which a connection is being established.
+struct ConnectingTarget {
     permit: PermitId,
     entry: TargetEntry,
     connecting: Pin<Box<dyn Future<Output = Result<PooledConnection>>>>,
 }
 
-/// What happens next in a wait that may end at another target.
+/// Next event in a wait during which the target may be replaced.
 enum WaitStep<T> {
-    Came(T),
+    Arrived(T),
     Granted(PermitId, TargetEntry),
     Connected(Result<PooledConnection>),
-    Stalled,
+    IntervalPassed,
 }
 
-/// A wait that may end at another target.
+/// A wait during which the target may be replaced.
 struct ReplaceableWait<'a> {
     context: &'a DaemonContext,
     pending: &'a mut PendingRequest,
     protocol: &'a dyn CallerProtocol,
     request: &'a AdmittedRequest,
     target: &'a TargetEntry,
-    offered: Option<OfferedTarget>,
+    replacement: Option<ConnectingTarget>,
 }
 
 impl TargetWait<'_> {
-    /// Waits for `expected`, for `limit` where the request may not go elsewhere. Where it may, another target is
-    /// asked for after `limit`, again after twice as long and so on, and the wait goes on meanwhile. Dropped with
-    /// its exchange, it leaves the target.
+    /// Waits for `expected`, at most for `limit` if the request may not move to another target. If it may, the wait
+    /// requests another target after `limit`, doubles the interval after each such request, and goes on until
+    /// `expected` arrives or a replacement is connected. Dropping the wait with its exchange abandons the target.
     pub async fn wait<T>(self, limit: Duration, expected: impl Future<Output = T>) -> WaitEnd<T> {
         let TargetWait { context, pending, protocol, request, target } = self;
         match pending {
             Some(pending) => {
-                let offered = None;
-                let wait = ReplaceableWait { context, pending, protocol, request, target, offered };
-                wait.run(limit.max(LEAST_PAUSE), expected).await
+                let replacement = None;
+                let wait =
+                    ReplaceableWait { context, pending, protocol, request, target, replacement };
+                wait.run(limit.max(MIN_STALL_LIMIT), expected).await
             }
             None => match tokio::time::timeout(limit, expected).await {
-                Ok(value) => WaitEnd::Came(value),
+                Ok(value) => WaitEnd::Arrived(value),
                 Err(_) => WaitEnd::TimedOut,
             },
         }
@@ -92,60 +95,67 @@
 }
 
 impl ReplaceableWait<'_> {
+    /// Waits until `expected` arrives or a replacement is connected.
     async fn run<T>(
         mut self,
-        mut pause: Duration,
+        mut interval: Duration,
         expected: impl Future<Output = T>,
     ) -> WaitEnd<T> {
         tokio::pin!(expected);
-        let begun = Instant::now();
-        let mut ask_at = begun + pause;
+        let started = Instant::now();
+        let mut replacement_due = started + interval;
         loop {
-            match self.next_step(expected.as_mut(), ask_at).await {
-                WaitStep::Came(value) => {
-                    self.put_offer_back();
-                    return WaitEnd::Came(value);
+            match self.next_step(expected.as_mut(), replacement_due).await {
+                WaitStep::Arrived(value) => {
+                    self.put_back_replacement();
+                    return WaitEnd::Arrived(value);
                 }
-                WaitStep::Granted(permit, entry) => self.consider(permit, entry),
+                WaitStep::Granted(permit, entry) => self.connect_replacement(permit, entry),
                 WaitStep::Connected(result) => {
-                    if let Some(granted) = self.connected(result) {
+                    if let Some(granted) = self.finish_connecting(result) {
                         return WaitEnd::Replaced(Box::new(granted));
                     }
                 }
-                WaitStep::Stalled => {
-                    self.ask(begun.elapsed());
-                    pause *= 2;
-                    ask_at += pause;
+                WaitStep::IntervalPassed => {
+                    self.request_replacement(started.elapsed());
+                    interval *= 2;
+                    replacement_due += interval;
                 }
             }
         }
     }
 
+    /// Waits for the next event; if several are ready, the first branch has priority.
     async fn next_step<T>(
         &mut self,
         expected: Pin<&mut impl Future<Output = T>>,
-        ask_at: Instant,
+        replacement_due: Instant,
     ) -> WaitStep<T> {
-        let free = self.offered.is_none();
+        let no_replacement = self.replacement.is_none();
         let connected = async {
-            match &mut self.offered {
-                Some(offered) => (&mut offered.connecting).await,
+            match &mut self.replacement {
+                Some(replacement) => (&mut replacement.connecting).await,
                 None => pending().await,
             }
         };
         tokio::select! {
             biased;
-            value = expected => WaitStep::Came(value),
+            value = expected => WaitStep::Arrived(value),
             result = connected => WaitStep::Connected(result),
-            // While the request is at a target the node decides nothing else.
-            Some(CallerDecision::Dispatch(permit, entry)) = self.pending.decision(), if free => {
+            // While the request is at a target, the node sends no other kind of decision.
+            Some(CallerDecision::Dispatch(permit, entry)) = self.pending.decision(),
+                if no_replacement =>
+            {
                 WaitStep::Granted(permit, entry)
             }
-            () = tokio::time::sleep_until(ask_at.into()), if free => WaitStep::Stalled,
+            () = tokio::time::sleep_until(replacement_due.into()), if no_replacement => {
+                WaitStep::IntervalPassed
+            }
         }
     }
 
-    fn ask(&mut self, stalled: Duration) {
+    /// Requests another target from the node.
+    fn request_replacement(&mut self, stalled: Duration) {
         info!("target_silent", kv: {
             request = self.pending.id().to_string(), target = self.target.id.as_str(),
             silent_ms = stalled.as_millis() as i64
@@ -153,9 +163,10 @@
         self.pending.target_stalled();
     }
 
-    /// The stalled target is not left before the other one takes a connection: where that fails, an answer that
-    /// has begun could only be cut, though its target may be at work.
-    fn consider(&mut self, permit: PermitId, entry: TargetEntry) {
+    /// Starts to connect to the replacement, or declines it if the request no longer needs it or may not be sent to
+    /// it. The stalled target is kept until the replacement accepts a connection: if connecting failed after the
+    /// target was abandoned, an answer that has begun could only be cut, though its target may still be working.
+    fn connect_replacement(&mut self, permit: PermitId, entry: TargetEntry) {
         let excluded = self.context.gate.stop(self.context.uptime(), &entry.instance()).is_some();
         let sendable = self.protocol.check_sendable(self.request).is_ok();
         if !self.pending.is_stalled() || !sendable || excluded {
@@ -165,11 +176,12 @@
         let limit = self.protocol.limits(self.request).connect;
         let target = entry.clone();
         let connecting = Box::pin(async move { connections.connect_to(&target, limit).await });
-        self.offered = Some(OfferedTarget { permit, entry, connecting });
+        self.replacement = Some(ConnectingTarget { permit, entry, connecting });
     }
 
-    fn connected(&mut self, result: Result<PooledConnection>) -> Option<GrantedTarget> {
-        let entry = self.offered.take()?.entry;
+    /// Accepts the replacement if the connection was established; otherwise the request stays at the stalled target.
+    fn finish_connecting(&mut self, result: Result<PooledConnection>) -> Option<GrantedTarget> {
+        let entry = self.replacement.take()?.entry;
         match result {
             Ok(connection) => {
                 self.pending.take_replacement();
@@ -186,9 +198,10 @@
         }
     }
 
-    /// The grant stands until the next wait, which declines it, or until an attempt that broke off is followed by it.
-    fn put_offer_back(&mut self) {
-        if let Some(OfferedTarget { permit, entry, .. }) = self.offered.take() {
+    /// Keeps a replacement that is not yet connected as the next decision: the next wait declines it, or the attempt
+    /// that follows an interruption uses it.
+    fn put_back_replacement(&mut self) {
+        if let Some(ConnectingTarget { permit, entry, .. }) = self.replacement.take() {
             self.pending.put_back(CallerDecision::Dispatch(permit, entry));
         }
     }
