--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -11,7 +11,7 @@
 use curlewcleat_platform::example::{
     example_config, DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST,
 };
-use curlewcleat_platform::names::{CONFIG_NAME, SEAL, SERVERS, WIRE_PROFILE};
+use curlewcleat_platform::names::{CONFIG_NAME, SEAL_HEADER, SERVERS, WIRE_PROFILE};
 use curlewcleat_platform::FleetClient;
 use curlewcleat_standins::deployment::{get_text, wait_until};
 use curlewcleat_standins::fleet::{EngineStep, FleetDeployment, FleetEngine, StoreOutage};
@@ -106,7 +106,7 @@
             status: head.status.as_u16(),
             text: String::from_utf8_lossy(&bytes).to_string(),
             whole,
-            seal: header(SEAL),
+            seal: header(SEAL_HEADER),
             echo: header(WIRE_PROFILE.attempt_id),
             retry_after: header("retry-after").and_then(|text| text.parse().ok()),
         })
--- a/crates/acceptance/tests/lives.rs
+++ b/crates/acceptance/tests/lives.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use bytes::Bytes;
 use curlewcleat_platform::example::{DRIVERS_KEY, HOST};
-use curlewcleat_platform::names::{SERVERS, START, WIRE_PROFILE};
+use curlewcleat_platform::names::{SERVERS, START_FIELD, WIRE_PROFILE};
 use curlewcleat_standins::deployment::{get_text, wait_until};
 use curlewcleat_standins::fleet::{EngineStep, FleetDeployment};
 use curlewcleat_targets::{collect, ConnectionPool};
@@ -45,7 +45,7 @@
 /// The engine writes its entry.
 fn announce(fleet: &FleetDeployment, start: u64, address: &str, state: &str) {
     let entry = json!({"backend": "records", "address": address, "zone": "here", "slots": 4,
-        "state": state, "sequence": 1, START: start});
+        "state": state, "sequence": 1, START_FIELD: start});
     fleet.store.put(SERVERS, ID, entry);
 }
 
--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -216,9 +216,9 @@
 #[actix_rt::test]
 async fn old_list_is_at_the_era_before() -> Result<()> {
     let client = client_of(&["2"]).await?;
-    let list = client.list_targets(ListAge::Seconds).await?;
+    let list = client.list_targets(ListAge::SecondsOld).await?;
     assert_eq!(StorePosition::from_version(list.revision).era, 1);
     let watch = client.watch_targets(list.revision, Duration::from_millis(10)).await?;
-    assert_eq!(watch, TargetWatch::HistoryGone);
+    assert_eq!(watch, TargetWatch::HistoryUnavailable);
     Ok(())
 }
--- a/crates/acceptance/tests/suspended.rs
+++ b/crates/acceptance/tests/suspended.rs
@@ -18,7 +18,7 @@
 use curlewcleat_standins::deployment::wait_until;
 use curlewcleat_standins::fleet::{DaemonPlace, EngineStep, FleetDeployment, StoreOutage};
 use curlewcleat_targets::{collect, ConnectionPool};
-use curlewcleatd::{run_daemon, FleetParts};
+use curlewcleatd::{run_daemon, FleetAdapter};
 
 /// Time for which the machine was suspended, in milliseconds.
 static SUSPENDED: AtomicU64 = AtomicU64::new(0);
@@ -58,7 +58,7 @@
     std::thread::spawn(move || {
         let (address, limit) = (&settings.platform_address, settings.platform_limit);
         let platform = std::rc::Rc::new(FleetClient::new(address, limit));
-        let parts = FleetParts::new(platform, settings.clone(), &path);
+        let parts = FleetAdapter::new(platform, settings.clone(), &path);
         run_daemon(settings, Box::new(parts))
     });
     Ok(())
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{ensure, Context, Result};
-use curlewcleat_config::{check_files, ConfigArchive, ConfigStore, StoreChange};
+use curlewcleat_config::{check_files, ConfigArchive, ConfigStore, OfferResult};
 use curlewcleat_core::{hash_token, ConfigBundle, KeyClaim, KeyDecision, RequestId};
 use curlewcleat_keys::{KeyHolder, KeyHolderOptions, KeyTable};
 
@@ -51,7 +51,7 @@
             text.push_str("; changed\n");
         }
         let (change, taken) = timed(|| store.offer(second));
-        ensure!(taken == StoreChange::Accepted, "{taken:?}");
+        ensure!(taken == OfferResult::Accepted, "{taken:?}");
         let (pack, archive) = timed(|| store.archive().map(|archive| archive.cloned()));
         let archive = archive?.context("an archive")?;
         let mut packed = Vec::new();
--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -29,7 +29,7 @@
     /// Seconds since the Unix epoch.
     pub applied_at: u64,
     /// Generation that the operator has read; a later change to the same files is a conflict.
-    pub expected: Option<Generation>,
+    pub expected_generation: Option<Generation>,
 }
 
 /// The next action that the caller must perform.
@@ -61,7 +61,7 @@
     /// The stored manifest has another version.
     ManifestConflict,
     /// The call failed or its answer was lost; a write may have taken effect.
-    Unclear,
+    OutcomeUnknown,
 }
 
 /// How an apply ended.
@@ -81,7 +81,7 @@
     /// The files fail the checks, for the reasons in the text.
     Invalid(String),
     /// The platform cannot be reached or the manifest changed too often; it is unknown whether the apply took effect.
-    Unclear,
+    OutcomeUnknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -132,7 +132,7 @@
     /// Handles the result of the last action and returns the next one.
     pub fn handle(&mut self, event: ApplyEvent) -> ApplyAction {
         match (&self.phase, event) {
-            (_, ApplyEvent::Unclear) => self.reread_manifest(),
+            (_, ApplyEvent::OutcomeUnknown) => self.reread_manifest(),
             (ApplyPhase::ReadingManifest, ApplyEvent::Manifest(stored)) => {
                 self.handle_manifest(stored)
             }
@@ -148,7 +148,7 @@
                 self.finish(ApplyResult::Applied(self.next_generation()))
             }
             (ApplyPhase::UpdatingManifest, ApplyEvent::ManifestConflict) => self.reread_manifest(),
-            _ => self.finish(ApplyResult::Unclear),
+            _ => self.finish(ApplyResult::OutcomeUnknown),
         }
     }
 
@@ -164,7 +164,7 @@
     fn reread_manifest(&mut self) -> ApplyAction {
         self.rereads += 1;
         if self.rereads > REREAD_LIMIT {
-            return self.finish(ApplyResult::Unclear);
+            return self.finish(ApplyResult::OutcomeUnknown);
         }
         self.phase = ApplyPhase::ReadingManifest;
         ApplyAction::ReadManifest
@@ -209,7 +209,7 @@
         if self.current.files.get(name) != base.files.get(name) {
             return true;
         }
-        match (self.options.expected, self.current.last_change(name)) {
+        match (self.options.expected_generation, self.current.last_change(name)) {
             (Some(expected), Some(record)) => record.generation > expected,
             _ => false,
         }
--- a/crates/config/src/archive.rs
+++ b/crates/config/src/archive.rs
@@ -13,12 +13,12 @@
 /// Maximum size of a part in bytes. A part takes 52 ms on a link of 10 Mbit/s, the slowest link of the users' VMs, so
 /// that heartbeats and proofs of the newest configuration sent behind it are not late. A megabyte of rules needs two
 /// parts, so that configuration changes in quick succession do not arrive faster than their parts can be sent.
-pub const PART_BYTES: usize = 64 << 10;
+pub const MAX_PART_BYTES: usize = 64 << 10;
 /// Maximum size of the first part in bytes; smaller, since many daemons request it at the same time.
 const FIRST_PART_BYTES: usize = 32 << 10;
 /// Maximum size of a configuration in bytes, compressed or not. Bounds the memory that a peer can make this daemon use;
 /// the platform's object has at most a megabyte.
-pub const ARCHIVE_LIMIT: usize = 16 << 20;
+pub const MAX_ARCHIVE_BYTES: usize = 16 << 20;
 
 /// Why a configuration cannot be packed into or unpacked from an archive.
 #[derive(Debug, thiserror::Error)]
@@ -32,7 +32,7 @@
     /// The bytes cannot be decompressed.
     #[error("archive: cannot be decompressed: {0}")]
     Unpack(std::io::Error),
-    /// The decompressed bytes are not an encoded configuration; they may have been cut at [`ARCHIVE_LIMIT`].
+    /// The decompressed bytes are not an encoded configuration; they may have been cut at [`MAX_ARCHIVE_BYTES`].
     #[error("archive: cannot be decoded: {0}")]
     Decode(postcard::Error),
 }
@@ -48,13 +48,13 @@
     /// Encodes and compresses a configuration.
     ///
     /// # Errors
-    /// [`ArchiveError::Pack`] if it is longer than [`ARCHIVE_LIMIT`] or cannot be encoded.
+    /// [`ArchiveError::Pack`] if it is longer than [`MAX_ARCHIVE_BYTES`] or cannot be encoded.
     pub fn pack(bundle: &ConfigBundle) -> Result<ConfigArchive, ArchiveError> {
         let pack_error = |error: &dyn std::fmt::Display| ArchiveError::Pack(error.to_string());
         let encoded = postcard::to_stdvec(&bundle.files).map_err(|error| pack_error(&error))?;
-        if encoded.len() > ARCHIVE_LIMIT {
+        if encoded.len() > MAX_ARCHIVE_BYTES {
             return Err(ArchiveError::Pack(format!(
-                "has {} bytes; at most {ARCHIVE_LIMIT} are allowed",
+                "has {} bytes; at most {MAX_ARCHIVE_BYTES} are allowed",
                 encoded.len()
             )));
         }
@@ -78,7 +78,7 @@
     pub fn part(&self, offset: u32) -> Option<ConfigPart> {
         let remaining =
             self.bytes.get(offset as usize..).filter(|remaining| !remaining.is_empty())?;
-        let max_length = if offset == 0 { FIRST_PART_BYTES } else { PART_BYTES };
+        let max_length = if offset == 0 { FIRST_PART_BYTES } else { MAX_PART_BYTES };
         let bytes = remaining[..remaining.len().min(max_length)].to_vec();
         Some(ConfigPart { archive: self.id, offset, bytes })
     }
@@ -92,7 +92,7 @@
             return Err(ArchiveError::Checksum);
         }
         let mut encoded = Vec::new();
-        let mut decoder = ZlibDecoder::new(bytes).take(ARCHIVE_LIMIT as u64);
+        let mut decoder = ZlibDecoder::new(bytes).take(MAX_ARCHIVE_BYTES as u64);
         decoder.read_to_end(&mut encoded).map_err(ArchiveError::Unpack)?;
         let files = postcard::from_bytes(&encoded).map_err(ArchiveError::Decode)?;
         Ok(ConfigBundle { generation: id.generation, files })
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,14 +13,14 @@
 mod store;
 
 pub use apply::{ApplyAction, ApplyEvent, ApplyOptions, ApplyResult, ConfigApply};
-pub use archive::{ArchiveError, ConfigArchive, ARCHIVE_LIMIT, PART_BYTES};
+pub use archive::{ArchiveError, ConfigArchive, MAX_ARCHIVE_BYTES, MAX_PART_BYTES};
 pub use check::check_files;
-pub use manifest::{content_hash, ApplyRecord, ConfigManifest, HISTORY_LENGTH};
+pub use manifest::{content_hash, ApplyRecord, ConfigManifest, MAX_HISTORY_LENGTH};
 pub use manifest::{content_key, manifest_bytes, parse_manifest, MANIFEST_KEY};
 pub use problem::{CheckReport, ConfigProblem};
 pub use reader::{IniFile, IniSection};
 pub use settings::{check_settings, DaemonSettings, FleetBounds, PlatformKind, RolloutBounds};
-pub use store::{ConfigStore, StoreChange};
+pub use store::{ConfigStore, OfferResult};
 
 /// Contents of the files of a configuration, by file name.
 pub type FileTexts = std::collections::BTreeMap<String, String>;
--- a/crates/config/src/manifest.rs
+++ b/crates/config/src/manifest.rs
@@ -11,7 +11,7 @@
 /// Key of the manifest in the object API.
 pub const MANIFEST_KEY: &str = "config/manifest";
 /// Number of latest applies that the manifest keeps.
-pub const HISTORY_LENGTH: usize = 100;
+pub const MAX_HISTORY_LENGTH: usize = 100;
 
 /// The files in force by the hash of their contents, and the latest applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
         record.files = files.keys().cloned().collect();
         next.files.extend(files.clone());
         next.history.push(record);
-        let excess = next.history.len().saturating_sub(HISTORY_LENGTH);
+        let excess = next.history.len().saturating_sub(MAX_HISTORY_LENGTH);
         next.history.drain(..excess);
         next
     }
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -14,7 +14,7 @@
 
 /// The outcome of offering a configuration to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreChange {
+pub enum OfferResult {
     /// It is in force now.
     Accepted,
     /// Its generation is not higher than the one in force.
@@ -63,9 +63,9 @@
 
     /// Checks a configuration from the platform or a peer and puts it in force if it is valid. Only a higher generation
     /// is accepted, so that a store or peer with an old version never causes a rollback.
-    pub fn offer(&mut self, bundle: ConfigBundle) -> StoreChange {
+    pub fn offer(&mut self, bundle: ConfigBundle) -> OfferResult {
         if bundle.generation <= self.generation() {
-            return StoreChange::Stale;
+            return OfferResult::Stale;
         }
         let files = self.checked_files(&bundle);
         match merge_files(bundle.generation, files.values().map(Arc::as_ref)) {
@@ -74,9 +74,9 @@
                 self.files = files;
                 self.bundle = Some(bundle);
                 self.archive = None;
-                StoreChange::Accepted
+                OfferResult::Accepted
             }
-            Err(report) => StoreChange::Invalid(report),
+            Err(report) => OfferResult::Invalid(report),
         }
     }
 
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use curlewcleat_config::{check_files, check_settings, parse_manifest, ConfigStore, StoreChange};
+use curlewcleat_config::{check_files, check_settings, parse_manifest, ConfigStore, OfferResult};
 use curlewcleat_core::ConfigBundle;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -41,7 +41,7 @@
         let mut highest = 0;
         for generation in generations {
             let change = store.offer(bundle(generation, "[tier t]\nrank = 0\n"));
-            prop_assert_eq!(change == StoreChange::Accepted, generation > highest);
+            prop_assert_eq!(change == OfferResult::Accepted, generation > highest);
             highest = highest.max(generation);
             prop_assert_eq!(store.generation(), highest);
         }
@@ -72,8 +72,8 @@
             let bundle = ConfigBundle { generation, files: texts.collect() };
             let checked = check_files(generation, &bundle.files);
             match (store.offer(bundle), checked) {
-                (StoreChange::Accepted, Ok(config)) => prop_assert_eq!(&*store.active(), &config),
-                (StoreChange::Invalid(stored), Err(report)) => prop_assert_eq!(stored, report),
+                (OfferResult::Accepted, Ok(config)) => prop_assert_eq!(&*store.active(), &config),
+                (OfferResult::Invalid(stored), Err(report)) => prop_assert_eq!(stored, report),
                 other => prop_assert!(false, "{:?}", other),
             }
         }
@@ -84,7 +84,7 @@
 fn invalid_configuration_leaves_the_earlier_one_in_force() {
     let mut store = ConfigStore::default();
     store.offer(bundle(1, "[tier t]\nrank = 0\n"));
-    assert!(matches!(store.offer(bundle(2, "[tier t]\nrank = x\n")), StoreChange::Invalid(_)));
+    assert!(matches!(store.offer(bundle(2, "[tier t]\nrank = x\n")), OfferResult::Invalid(_)));
     assert_eq!(store.generation(), 1);
 }
 
--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -81,7 +81,7 @@
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            context.tell(NodeEvent::Drain);
+            context.send_event(NodeEvent::Drain);
         }
     });
     Ok(())
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -82,7 +82,7 @@
     }
 
     /// Waits until a moment, on time even if the machine is suspended meanwhile.
-    pub async fn until(&self, moment: Moment) {
+    pub async fn sleep_until(&self, moment: Moment) {
         let mut suspensions = self.suspensions.subscribe();
         loop {
             let remaining = moment.time_left();
@@ -171,7 +171,7 @@
     }
 
     /// Sends an event to the node.
-    pub fn tell(&self, event: NodeEvent) {
+    pub fn send_event(&self, event: NodeEvent) {
         // The node's thread ends last, so a closed channel means that the process is ending.
         let _ = self.node.send(NodeMessage::Event(event));
     }
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -22,7 +22,7 @@
 use crate::operators::serve_operator;
 use crate::platform_adapter::{node_options, CallerServer, LocalFuture, PlatformAdapter};
 use crate::reports::poll_target_reports;
-use crate::request::{OwnProtocol, RequestService};
+use crate::request::{BuiltinProtocol, RequestService};
 
 /// Time in seconds for sending the last bytes of answers after the node has ended.
 const FLUSH_TIMEOUT_S: u64 = 3;
@@ -68,7 +68,7 @@
             PlatformCall::ProposeTable(expected, table) => {
                 actix_rt::spawn(async move {
                     let write = propose_table(store.as_ref(), &context, expected, table).await;
-                    context.tell(NodeEvent::TableWritten(write));
+                    context.send_event(NodeEvent::TableWritten(write));
                 });
             }
             PlatformCall::ReadTable => {
@@ -126,7 +126,7 @@
     let server = builder
         .bind("callers", settings.caller_address.as_str(), move || {
             let context = caller_context.clone();
-            let protocol = Box::<OwnProtocol>::default();
+            let protocol = Box::<BuiltinProtocol>::default();
             let service = RequestService::new(context, protocol);
             HttpService::build()
                 .client_request_timeout(head_limit)
--- a/crates/daemon/src/files/follow.rs
+++ b/crates/daemon/src/files/follow.rs
@@ -55,7 +55,7 @@
         match next_config(store.as_ref(), known_version, &mut contents).await {
             Ok(Some((version, bundle))) => {
                 known_version = version;
-                context.tell(NodeEvent::ConfigRead(bundle));
+                context.send_event(NodeEvent::ConfigRead(bundle));
                 back_off.reset();
             }
             Ok(None) => back_off.reset(),
@@ -145,7 +145,7 @@
             Some((object.version, table))
         }
     };
-    context.tell(NodeEvent::TableRead(table));
+    context.send_event(NodeEvent::TableRead(table));
     Ok(())
 }
 
@@ -163,7 +163,7 @@
                     vm: record.vm,
                     leaving: record.state == VmState::Leaving,
                 });
-                context.tell(NodeEvent::VmsRead(list.collect()));
+                context.send_event(NodeEvent::VmsRead(list.collect()));
                 back_off.reset();
                 tokio::time::sleep(VM_LIST_INTERVAL).await;
             }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -95,26 +95,26 @@
 }
 
 /// Connects a daemon to a fleet's platform.
-pub struct FleetParts {
+pub struct FleetAdapter {
     platform: Rc<dyn FleetPlatform>,
     signals: Rc<ReadSignals>,
     /// `None` once it has been started.
     reloader: Option<SettingsReloader>,
 }
 
-impl FleetParts {
+impl FleetAdapter {
     /// Creates the adapter for a platform; `path` is the file from which the settings were read.
     pub fn new(
         platform: Rc<dyn FleetPlatform>,
         settings: DaemonSettings,
         path: &Path,
-    ) -> FleetParts {
+    ) -> FleetAdapter {
         let reloader = Some(SettingsReloader::new(settings, path));
-        FleetParts { platform, signals: Rc::default(), reloader }
+        FleetAdapter { platform, signals: Rc::default(), reloader }
     }
 }
 
-impl PlatformAdapter for FleetParts {
+impl PlatformAdapter for FleetAdapter {
     fn node_options(
         &self,
         settings: &DaemonSettings,
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -165,7 +165,7 @@
     ) {
         self.signals.freshness.record_failure();
         self.failures.set(self.failures.get() + 1);
-        self.context.tell(NodeEvent::PlatformFailed);
+        self.context.send_event(NodeEvent::PlatformFailed);
         back_off.record_failure("read_config", error, &self.context);
         let limit = match *role.borrow_and_update() {
             ReadRole::Reader => READER_PAUSE,
@@ -191,7 +191,7 @@
             info!("platform_regained", kv: { call = "read_config" });
         }
         self.signals.freshness.confirm(sent);
-        self.context.tell(NodeEvent::PlatformRead(self.context.uptime_at(sent)));
+        self.context.send_event(NodeEvent::PlatformRead(self.context.uptime_at(sent)));
         self.read_succeeded.notify_waiters();
     }
 }
--- a/crates/daemon/src/fleet/follow/peers.rs
+++ b/crates/daemon/src/fleet/follow/peers.rs
@@ -33,7 +33,7 @@
             let jitter = rand::rng().random_range(LIST_JITTER);
             tokio::time::sleep(LIST_INTERVAL.mul_f64(jitter)).await;
             // A failed read is skipped; the next one gives the same information.
-            let listed = self.list_daemons(ListAge::Seconds).await;
+            let listed = self.list_daemons(ListAge::SecondsOld).await;
             listed.unwrap_or_else(|error| {
                 BackOff::new(BACK_OFF).record_failure("list_daemons", &error, &self.context);
             });
@@ -44,11 +44,11 @@
     /// address and capacity finds its earlier record and does not write a new one.
     async fn join(&self, record: &DaemonRecord) {
         let mut back_off = BackOff::new(BACK_OFF);
-        match self.read_daemon_records(ListAge::Seconds).await {
+        match self.read_daemon_records(ListAge::SecondsOld).await {
             Ok(records)
                 if records.iter().any(|earlier| earlier.is_equal_except_incarnation(record)) =>
             {
-                return self.context.tell(NodeEvent::DaemonsListed(records));
+                return self.context.send_event(NodeEvent::DaemonsListed(records));
             }
             Ok(_) => {}
             Err(error) => back_off.record_failure("list_daemons", &error, &self.context),
@@ -66,7 +66,7 @@
 
     async fn list_daemons(&self, age: ListAge) -> Result<()> {
         let records = self.read_daemon_records(age).await?;
-        self.context.tell(NodeEvent::DaemonsListed(records));
+        self.context.send_event(NodeEvent::DaemonsListed(records));
         Ok(())
     }
 
--- a/crates/daemon/src/fleet/follow/refusals.rs
+++ b/crates/daemon/src/fleet/follow/refusals.rs
@@ -34,7 +34,7 @@
                 let now = self.context.wall();
                 let reports =
                     list.refusals.into_iter().filter_map(|refusal| suspect_report(refusal, now));
-                self.context.tell(NodeEvent::RefusalsRead(reports.collect()));
+                self.context.send_event(NodeEvent::RefusalsRead(reports.collect()));
                 true
             }
             Err(error) => {
@@ -75,7 +75,7 @@
         let refusal = StoredRefusal { digest, instances, at: context.wall() };
         context.metrics.platform_call("store_refusal");
         match platform.store_refusal(&refusal).await {
-            Ok(()) => context.tell(NodeEvent::RefusalStored(digest)),
+            Ok(()) => context.send_event(NodeEvent::RefusalStored(digest)),
             Err(error) => BackOff::new(BACK_OFF).record_failure("store_refusal", &error, &context),
         }
     });
--- a/crates/daemon/src/fleet/follow/rollouts.rs
+++ b/crates/daemon/src/fleet/follow/rollouts.rs
@@ -40,13 +40,13 @@
                     let change = self.rollout_faults.borrow_mut().apply_list(list.faults);
                     change.report(ENTRY_KIND, &self.context.metrics);
                     let sent = self.context.uptime_at(sent);
-                    self.context.tell(NodeEvent::RolloutsListed {
+                    self.context.send_event(NodeEvent::RolloutsListed {
                         rollouts: list.rollouts,
-                        at: list.at,
+                        at: list.revision,
                         sent,
                     });
                     tokio::select! {
-                        () = self.wait_for_rollout_change(list.at) => {}
+                        () = self.wait_for_rollout_change(list.revision) => {}
                         () = self.wait_for_recovery() => {}
                         () = self.signals.rollout_read_requested() => {}
                     }
@@ -66,7 +66,7 @@
             let begun = Instant::now();
             self.context.metrics.platform_call("watch_rollouts");
             match self.platform.watch_rollouts(at, WATCH_LIMIT).await {
-                Ok(RolloutWatch::Quiet(newer)) => at = newer,
+                Ok(RolloutWatch::Unchanged(newer)) => at = newer,
                 Ok(RolloutWatch::Changed) => return,
                 Err(error) => {
                     self.context.metrics.platform_error("watch_rollouts");
--- a/crates/daemon/src/fleet/follow/targets.rs
+++ b/crates/daemon/src/fleet/follow/targets.rs
@@ -34,7 +34,7 @@
         let mut back_off = BackOff::new(BACK_OFF);
         // A new daemon needs some targets at once, so the first list may be some seconds old. It receives the latest
         // changes from a watch or a peer.
-        let mut age = ListAge::Seconds;
+        let mut age = ListAge::SecondsOld;
         loop {
             if age == ListAge::Newest && !self.wait_until_list_due(&mut role).await {
                 continue;
@@ -47,7 +47,7 @@
                     info!("targets_listed", kv: {
                         at = list.revision, targets = list.targets.len(), faults = list.faults.len()
                     });
-                    self.context.tell(NodeEvent::TargetsListed(list.targets, list.revision));
+                    self.context.send_event(NodeEvent::TargetsListed(list.targets, list.revision));
                     tokio::select! {
                         _ = self.watch_targets(list.revision) => {}
                         _ = wait_until_idle(&mut role) => {}
@@ -90,12 +90,12 @@
                     let list_again = self.record_change_faults(&changes, faults);
                     let from = revision;
                     revision = at;
-                    self.context.tell(NodeEvent::TargetsChanged { from, changes, at });
+                    self.context.send_event(NodeEvent::TargetsChanged { from, changes, at });
                     if list_again {
                         return;
                     }
                 }
-                Ok(TargetWatch::HistoryGone) => return,
+                Ok(TargetWatch::HistoryUnavailable) => return,
                 Err(error) => {
                     self.context.metrics.platform_error("watch_targets");
                     debug!("platform_call_failed", kv: { call = "watch_targets", error = error.to_string() });
--- a/crates/daemon/src/fleet/reload.rs
+++ b/crates/daemon/src/fleet/reload.rs
@@ -68,7 +68,7 @@
             }
         };
         context.set_bounds(settings.bounds.clone());
-        context.tell(NodeEvent::SeedsChanged(settings.seeds.clone()));
+        context.send_event(NodeEvent::SeedsChanged(settings.seeds.clone()));
         let restart = needs_restart(&self.settings, &settings);
         info!("settings_reloaded", kv: { needs_restart = restart });
         self.settings = settings;
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -100,7 +100,7 @@
 }
 
 /// Returns whether a caller's header is forwarded to the target. The caller's token is not.
-pub fn passes_to_target(name: &HeaderName) -> bool {
+pub fn is_forwarded_to_target(name: &HeaderName) -> bool {
     !is_hop_by_hop(name)
         && ![header::HOST, header::AUTHORIZATION, header::CONTENT_LENGTH, header::EXPECT]
             .contains(name)
@@ -109,17 +109,17 @@
 }
 
 /// Returns whether a target's header is forwarded to the caller.
-pub fn passes_to_caller(name: &HeaderName) -> bool {
+pub fn is_forwarded_to_caller(name: &HeaderName) -> bool {
     !is_hop_by_hop(name) && *name != header::CONTENT_LENGTH && name.as_str() != "x-request-id"
 }
 
 /// Returns whether a header may be forwarded, in either direction.
-pub fn passes_on(name: &HeaderName) -> bool {
+pub fn may_forward(name: &HeaderName) -> bool {
     !is_hop_by_hop(name)
 }
 
 /// Returns whether a caller's header is meant for the daemon and not forwarded.
-pub fn ends_here(name: &HeaderName) -> bool {
+pub fn is_for_daemon_only(name: &HeaderName) -> bool {
     [header::AUTHORIZATION, header::CONTENT_LENGTH, header::EXPECT].contains(name)
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -25,6 +25,6 @@
 
 pub use assembly::run_daemon;
 pub use files::FilesAdapter;
-pub use fleet::FleetParts;
+pub use fleet::FleetAdapter;
 pub use logging::start_logging;
 pub use platform_adapter::PlatformAdapter;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -11,7 +11,7 @@
 use curlewcleat_config::{check_settings, PlatformKind};
 use curlewcleat_platform::FleetClient;
 use curlewcleat_store::HttpStore;
-use curlewcleatd::{FilesAdapter, FleetParts, PlatformAdapter};
+use curlewcleatd::{FilesAdapter, FleetAdapter, PlatformAdapter};
 
 /// Request scheduler for unlike engines.
 #[derive(Parser)]
@@ -57,7 +57,7 @@
         PlatformKind::Files => Box::new(FilesAdapter::new(Rc::new(HttpStore::new(address, limit)))),
         PlatformKind::Fleet => {
             let client = Rc::new(FleetClient::new(address, limit));
-            Box::new(FleetParts::new(client, settings.clone(), &arguments.settings))
+            Box::new(FleetAdapter::new(client, settings.clone(), &arguments.settings))
         }
     };
     curlewcleatd::run_daemon(settings, adapter)?;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -108,7 +108,7 @@
     }
 
     /// Counts a request that matched a rule.
-    pub fn request(&self, tier: &str, pool: &str) {
+    pub fn count_request(&self, tier: &str, pool: &str) {
         self.requests.with_label_values(&[tier, pool]).inc();
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Counts a refused request; tier and pool are empty if no rule matched.
-    pub fn refusal(&self, reason: RefusalReason, tier: &str, pool: &str) {
+    pub fn count_refusal(&self, reason: RefusalReason, tier: &str, pool: &str) {
         self.refusals.with_label_values(&[reason.code(), tier, pool]).inc();
     }
 
@@ -128,12 +128,12 @@
     }
 
     /// Counts a retry.
-    pub fn retry(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.code()]).inc();
     }
 
     /// Counts the end of a dispatched request.
-    pub fn end(&self, verdict: Verdict, tier: &str, pool: &str) {
+    pub fn count_end(&self, verdict: Verdict, tier: &str, pool: &str) {
         let verdict = match verdict {
             Verdict::NotRun => "not_run",
             Verdict::MayHaveRun => "may_have_run",
@@ -143,12 +143,12 @@
     }
 
     /// Records the time in seconds between a request's arrival and its dispatch.
-    pub fn waited(&self, seconds: f64, tier: &str, pool: &str) {
+    pub fn observe_wait(&self, seconds: f64, tier: &str, pool: &str) {
         self.wait.with_label_values(&[tier, pool]).observe(seconds);
     }
 
     /// Records the time in seconds between a request's arrival and the first byte of its answer.
-    pub fn began(&self, seconds: f64, tier: &str, pool: &str) {
+    pub fn observe_first_byte(&self, seconds: f64, tier: &str, pool: &str) {
         self.first_byte.with_label_values(&[tier, pool]).observe(seconds);
     }
 
--- a/crates/daemon/src/node_loop.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -155,7 +155,7 @@
                 self.context.set_config(self.node.config());
                 self.transport.keep_only(&self.node.peer_addresses());
             }
-            NodeAction::Count(reason) => self.context.metrics.retry(reason),
+            NodeAction::Count(reason) => self.context.metrics.count_retry(reason),
             NodeAction::Note(note) => {
                 if note == NodeNote::DrainBegun {
                     self.context.set_draining();
@@ -208,7 +208,7 @@
         if last {
             self.decision_senders.remove(&id);
         } else if !delivered {
-            self.context.tell(NodeEvent::CallerDisconnected(id));
+            self.context.send_event(NodeEvent::CallerDisconnected(id));
         }
     }
 }
--- a/crates/daemon/src/node_notes.rs
+++ b/crates/daemon/src/node_notes.rs
@@ -27,7 +27,7 @@
         }
         NodeNote::PeerLost(peer) => warn!("peer_lost", kv: { vm = peer.vm.as_str() }),
         NodeNote::PeerReplaced(peer) => info!("peer_replaced", kv: { vm = peer.vm.as_str() }),
-        NodeNote::TargetInstance(change) => log_instance_start(change),
+        NodeNote::InstanceChanged(change) => log_instance_start(change),
         NodeNote::TargetRemoved(removed) => {
             info!("target_gone", kv: { target = removed.target.as_str(), left = removed.announced_leaving })
         }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -41,7 +41,7 @@
         },
         (&Method::POST, "/suspects/clear") => clear_suspect(&context, request.uri().query()),
         (&Method::POST, "/drain") => {
-            context.tell(NodeEvent::Drain);
+            context.send_event(NodeEvent::Drain);
             text_response(StatusCode::ACCEPTED, "draining")
         }
         _ => text_response(StatusCode::NOT_FOUND, "unknown path"),
@@ -126,7 +126,7 @@
     let digest = query.and_then(|query| query.strip_prefix("digest="));
     match digest.and_then(RequestDigest::from_hex) {
         Some(digest) => {
-            context.tell(NodeEvent::ClearSuspect(digest));
+            context.send_event(NodeEvent::ClearSuspect(digest));
             text_response(StatusCode::ACCEPTED, "cleared")
         }
         None => {
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -52,7 +52,7 @@
 
     /// Reports to the node how the request ended.
     pub fn finish(self, event: NodeEvent) {
-        self.context.tell(event);
+        self.context.send_event(event);
         self.close();
     }
 
@@ -63,7 +63,7 @@
 
     /// Reports to the node that the caller has received a part of the answer.
     pub fn answer_begun(&self) {
-        self.context.tell(NodeEvent::AnswerBegun(self.request));
+        self.context.send_event(NodeEvent::AnswerBegun(self.request));
     }
 
     /// Returns whether the target is stalled.
@@ -78,14 +78,14 @@
     }
 
     /// Withdraws the request for a replacement, if there is one: the target has sent something.
-    pub fn target_heard(&mut self) {
+    pub fn target_resumed(&mut self) {
         if std::mem::take(&mut self.stalled) {
             self.report_replacement(ReplacementStep::Withdrawn);
         }
     }
 
     /// Reports that the granted replacement is used instead of the stalled target.
-    pub fn take_replacement(&mut self) {
+    pub fn accept_replacement(&mut self) {
         self.stalled = false;
         self.report_replacement(ReplacementStep::Accepted);
     }
@@ -101,13 +101,13 @@
     }
 
     fn report_replacement(&self, step: ReplacementStep) {
-        self.context.tell(NodeEvent::Replacement(self.request, step));
+        self.context.send_event(NodeEvent::Replacement(self.request, step));
     }
 
     /// Reports to the node that an attempt did not run; a further decision follows.
-    pub fn not_run(&mut self, end: AttemptEnd, retry: RetryReason) {
+    pub fn attempt_not_run(&mut self, end: AttemptEnd, retry: RetryReason) {
         self.stalled = false;
-        self.context.tell(NodeEvent::AttemptNotRun(self.request, end, retry));
+        self.context.send_event(NodeEvent::AttemptNotRun(self.request, end, retry));
     }
 }
 
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         if self.open {
             self.context.metrics.caller_disconnected();
-            self.context.tell(NodeEvent::CallerDisconnected(self.request));
+            self.context.send_event(NodeEvent::CallerDisconnected(self.request));
         }
     }
 }
--- a/crates/daemon/src/platform_adapter.rs
+++ b/crates/daemon/src/platform_adapter.rs
@@ -1,7 +1,7 @@
 //! The steps of a daemon that depend on its platform kind.
 //!
 //! Owns: the interface between the assembly and the platform kinds ([`FilesAdapter`](crate::FilesAdapter),
-//! [`FleetParts`](crate::FleetParts)), and the node options that both kinds share.
+//! [`FleetAdapter`](crate::FleetAdapter)), and the node options that both kinds share.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/daemon/src/reports.rs
+++ b/crates/daemon/src/reports.rs
@@ -43,7 +43,11 @@
         let report = read.ok().flatten();
         context.metrics.report(report.is_some());
         if let Some(report) = report {
-            context.tell(NodeEvent::TargetReported(pool.id.clone(), target.instance(), report));
+            context.send_event(NodeEvent::TargetReported(
+                pool.id.clone(),
+                target.instance(),
+                report,
+            ));
         }
     });
     join_all(reads).await;
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -45,7 +45,7 @@
 use body::RequestBody;
 use run::RequestRun;
 
-pub use builtin::OwnProtocol;
+pub use builtin::BuiltinProtocol;
 pub use profile::ProfileProtocol;
 pub use protocol::CallerProtocol;
 
@@ -112,7 +112,7 @@
                 return self.protocol.refusal_answer(id, &refusal).into_complete_response();
             }
         };
-        self.context.metrics.request(&admitted.tier, &admitted.pool.id);
+        self.context.metrics.count_request(&admitted.tier, &admitted.pool.id);
         let limit = admitted.rule.body_limit;
         let options = self.protocol.options().body;
         let body = match RequestBody::read(&mut request, limit, options).await {
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -97,8 +97,10 @@
 /// Applies the target's notice at the gate before any of the answer is relayed, and reports it to the node.
 fn apply_notice(context: &DaemonContext, attempt: &TargetAttempt<'_>, received: &ReceivedNotice) {
     let (instance, request) = (attempt.target.instance(), attempt.request);
-    if let Some(report) = context.gate.heard(context.uptime(), &instance, received, request.id) {
-        context.tell(NodeEvent::NoticeReceived(request.pool.id.clone(), report));
+    if let Some(report) =
+        context.gate.apply_notice(context.uptime(), &instance, received, request.id)
+    {
+        context.send_event(NodeEvent::NoticeReceived(request.pool.id.clone(), report));
     }
 }
 
--- a/crates/daemon/src/request/builtin.rs
+++ b/crates/daemon/src/request/builtin.rs
@@ -43,13 +43,13 @@
 
 /// Protocol of callers and targets that use the built-in interface.
 #[derive(Default)]
-pub struct OwnProtocol {
+pub struct BuiltinProtocol {
     /// Connections by pool and by whether they are reused. Pools share no connections, so that no request
     /// waits behind one of another pool.
     connections: RefCell<BTreeMap<(PoolId, bool), ConnectionPool>>,
 }
 
-impl CallerProtocol for OwnProtocol {
+impl CallerProtocol for BuiltinProtocol {
     fn options(&self) -> &ProtocolOptions {
         &OPTIONS
     }
@@ -111,8 +111,9 @@
 
     fn connections(&self, pool: &TargetPool) -> ConnectionPool {
         let defaults = ConnectionOptions::default();
-        let idle_count = if pool.reuse_connections { defaults.idle_count } else { 0 };
-        let options = ConnectionOptions { idle_count, ..defaults };
+        let max_idle_connections =
+            if pool.reuse_connections { defaults.max_idle_connections } else { 0 };
+        let options = ConnectionOptions { max_idle_connections, ..defaults };
         let key = (pool.id.clone(), pool.reuse_connections);
         let mut connections = self.connections.borrow_mut();
         connections.entry(key).or_insert_with(|| ConnectionPool::new(options)).clone()
@@ -132,7 +133,7 @@
         head.method = attempt.caller.method.clone();
         head.uri = attempt.caller.uri.clone();
         for (name, value) in attempt.caller.headers.iter() {
-            if headers::passes_to_target(name) {
+            if headers::is_forwarded_to_target(name) {
                 head.headers.append(name.clone(), value.clone());
             }
         }
@@ -176,7 +177,7 @@
 
     fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer {
         let length = headers::text(&head.headers, "content-length");
-        let passing = head.headers.iter().filter(|(name, _)| headers::passes_to_caller(name));
+        let passing = head.headers.iter().filter(|(name, _)| headers::is_forwarded_to_caller(name));
         let mut answer = CallerAnswer {
             status: head.status,
             headers: passing.map(|(name, value)| (name.clone(), value.clone())).collect(),
--- a/crates/daemon/src/request/framing.rs
+++ b/crates/daemon/src/request/framing.rs
@@ -189,7 +189,7 @@
     }
 
     fn take_remaining(&mut self) -> Bytes {
-        self.events.rest()
+        self.events.take_remaining()
     }
 
     fn resume_request(&mut self) -> Option<RequestHead> {
@@ -197,7 +197,7 @@
     }
 
     fn restart(&mut self) {
-        self.events.restart();
+        self.events.discard_incomplete();
     }
 
     fn last_event(&self) -> Option<u64> {
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -82,7 +82,7 @@
     ) -> ProfileProtocol {
         let options = ConnectionOptions {
             idle_limit: IDLE_LIMIT,
-            rest: Duration::ZERO,
+            min_idle: Duration::ZERO,
             ..ConnectionOptions::default()
         };
         ProfileProtocol {
@@ -198,7 +198,10 @@
 
     fn exchange_options(&self, request: &AdmittedRequest) -> ExchangeOptions {
         let echo = HeaderName::from_static(self.profile.attempt_id);
-        ExchangeOptions { echo: Some((echo, request.attempt_id.clone())), unframed: true }
+        ExchangeOptions {
+            echo: Some((echo, request.attempt_id.clone())),
+            allow_close_delimited: true,
+        }
     }
 
     fn evaluate_head(&self, _: &AdmittedRequest, answer: &mut TargetAnswer) -> HeadVerdict {
@@ -231,7 +234,7 @@
         let passing = head
             .headers
             .iter()
-            .filter(|(name, _)| headers::passes_on(name) && **name != header::CONTENT_LENGTH);
+            .filter(|(name, _)| headers::may_forward(name) && **name != header::CONTENT_LENGTH);
         CallerAnswer {
             status: head.status,
             headers: passing.map(|(name, value)| (name.clone(), value.clone())).collect(),
--- a/crates/daemon/src/request/profile/forwarding.rs
+++ b/crates/daemon/src/request/profile/forwarding.rs
@@ -26,8 +26,8 @@
     let set_by_daemon = [profile.time_left, profile.account, profile.instance];
     let mut forwarded = HeaderMap::new();
     for (name, value) in caller {
-        let passes = headers::passes_on(name)
-            && !headers::ends_here(name)
+        let passes = headers::may_forward(name)
+            && !headers::is_for_daemon_only(name)
             && !set_by_daemon.contains(&name.as_str())
             && !is_reserved(profile, name);
         if passes {
--- a/crates/daemon/src/request/relay.rs
+++ b/crates/daemon/src/request/relay.rs
@@ -185,7 +185,7 @@
     async fn resume(&mut self, target: &TargetEntry, limit: Duration) -> Option<AnswerBody> {
         let connections = self.protocol().connections(&self.request.pool);
         while let Some(head) = self.framing.resume_request() {
-            self.service.context.metrics.retry(RetryReason::StreamResumed);
+            self.service.context.metrics.count_retry(RetryReason::StreamResumed);
             let exchange = async {
                 let connection = connections.connect_to(target, RESUME_CONNECT_LIMIT).await;
                 connection?.exchange(head, ()).await
@@ -206,6 +206,6 @@
     fn record_answer_begin(&self) {
         let elapsed_s = self.request.arrived.elapsed().as_secs_f64();
         let metrics = &self.service.context.metrics;
-        metrics.began(elapsed_s, &self.request.tier, &self.request.pool.id);
+        metrics.observe_first_byte(elapsed_s, &self.request.tier, &self.request.pool.id);
     }
 }
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -107,7 +107,7 @@
             return self.run_attempts().await;
         }
         let context = self.service.context.clone();
-        let deadline = context.until(self.request.deadline);
+        let deadline = context.sleep_until(self.request.deadline);
         let deadline_passed = tokio::select! {
             // If a limit of the attempt expires together with the deadline, the limit has priority: it names the
             // reason of the refusal.
@@ -209,7 +209,7 @@
             if answer_begun {
                 pending.answer_begun();
             }
-            pending.not_run(cause.attempt_end(), reason);
+            pending.attempt_not_run(cause.attempt_end(), reason);
         }
     }
 
@@ -219,7 +219,7 @@
         if let (Some(digest), Some(kind)) = (self.request.digest, cause.interruption_kind()) {
             let begun = self.progress.attempt_parts() > 0;
             let interruption = RequestInterruption { instance: target.instance(), kind, begun };
-            self.service.context.tell(NodeEvent::RequestInterrupted(digest, interruption));
+            self.service.context.send_event(NodeEvent::RequestInterrupted(digest, interruption));
         }
     }
 
@@ -242,7 +242,7 @@
     fn report_end(&mut self, end: AttemptEnd) {
         let Some(pending) = self.pending.take() else { return };
         let request = &self.request;
-        self.service.context.metrics.end(self.verdict, &request.tier, &request.pool.id);
+        self.service.context.metrics.count_end(self.verdict, &request.tier, &request.pool.id);
         let kept = match self.verdict {
             Verdict::Ran => self.framing.kept_answer(),
             Verdict::NotRun | Verdict::MayHaveRun => None,
--- a/crates/daemon/src/request/run/attempts.rs
+++ b/crates/daemon/src/request/run/attempts.rs
@@ -24,7 +24,7 @@
         }
         let waited = self.request.arrived.elapsed().as_secs_f64();
         let metrics = &self.service.context.metrics;
-        metrics.waited(waited, &self.request.tier, &self.request.pool.id);
+        metrics.observe_wait(waited, &self.request.tier, &self.request.pool.id);
         let sent = Moment::now();
         self.progress.record_sent(&target.id);
         // From here on the request may have run, however the wait ends, until it is proved that it did not.
@@ -92,7 +92,7 @@
     /// Reports that the target has sent data and is not stalled.
     pub(in crate::request) fn report_target_activity(&mut self) {
         if let Some(pending) = &mut self.pending {
-            pending.target_heard();
+            pending.target_resumed();
         }
     }
 
--- a/crates/daemon/src/request/run/log.rs
+++ b/crates/daemon/src/request/run/log.rs
@@ -75,7 +75,7 @@
     let account = request.and_then(|request| request.account.as_deref()).unwrap_or_default();
     let digest = request.map(digest_text).unwrap_or_default();
     let config_age = service.protocol.config_age();
-    service.context.metrics.refusal(refusal.reason, tier, pool);
+    service.context.metrics.count_refusal(refusal.reason, tier, pool);
     info!("request_refused", kv: {
         request = id.to_string(), attempt, account,
         cost = request.map_or(0, |request| request.cost),
--- a/crates/daemon/src/request/run/sample.rs
+++ b/crates/daemon/src/request/run/sample.rs
@@ -35,7 +35,7 @@
                 work,
                 observation,
             };
-            context.tell(NodeEvent::AnswerObserved(pool.id.clone(), Box::new(sample)));
+            context.send_event(NodeEvent::AnswerObserved(pool.id.clone(), Box::new(sample)));
         }
     }
 }
--- a/crates/daemon/src/request/target_wait.rs
+++ b/crates/daemon/src/request/target_wait.rs
@@ -184,7 +184,7 @@
         let entry = self.replacement.take()?.entry;
         match result {
             Ok(connection) => {
-                self.pending.take_replacement();
+                self.pending.accept_replacement();
                 Some(GrantedTarget { entry, connection: Some(connection) })
             }
             Err(error) => {
--- a/crates/daemon/src/target_notices.rs
+++ b/crates/daemon/src/target_notices.rs
@@ -16,7 +16,7 @@
 impl SharedGate {
     /// Applies the notice in the head of an answer. Returns the report for the daemons that may schedule, if one is
     /// due.
-    pub fn heard(
+    pub fn apply_notice(
         &self,
         now: Uptime,
         instance: &TargetInstance,
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -56,7 +56,7 @@
             apply,
             operator: format!("operator {index}"),
             applied_at: 0,
-            expected: None,
+            expected_generation: None,
         };
         let (apply, pending) = ConfigApply::start(options, self.texts(index));
         Operator { apply, pending, first_read: None }
@@ -163,7 +163,7 @@
     }
 
     fn lose_answer(&self, state: &ConfigState, index: usize) -> ConfigState {
-        let mut next = Self::feed(state, index, ApplyEvent::Unclear);
+        let mut next = Self::feed(state, index, ApplyEvent::OutcomeUnknown);
         next.losses += 1;
         if self.fault == ConfigFault::RetriesBlindly {
             let first_read = next.operators[index].first_read;
--- a/crates/model/src/config/state.rs
+++ b/crates/model/src/config/state.rs
@@ -30,7 +30,7 @@
     /// Whether it was told another end than the one that happened; an unclear end is never wrong.
     pub fn told_wrong_end(&self, took_effect: bool) -> bool {
         match &self.pending {
-            ApplyAction::Finish(ApplyResult::Unclear) => false,
+            ApplyAction::Finish(ApplyResult::OutcomeUnknown) => false,
             ApplyAction::Finish(_) => self.applied().is_some() != took_effect,
             _ => false,
         }
--- a/crates/node/src/config_pull.rs
+++ b/crates/node/src/config_pull.rs
@@ -7,7 +7,7 @@
 //!
 //! Owns: the parts received so far. Relies on: peers that name equal archives equally.
 
-use curlewcleat_config::ARCHIVE_LIMIT;
+use curlewcleat_config::MAX_ARCHIVE_BYTES;
 use curlewcleat_core::{ArchiveId, ConfigPart, ConfigPartPull, Generation, Uptime};
 
 use crate::awaited_answer::AwaitedAnswer;
@@ -106,7 +106,7 @@
         let id = part.archive;
         let usable = id.generation > in_force
             && self.unusable != Some(id)
-            && id.length as usize <= ARCHIVE_LIMIT;
+            && id.length as usize <= MAX_ARCHIVE_BYTES;
         if !usable {
             return false;
         }
--- a/crates/node/src/config_serving.rs
+++ b/crates/node/src/config_serving.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use curlewcleat_config::PART_BYTES;
+use curlewcleat_config::MAX_PART_BYTES;
 use curlewcleat_core::{Uptime, VmId};
 
 /// Time in which the link carries the parts that are on their way at once: the first wait for an answer, so that no
@@ -33,7 +33,7 @@
     /// second.
     pub fn new(link_bytes_per_s: u64) -> ConfigServing {
         let outstanding = link_bytes_per_s * OUTSTANDING_TIME.as_millis() as u64 / 1_000;
-        let peer_limit = (outstanding as usize / PART_BYTES).max(MIN_PEERS);
+        let peer_limit = (outstanding as usize / MAX_PART_BYTES).max(MIN_PEERS);
         ConfigServing { peer_limit, peers: BTreeMap::new() }
     }
 
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -176,7 +176,7 @@
     /// A peer's VM has started a new daemon.
     PeerReplaced(DaemonId),
     /// A list entry stated another instance of its target.
-    TargetInstance(InstanceChange),
+    InstanceChanged(InstanceChange),
     /// The list entry of a target was removed.
     TargetRemoved(RemovedTarget),
     /// A list of targets was ignored, since a later one is known.
--- a/crates/node/src/node/configuration.rs
+++ b/crates/node/src/node/configuration.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use curlewcleat_config::StoreChange;
+use curlewcleat_config::OfferResult;
 use curlewcleat_core::{ConfigBundle, VmId};
 
 use super::Node;
@@ -16,11 +16,11 @@
     pub(super) fn config_offered(&mut self, bundle: ConfigBundle) {
         let generation = bundle.generation;
         match self.store.offer(bundle) {
-            StoreChange::Stale => {}
-            StoreChange::Invalid(report) => {
+            OfferResult::Stale => {}
+            OfferResult::Invalid(report) => {
                 self.actions.push(NodeAction::Note(NodeNote::ConfigInvalid(generation, report)));
             }
-            StoreChange::Accepted => {
+            OfferResult::Accepted => {
                 self.configs.pull.config_applied();
                 self.rebuild_active();
                 self.refresh_orders();
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -130,7 +130,7 @@
 
     fn note_target_changes(&mut self) {
         let changes =
-            self.targets.take_instance_changes().into_iter().map(NodeNote::TargetInstance);
+            self.targets.take_instance_changes().into_iter().map(NodeNote::InstanceChanged);
         self.actions.extend(changes.map(NodeAction::Note));
         let removed = self.targets.take_removed().into_iter().map(NodeNote::TargetRemoved);
         self.actions.extend(removed.map(NodeAction::Note));
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, RequestHead};
 use bytes::Bytes;
 use curlewcleat_platform::example::{DEPOTS_KEY, DRIVERS_KEY, DRIVERS_SECOND_KEY, HOST};
-use curlewcleat_platform::names::{SEAL, WIRE_PROFILE};
+use curlewcleat_platform::names::{SEAL_HEADER, WIRE_PROFILE};
 use curlewcleat_targets::ConnectionPool;
 use futures_util::StreamExt;
 use rand::rngs::StdRng;
@@ -214,7 +214,7 @@
         let value = answer.head.headers.get(name).and_then(|value| value.to_str().ok());
         value.map(str::to_string)
     };
-    let (seal, echo) = (header(SEAL), header(WIRE_PROFILE.attempt_id));
+    let (seal, echo) = (header(SEAL_HEADER), header(WIRE_PROFILE.attempt_id));
     let status = answer.head.status.as_u16();
     let mut body = answer.body;
     let mut bytes = Vec::new();
--- a/crates/standins/src/fleet/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use curlewcleat_platform::names::{SEAL, WIRE_PROFILE};
+use curlewcleat_platform::names::{SEAL_HEADER, WIRE_PROFILE};
 
 use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
@@ -339,8 +339,11 @@
 
     /// Headers of an answer by which its engine and its request are known.
     fn sealed(&self, attempt: &str) -> Vec<(String, String)> {
-        let headers =
-            [(WIRE_PROFILE.attempt_id, attempt), (SEAL, &self.id), ("keep-alive", "timeout=10")];
+        let headers = [
+            (WIRE_PROFILE.attempt_id, attempt),
+            (SEAL_HEADER, &self.id),
+            ("keep-alive", "timeout=10"),
+        ];
         let sealed = headers.map(|(name, value)| (name.to_string(), value.to_string()));
         sealed.into_iter().chain(self.says.borrow().clone()).collect()
     }
--- a/crates/store/src/applying.rs
+++ b/crates/store/src/applying.rs
@@ -26,7 +26,7 @@
             return result;
         }
         let event = perform_action(store, action).await;
-        if event == ApplyEvent::Unclear {
+        if event == ApplyEvent::OutcomeUnknown {
             tokio::time::sleep(RETRY_DELAY).await;
         }
         action = apply.handle(event);
@@ -39,33 +39,33 @@
             Ok(None) => ApplyEvent::Manifest(None),
             Ok(Some(object)) => match parse_manifest(&object.bytes) {
                 Ok(manifest) => ApplyEvent::Manifest(Some((object.version, manifest))),
-                Err(_) => ApplyEvent::Unclear,
+                Err(_) => ApplyEvent::OutcomeUnknown,
             },
-            Err(_) => ApplyEvent::Unclear,
+            Err(_) => ApplyEvent::OutcomeUnknown,
         },
         ApplyAction::ReadContent(hash) => match store.get(&content_key(&hash)).await {
             Ok(Some(object)) => match String::from_utf8(object.bytes) {
                 Ok(text) if content_hash(&text) == hash => ApplyEvent::Content(hash, text),
-                _ => ApplyEvent::Unclear,
+                _ => ApplyEvent::OutcomeUnknown,
             },
-            _ => ApplyEvent::Unclear,
+            _ => ApplyEvent::OutcomeUnknown,
         },
         // The key is the hash of the content, so an existing object already has the same bytes.
         ApplyAction::PutContent(hash, text) => {
             match store.put(&content_key(&hash), 0, text.into_bytes()).await {
                 Ok(_) => ApplyEvent::ContentStored,
-                Err(_) => ApplyEvent::Unclear,
+                Err(_) => ApplyEvent::OutcomeUnknown,
             }
         }
         ApplyAction::PutManifest(version, manifest) => {
             // A manifest that cannot be serialized is not stored.
-            let Ok(bytes) = manifest_bytes(&manifest) else { return ApplyEvent::Unclear };
+            let Ok(bytes) = manifest_bytes(&manifest) else { return ApplyEvent::OutcomeUnknown };
             match store.put(MANIFEST_KEY, version, bytes).await {
                 Ok(PutOutcome::Stored(_)) => ApplyEvent::ManifestStored,
                 Ok(PutOutcome::Conflict) => ApplyEvent::ManifestConflict,
-                Err(_) => ApplyEvent::Unclear,
+                Err(_) => ApplyEvent::OutcomeUnknown,
             }
         }
-        ApplyAction::Finish(_) => ApplyEvent::Unclear,
+        ApplyAction::Finish(_) => ApplyEvent::OutcomeUnknown,
     }
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -108,7 +108,8 @@
 impl StoreClient {
     /// Creates a client for the store at `ip:port`. A call fails when no part of its answer arrives for `limit`.
     pub fn new(address: &str, limit: Duration) -> StoreClient {
-        let options = ConnectionOptions { rest: Duration::ZERO, ..ConnectionOptions::default() };
+        let options =
+            ConnectionOptions { min_idle: Duration::ZERO, ..ConnectionOptions::default() };
         let connections = ConnectionPool::new(options);
         StoreClient { address: address.to_string(), limit, connections }
     }
--- a/crates/store/src/fleet.rs
+++ b/crates/store/src/fleet.rs
@@ -29,7 +29,7 @@
     /// The current list.
     Newest,
     /// A list that may be some seconds old. It costs the platform a small fraction of a call for the current list.
-    Seconds,
+    SecondsOld,
 }
 
 /// All targets at one revision of the platform.
@@ -79,7 +79,7 @@
     /// also included in the changes, as [`DiscoveredTarget::unusable`].
     Changes(Vec<TargetChange>, ObjectVersion, Vec<EntryFault>),
     /// The platform no longer has the changes after the given revision; the list has to be read again.
-    HistoryGone,
+    HistoryUnavailable,
 }
 
 /// All rollout orders, which move a pool to targets of another version.
@@ -88,7 +88,7 @@
     /// The orders.
     pub rollouts: Vec<RolloutRecord>,
     /// Revision of the list, from which a watch can continue.
-    pub at: ObjectVersion,
+    pub revision: ObjectVersion,
     /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutWatch {
     /// No order has changed up to this revision.
-    Quiet(ObjectVersion),
+    Unchanged(ObjectVersion),
     /// Orders have changed or may have changed; the list has to be read again.
     Changed,
 }
--- a/crates/targets/src/connection.rs
+++ b/crates/targets/src/connection.rs
@@ -29,7 +29,7 @@
     /// connection and are skipped.
     pub echo: Option<(HeaderName, String)>,
     /// Whether the end of the connection may be the end of an answer.
-    pub unframed: bool,
+    pub allow_close_delimited: bool,
 }
 
 type Connection = Framed<TcpStream, ClientCodec>;
@@ -78,7 +78,7 @@
             if answer_head.status.is_informational() {
                 continue;
             }
-            let frame = body_frame(&method, &answer_head, &framed, options.unframed)?;
+            let frame = body_frame(&method, &answer_head, &framed, options.allow_close_delimited)?;
             if !is_answer_to_request(&answer_head.headers, options)? {
                 framed = skip_body(framed, frame, &self.endpoint, &self.pool).await?;
                 continue;
@@ -209,12 +209,12 @@
 }
 
 /// Returns how the end of an answer's body is determined. A body that ends with its connection cannot be
-/// distinguished from one whose target terminated while sending, so it is accepted only if `unframed` is set.
+/// distinguished from one whose target terminated while sending, so it is accepted only if `allow_close_delimited` is set.
 fn body_frame(
     method: &Method,
     head: &ResponseHead,
     framed: &Connection,
-    unframed: bool,
+    allow_close_delimited: bool,
 ) -> Result<BodyFrame> {
     let bodiless = *method == Method::HEAD
         || head.status == StatusCode::NO_CONTENT
@@ -225,7 +225,7 @@
         _ if bodiless => Ok(BodyFrame::Empty),
         MessageType::None if has_length => Ok(BodyFrame::Empty),
         MessageType::Payload if has_length => Ok(BodyFrame::Framed),
-        _ if unframed => Ok(BodyFrame::UntilClose),
+        _ if allow_close_delimited => Ok(BodyFrame::UntilClose),
         MessageType::Stream => {
             Err(Error::Protocol("the answer ends only with its connection".to_string()))
         }
--- a/crates/targets/src/events.rs
+++ b/crates/targets/src/events.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffered: BytesMut,
-    last: Option<u64>,
+    last_event_number: Option<u64>,
 }
 
 impl EventSplitter {
     /// Returns the number of the last complete event returned by [`push`](EventSplitter::push).
     pub fn last(&self) -> Option<u64> {
-        self.last
+        self.last_event_number
     }
 
     /// Appends a part and returns the events that it completes. Events whose number was already returned before the
@@ -28,9 +28,9 @@
         while let Some(end) = event_end(&self.buffered) {
             let event = self.buffered.split_to(end);
             match event_number(&event) {
-                Some(number) if self.last.is_some_and(|last| number <= last) => {}
+                Some(number) if self.last_event_number.is_some_and(|last| number <= last) => {}
                 Some(number) => {
-                    self.last = Some(number);
+                    self.last_event_number = Some(number);
                     out.extend_from_slice(&event);
                 }
                 None => out.extend_from_slice(&event),
@@ -43,12 +43,12 @@
     }
 
     /// Returns the buffered bytes at the end of a complete stream.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.buffered.split().freeze()
     }
 
     /// Prepares for a resumed stream: discards the bytes of the incomplete event.
-    pub fn restart(&mut self) {
+    pub fn discard_incomplete(&mut self) {
         self.buffered.clear();
     }
 }
--- a/crates/targets/src/pool.rs
+++ b/crates/targets/src/pool.rs
@@ -23,17 +23,17 @@
     /// Time after which an idle connection is closed.
     pub idle_limit: Duration,
     /// Maximum number of idle connections for each target instance; 0 disables reuse.
-    pub idle_count: usize,
+    pub max_idle_connections: usize,
     /// Minimum idle time before a connection is reused, so that unsolicited bytes have arrived and are detected.
-    pub rest: Duration,
+    pub min_idle: Duration,
 }
 
 impl Default for ConnectionOptions {
     fn default() -> ConnectionOptions {
         ConnectionOptions {
             idle_limit: Duration::from_secs(15),
-            idle_count: 64,
-            rest: Duration::from_millis(20),
+            max_idle_connections: 64,
+            min_idle: Duration::from_millis(20),
         }
     }
 }
@@ -133,7 +133,7 @@
             .retain(|connection| connection.is_fresh() && has_nothing_to_read(&connection.stream));
         // Of the connections that were idle for the minimum time, the newest is the least likely to have been closed.
         let is_reusable =
-            |connection: &IdleConnection| connection.since.elapsed() >= self.options.rest;
+            |connection: &IdleConnection| connection.since.elapsed() >= self.options.min_idle;
         let index = connections.iter().rposition(is_reusable)?;
         Some(connections.remove(index).stream)
     }
@@ -152,7 +152,7 @@
         stream: TcpStream,
         limit: Option<Duration>,
     ) {
-        if self.options.idle_count == 0 {
+        if self.options.max_idle_connections == 0 {
             return;
         }
         let mut idle = self.idle.borrow_mut();
@@ -162,7 +162,7 @@
         });
         let connections = idle.entry(endpoint.clone()).or_default();
         // The oldest connection is the least likely to be still usable.
-        if connections.len() >= self.options.idle_count {
+        if connections.len() >= self.options.max_idle_connections {
             connections.remove(0);
         }
         let limit = limit.unwrap_or(self.options.idle_limit).min(self.options.idle_limit);
--- a/crates/targets/tests/events.rs
+++ b/crates/targets/tests/events.rs
@@ -17,7 +17,7 @@
     assert_eq!(splitter.push(b"id: 1\ndata: a\n"), "");
     assert_eq!(splitter.push(b"\nid: 2\nda"), "id: 1\ndata: a\n\n");
     assert_eq!(splitter.last(), Some(1));
-    assert_eq!(splitter.rest(), "id: 2\nda");
+    assert_eq!(splitter.take_remaining(), "id: 2\nda");
 }
 
 #[test]
@@ -25,7 +25,7 @@
     let mut splitter = EventSplitter::default();
     splitter.push(stream(1, 3).as_bytes());
     splitter.push(b"id: 4\nda");
-    splitter.restart();
+    splitter.discard_incomplete();
     assert_eq!(splitter.push(stream(2, 5).as_bytes()), stream(4, 5));
 }
 
@@ -57,7 +57,7 @@
             begin = part_end;
         }
         prop_assert_eq!(out, whole);
-        prop_assert!(splitter.rest().is_empty());
+        prop_assert!(splitter.take_remaining().is_empty());
     }
 
     #[test]
@@ -69,7 +69,7 @@
         let cut = cut.min(whole.len());
         let mut splitter = EventSplitter::default();
         let mut out = splitter.push(&whole.as_bytes()[..cut]).to_vec();
-        splitter.restart();
+        splitter.discard_incomplete();
         let next = splitter.last().unwrap_or(0) + 1;
         out.extend_from_slice(&splitter.push(stream(next, events).as_bytes()));
         prop_assert_eq!(String::from_utf8(out).expect("text"), whole);
@@ -82,7 +82,7 @@
         for part in &parts {
             out.extend_from_slice(&splitter.push(part));
         }
-        out.extend_from_slice(&splitter.rest());
+        out.extend_from_slice(&splitter.take_remaining());
         let sent: Vec<u8> = parts.concat();
         let numbered = String::from_utf8_lossy(&sent).contains("id:");
         prop_assert!(numbered || out == sent);
--- a/crates/targets/tests/suspended.rs
+++ b/crates/targets/tests/suspended.rs
@@ -48,7 +48,7 @@
             });
         }
     });
-    let options = ConnectionOptions { rest: Duration::ZERO, ..ConnectionOptions::default() };
+    let options = ConnectionOptions { min_idle: Duration::ZERO, ..ConnectionOptions::default() };
     let pool = ConnectionPool::new(options);
     send_request(&pool, &address).await;
     send_request(&pool, &address).await;
--- a/crates/tool/src/apply.rs
+++ b/crates/tool/src/apply.rs
@@ -60,7 +60,7 @@
         apply: uuid::Uuid::new_v4(),
         operator: options.operator.clone(),
         applied_at,
-        expected: options.expect_generation,
+        expected_generation: options.expect_generation,
     };
     let result = run_apply(&store, apply, texts).await;
     let exit = print_result(&result);
@@ -95,7 +95,7 @@
             eprintln!("{report}");
             ToolExit::Invalid
         }
-        ApplyResult::Unclear => {
+        ApplyResult::OutcomeUnknown => {
             eprintln!(
                 "the platform does not answer; it is unknown whether the apply took effect: \
                  see `curlewcleat history`"
