--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,7 +1,7 @@
-//! Applying configurations: two operators, a store that loses answers and shows old versions, two
-//! daemons that read the store and each other.
+//! Model of applying configurations: two operators, a store that loses answers and returns old versions, and two
+//! daemons that read configurations from the store and from each other.
 
-mod promises;
+mod invariants;
 mod state;
 
 use std::collections::BTreeMap;
@@ -13,33 +13,33 @@
 use curlewcleat_core::{ConfigBundle, ObjectVersion};
 use uuid::Uuid;
 
-use self::promises::violation;
+use self::invariants::violation;
 use self::state::{apply_ids, ConfigState, Operator};
 use crate::explore::SpecModel;
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// The store ignores the version that a write expects.
+    /// The store ignores the version that a write expects, and always accepts the write.
     UnconditionalWrite,
-    /// A daemon takes whatever it reads.
+    /// A daemon applies every configuration that it reads, also an older one.
     TakesOldVersions,
-    /// An apply whose answer is lost is made again under a new id.
+    /// An apply whose answer is lost is repeated under a new id.
     RetriesBlindly,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct ConfigModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: ConfigFault,
     /// Whether both operators apply the same file.
     pub same_file: bool,
-    /// Answers that may be lost, or writes that may fail.
+    /// Number of answers or writes that may be lost.
     pub losses: u8,
-    /// Old manifests that may be shown.
+    /// Number of reads that may return an old manifest.
     pub old_reads: u8,
 }
 
@@ -50,7 +50,7 @@
         BTreeMap::from([(name.to_string(), text)])
     }
 
-    /// An operator who begins to apply under this id.
+    /// Creates an operator that starts an apply under this id.
     fn operator(&self, index: usize, apply: Uuid) -> Operator {
         let options = ApplyOptions {
             apply,
@@ -62,7 +62,7 @@
         Operator { apply, pending, first_read: None }
     }
 
-    fn text_of(&self, hash: &str) -> Option<String> {
+    fn text_with_hash(&self, hash: &str) -> Option<String> {
         (0..2)
             .flat_map(|index| self.texts(index).into_values())
             .find(|text| content_hash(text) == hash)
@@ -72,11 +72,11 @@
         let texts = manifest
             .files
             .iter()
-            .filter_map(|(name, hash)| Some((name.clone(), self.text_of(hash)?)));
+            .filter_map(|(name, hash)| Some((name.clone(), self.text_with_hash(hash)?)));
         ConfigBundle { generation: manifest.generation, files: texts.collect() }
     }
 
-    fn feed(state: &ConfigState, index: usize, event: ApplyEvent) -> ConfigState {
+    fn handle_event(state: &ConfigState, index: usize, event: ApplyEvent) -> ConfigState {
         let mut next = state.clone();
         let operator = &mut next.operators[index];
         if let ApplyEvent::Manifest(read) = &event {
@@ -92,8 +92,8 @@
             ApplyAction::ReadManifest => self.manifest_reads(state, index),
             ApplyAction::ReadContent(hash) => self.content_reads(state, index, hash),
             ApplyAction::PutContent(..) => {
-                let next = Self::feed(state, index, ApplyEvent::ContentStored);
-                vec![(format!("operator {index} stores a content"), next)]
+                let next = Self::handle_event(state, index, ApplyEvent::ContentStored);
+                vec![(format!("operator {index} stores a file's content"), next)]
             }
             ApplyAction::PutManifest(expected, manifest) => {
                 self.manifest_writes(state, index, *expected, manifest)
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Reads of each manifest that the store may show.
+    /// Returns the reads of each manifest that the store may return; version 0 is none.
     fn manifest_reads(&self, state: &ConfigState, index: usize) -> Vec<(String, ConfigState)> {
         let mut steps = Vec::new();
         let latest = state.manifests.len();
@@ -112,8 +112,8 @@
             }
             let read = version
                 .checked_sub(1)
-                .map(|place| (version as u64, state.manifests[place].clone()));
-            let mut next = Self::feed(state, index, ApplyEvent::Manifest(read));
+                .map(|index| (version as u64, state.manifests[index].clone()));
+            let mut next = Self::handle_event(state, index, ApplyEvent::Manifest(read));
             next.old_reads += u8::from(version < latest);
             steps.push((format!("operator {index} reads manifest {version} of {latest}"), next));
         }
@@ -126,12 +126,15 @@
         index: usize,
         hash: &str,
     ) -> Vec<(String, ConfigState)> {
-        let Some(text) = self.text_of(hash) else { return Vec::new() };
+        let Some(text) = self.text_with_hash(hash) else { return Vec::new() };
         let event = ApplyEvent::Content(hash.to_string(), text);
-        vec![(format!("operator {index} reads a content"), Self::feed(state, index, event))]
+        vec![(
+            format!("operator {index} reads a file's content"),
+            Self::handle_event(state, index, event),
+        )]
     }
 
-    /// The ends of a write of the manifest: stored, stored without an answer, refused, lost.
+    /// Returns the possible results of writing the manifest: stored, stored with the answer lost, refused, lost.
     fn manifest_writes(
         &self,
         state: &ConfigState,
@@ -140,35 +143,38 @@
         manifest: &ConfigManifest,
     ) -> Vec<(String, ConfigState)> {
         let mut steps = Vec::new();
-        let who = format!("operator {index}");
-        let may_lose = state.losses < self.losses;
-        let fits = expected == state.manifests.len() as u64;
-        if fits || self.fault == ConfigFault::UnconditionalWrite {
-            let mut stored = Self::feed(state, index, ApplyEvent::ManifestStored);
+        let name = format!("operator {index}");
+        let may_be_lost = state.losses < self.losses;
+        let is_current = expected == state.manifests.len() as u64;
+        if is_current || self.fault == ConfigFault::UnconditionalWrite {
+            let mut stored = Self::handle_event(state, index, ApplyEvent::ManifestStored);
             stored.manifests.push(manifest.clone());
-            steps.push((format!("{who} stores manifest {}", stored.manifests.len()), stored));
-            if may_lose {
-                let mut lost = self.lose_answer(state, index);
+            steps.push((format!("{name} stores manifest {}", stored.manifests.len()), stored));
+            if may_be_lost {
+                let mut lost = self.handle_lost_answer(state, index);
                 lost.manifests.push(manifest.clone());
-                steps.push((format!("{who} stores a manifest and the answer is lost"), lost));
+                steps.push((format!("{name} stores a manifest and the answer is lost"), lost));
             }
         } else {
-            let next = Self::feed(state, index, ApplyEvent::ManifestConflict);
-            steps.push((format!("{who} finds another version"), next));
+            let next = Self::handle_event(state, index, ApplyEvent::ManifestConflict);
+            steps.push((
+                format!("{name}'s write is refused: the manifest has another version"),
+                next,
+            ));
         }
-        if may_lose {
-            steps.push((format!("{who}'s write is lost"), self.lose_answer(state, index)));
+        if may_be_lost {
+            steps.push((format!("{name}'s write is lost"), self.handle_lost_answer(state, index)));
         }
         steps
     }
 
-    fn lose_answer(&self, state: &ConfigState, index: usize) -> ConfigState {
-        let mut next = Self::feed(state, index, ApplyEvent::Unclear);
+    fn handle_lost_answer(&self, state: &ConfigState, index: usize) -> ConfigState {
+        let mut next = Self::handle_event(state, index, ApplyEvent::Unclear);
         next.losses += 1;
         if self.fault == ConfigFault::RetriesBlindly {
             let first_read = next.operators[index].first_read;
-            let [_, again] = apply_ids(index);
-            next.operators[index] = self.operator(index, again);
+            let [_, second_id] = apply_ids(index);
+            next.operators[index] = self.operator(index, second_id);
             next.operators[index].first_read = first_read;
         }
         next
@@ -179,9 +185,10 @@
         if self.fault == ConfigFault::TakesOldVersions {
             next.daemons[daemon] = ConfigStore::default();
         }
-        // Invalid and stale offers leave the daemon as it is.
+        // Invalid and stale configurations don't change the daemon.
         let _ = next.daemons[daemon].offer(bundle);
-        next.highest[daemon] = next.highest[daemon].max(next.daemons[daemon].generation());
+        next.highest_generations[daemon] =
+            next.highest_generations[daemon].max(next.daemons[daemon].generation());
         next
     }
 }
@@ -196,7 +203,7 @@
             losses: 0,
             old_reads: 0,
             daemons: Default::default(),
-            highest: [0; 2],
+            highest_generations: [0; 2],
         }
     }
 
@@ -204,13 +211,13 @@
         let mut steps = self.operator_steps(state, 0);
         steps.extend(self.operator_steps(state, 1));
         for daemon in 0..2 {
-            for (place, manifest) in state.manifests.iter().enumerate() {
+            for (position, manifest) in state.manifests.iter().enumerate() {
                 let next = self.offer(state, daemon, self.bundle(manifest));
-                steps.push((format!("daemon {daemon} reads manifest {}", place + 1), next));
+                steps.push((format!("daemon {daemon} reads manifest {}", position + 1), next));
             }
             if let Some(bundle) = state.daemons[1 - daemon].bundle() {
                 let next = self.offer(state, daemon, bundle.clone());
-                steps.push((format!("daemon {daemon} hears of its peer's configuration"), next));
+                steps.push((format!("daemon {daemon} receives its peer's configuration"), next));
             }
         }
         steps
--- a/crates/model/src/config/state.rs
+++ b/crates/model/src/config/state.rs
@@ -1,25 +1,25 @@
-//! A state of the model of applying configurations.
+//! State of the model of applying configurations.
 
 use curlewcleat_config::{ApplyAction, ApplyResult, ConfigApply, ConfigManifest, ConfigStore};
 use curlewcleat_core::Generation;
 use uuid::Uuid;
 
-/// Distance between an operator's two ids: more than there are operators, so that all ids differ.
+/// Difference between an operator's two ids: larger than the number of operators, so that all ids differ.
 const SECOND_ID: u128 = 100;
 
-/// An operator in the middle of an apply.
+/// An operator and the progress of its apply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Operator {
-    /// Its apply.
+    /// State machine of the apply.
     pub apply: ConfigApply,
-    /// What the apply waits for.
+    /// Action whose result the apply waits for.
     pub pending: ApplyAction,
-    /// Generation of the first manifest that it read.
+    /// Generation of the first manifest that the operator read.
     pub first_read: Option<Generation>,
 }
 
 impl Operator {
-    /// Generation at which its apply took effect, as it was told.
+    /// Returns the generation that the apply produced, as reported to the operator.
     pub fn applied(&self) -> Option<Generation> {
         match &self.pending {
             ApplyAction::Finish(ApplyResult::Applied(generation)) => Some(*generation),
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether it was told another end than the one that happened; an unclear end is never wrong.
-    pub fn told_wrong_end(&self, took_effect: bool) -> bool {
+    /// Checks whether the operator received a false result. An unclear result is never false.
+    pub fn received_false_result(&self, took_effect: bool) -> bool {
         match &self.pending {
             ApplyAction::Finish(ApplyResult::Unclear) => false,
             ApplyAction::Finish(_) => self.applied().is_some() != took_effect,
@@ -37,24 +37,24 @@
     }
 }
 
-/// A state: operators, store, daemons.
+/// State of the operators, the store and the daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigState {
-    /// The operators.
+    /// Operators that apply a configuration.
     pub operators: [Operator; 2],
-    /// Manifests that were stored, oldest first.
+    /// Stored manifests, oldest first.
     pub manifests: Vec<ConfigManifest>,
-    /// Answers and writes lost so far.
+    /// Number of answers and writes lost so far.
     pub losses: u8,
-    /// Old manifests shown so far.
+    /// Number of reads so far that returned an old manifest.
     pub old_reads: u8,
-    /// The daemons.
+    /// Configuration of each daemon.
     pub daemons: [ConfigStore; 2],
-    /// Highest generation that each daemon has had in force.
-    pub highest: [Generation; 2],
+    /// Highest generation that has been active at each daemon.
+    pub highest_generations: [Generation; 2],
 }
 
-/// Ids of an operator's apply: the first, and the one under which it is made again.
+/// Returns the ids of an operator's apply: the first one, and the one under which it is repeated.
 pub fn apply_ids(operator: usize) -> [Uuid; 2] {
     let first = operator as u128 + 1;
     [first, first + SECOND_ID].map(Uuid::from_u128)
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -1,5 +1,5 @@
-//! Planned stop and leaving targets: a daemon that drains with requests in progress, a target whose
-//! VM leaves, and that starts again under its id while requests to its earlier life are in progress.
+//! Model of a planned stop and of leaving targets: a daemon drains with requests in progress, the VM of a target
+//! leaves, and that target restarts under its id while requests to its previous instance are in progress.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -16,42 +16,42 @@
 use crate::request::pool;
 
 const POOL: &str = "pool";
-/// One step of the clock: the time that the balancer has to notice.
+/// One step of the clock: the time that the load balancer has to detect that the daemon drains.
 const STEP: Duration = Duration::from_secs(1);
-/// The target that starts again.
+/// The target that restarts.
 const RESTARTED: &str = "t0";
-/// Starts of its lives; the third is none of its own.
+/// Starts of its two instances. The third start belongs to no instance.
 const FIRST_START: TargetStart = TargetStart(1);
 const SECOND_START: TargetStart = TargetStart(2);
 const THIRD_START: TargetStart = TargetStart(3);
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// The stop ends after a time, whatever is in progress.
+    /// The drain ends after a timeout although requests are in progress.
     EndsByTimeOut,
-    /// The scheduler is not told which targets leave.
+    /// The scheduler isn't informed which targets leave.
     LeavingIgnored,
-    /// The scheduler is not told that a target has started again.
+    /// The scheduler isn't informed that a target has restarted.
     StartIgnored,
-    /// An entry of the earlier life that comes late is taken for a start.
+    /// A late list entry of the previous instance is treated as a new start.
     LateEntryTaken,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct DrainModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: DrainFault,
-    /// Requests.
+    /// Number of requests.
     pub requests: u8,
-    /// Steps of the clock.
+    /// Number of clock steps.
     pub steps: u8,
 }
 
-/// A state: one daemon that is entry and scheduler, two targets with a slot each.
+/// State of one daemon that is entry daemon and scheduler, and of two targets with one slot each.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DrainModelState {
     now: Uptime,
@@ -61,19 +61,19 @@
     scheduler: PoolScheduler,
     arrived: u8,
     exchanges: BTreeMap<PermitId, TargetLife>,
-    /// Start of the life of `t0`.
+    /// Start of the current instance of `t0`.
     start: TargetStart,
-    /// Whether an entry of its earlier life came late.
+    /// Whether a late list entry of its previous instance has arrived.
     late_entry: bool,
     leaving: bool,
-    cut_off: bool,
+    interrupted_request: bool,
     sent_to_leaving: bool,
-    admitted_late: bool,
+    admitted_while_closing: bool,
 }
 
 impl DrainModel {
-    /// Runs actions of the entry and answers of the scheduler until nothing is left to do.
-    fn settle(
+    /// Performs actions of the entry daemon and delivers answers of the scheduler until none remain.
+    fn run_actions(
         &self,
         state: &mut DrainModelState,
         actions: Vec<EntryAction>,
@@ -83,16 +83,20 @@
         let mut answers: VecDeque<SchedulerAction> = answers.into();
         loop {
             if let Some(answer) = answers.pop_front() {
-                let order = |_: &str| vec![me()];
+                let order = |_: &str| vec![local_daemon()];
                 let answer = answer.answer;
-                actions.extend(state.entry.permit_answered(state.now, &me().vm, answer, &order));
+                actions.extend(state.entry.permit_answered(
+                    state.now,
+                    &local_daemon().vm,
+                    answer,
+                    &order,
+                ));
             } else if let Some(action) = actions.pop_front() {
                 match action {
-                    EntryAction::RequestPermit(_, ask) => {
-                        answers.extend(state.scheduler.request_permit(state.now, me(), ask))
-                    }
-                    EntryAction::ReturnPermit(_, back) => {
-                        answers.extend(state.scheduler.give_back(state.now, &back));
+                    EntryAction::RequestPermit(_, request) => answers
+                        .extend(state.scheduler.request_permit(state.now, local_daemon(), request)),
+                    EntryAction::ReturnPermit(_, permit_return) => {
+                        answers.extend(state.scheduler.give_back(state.now, &permit_return));
                     }
                     EntryAction::Dispatch { permit, target } => {
                         state.sent_to_leaving |= state.leaving && target == RESTARTED;
@@ -102,7 +106,7 @@
                     _ => {}
                 }
             } else {
-                // All requests have one urgency, whose share is all.
+                // All requests have the same urgency, which has the whole capacity.
                 state.scheduler.forget_flows();
                 return;
             }
@@ -115,29 +119,30 @@
         if !next.drain.admits() {
             return next;
         }
-        next.admitted_late |= next.drain.phase() >= DrainPhase::Closing;
-        let actions = next.entry.admit(next.now, spec(next.arrived), &|_| vec![me()]);
-        self.settle(&mut next, actions, Vec::new());
+        next.admitted_while_closing |= next.drain.phase() >= DrainPhase::Closing;
+        let actions =
+            next.entry.admit(next.now, request_spec(next.arrived), &|_| vec![local_daemon()]);
+        self.run_actions(&mut next, actions, Vec::new());
         next
     }
 
     fn finish(&self, state: &DrainModelState, permit: PermitId) -> DrainModelState {
         let mut next = state.clone();
-        let ended = next.exchanges.remove(&permit);
+        let finished = next.exchanges.remove(&permit);
         let life = TargetLife { id: RESTARTED.to_string(), start: Some(state.start) };
-        // What was under way to an earlier life has no answer.
-        let is_cut = ended.is_some_and(|ended| ended.id == life.id && ended != life);
-        let (verdict, end) = match is_cut {
+        // Requests in progress at the previous instance get no answer.
+        let is_lost = finished.is_some_and(|finished| finished.id == life.id && finished != life);
+        let (verdict, end) = match is_lost {
             true => (Verdict::MayHaveRun, AttemptEnd::Failed),
             false => (Verdict::Ran, AttemptEnd::Whole(Duration::from_millis(1))),
         };
         let actions = next.entry.finished(permit.request, verdict, end, None);
-        self.settle(&mut next, actions, Vec::new());
+        self.run_actions(&mut next, actions, Vec::new());
         next
     }
 
-    /// Target `t0` starts again: it runs nothing and no longer leaves.
-    fn start_again(&self, state: &DrainModelState) -> DrainModelState {
+    /// Restarts target `t0`: it runs nothing and no longer leaves.
+    fn restart_target(&self, state: &DrainModelState) -> DrainModelState {
         let mut next = state.clone();
         next.start = SECOND_START;
         next.leaving = false;
@@ -146,12 +151,12 @@
         }
         next.scheduler.set_away(BTreeSet::new());
         let answers = next.scheduler.tick(next.now);
-        self.settle(&mut next, Vec::new(), answers);
+        self.run_actions(&mut next, Vec::new(), answers);
         next
     }
 
-    /// An entry of the earlier life of `t0` comes after that of the later one.
-    fn take_late_entry(&self, state: &DrainModelState) -> DrainModelState {
+    /// Applies a list entry of the previous instance of `t0` after the entry of the current one.
+    fn apply_late_entry(&self, state: &DrainModelState) -> DrainModelState {
         let mut next = state.clone();
         next.late_entry = true;
         let start = match self.fault {
@@ -160,7 +165,7 @@
         };
         next.scheduler.configure(PoolOptions::default(), &targets(start));
         let answers = next.scheduler.tick(next.now);
-        self.settle(&mut next, Vec::new(), answers);
+        self.run_actions(&mut next, Vec::new(), answers);
         next
     }
 
@@ -168,12 +173,13 @@
         let mut next = state.clone();
         next.now += STEP;
         next.steps += 1;
-        let actions = next.entry.tick(next.now, &|_| vec![me()]);
+        let actions = next.entry.tick(next.now, &|_| vec![local_daemon()]);
         let answers = next.scheduler.tick(next.now);
-        self.settle(&mut next, actions, answers);
+        self.run_actions(&mut next, actions, answers);
         let requests = if self.fault == DrainFault::EndsByTimeOut { 0 } else { next.entry.len() };
         next.drain.tick(next.now, DrainInput { requests, slots_held: 0 });
-        next.cut_off |= next.drain.phase() == DrainPhase::Ended && !next.entry.is_empty();
+        next.interrupted_request |=
+            next.drain.phase() == DrainPhase::Ended && !next.entry.is_empty();
         next
     }
 }
@@ -195,9 +201,9 @@
             start: FIRST_START,
             late_entry: false,
             leaving: false,
-            cut_off: false,
+            interrupted_request: false,
             sent_to_leaving: false,
-            admitted_late: false,
+            admitted_while_closing: false,
         }
     }
 
@@ -218,7 +224,7 @@
         if state.drain.ready() {
             let mut next = state.clone();
             next.drain.begin(next.now);
-            steps.push(("the stop begins".to_string(), next));
+            steps.push(("the drain begins".to_string(), next));
         }
         if !state.leaving {
             let mut next = state.clone();
@@ -229,10 +235,10 @@
             steps.push(("the VM of target t0 leaves".to_string(), next));
         }
         if state.start == FIRST_START {
-            steps.push(("target t0 starts again".to_string(), self.start_again(state)));
+            steps.push(("target t0 restarts".to_string(), self.restart_target(state)));
         } else if !state.late_entry {
-            let name = "an entry of the earlier life of t0 comes late".to_string();
-            steps.push((name, self.take_late_entry(state)));
+            let name = "a late list entry of the previous instance of t0 arrives".to_string();
+            steps.push((name, self.apply_late_entry(state)));
         }
         if state.steps < self.steps {
             steps.push(("1 s passes".to_string(), self.step_clock(state)));
@@ -241,8 +247,8 @@
     }
 
     fn violation(&self, state: &DrainModelState) -> Option<String> {
-        if state.cut_off {
-            return Some("the stop cut a request off".to_string());
+        if state.interrupted_request {
+            return Some("the drain ended with a request in progress".to_string());
         }
         if state.sent_to_leaving {
             return Some("a leaving target got new work".to_string());
@@ -251,14 +257,14 @@
         let running = state.exchanges.values().filter(|running| **running == life).count();
         if state.scheduler.targets()[RESTARTED].in_flight != running as u32 {
             return Some(
-                "the places in use are not those of the target's present life".to_string(),
+                "the slots in use are not those of the target's current instance".to_string(),
             );
         }
-        state.admitted_late.then(|| "a request was taken in while closing".to_string())
+        state.admitted_while_closing.then(|| "a request was admitted while closing".to_string())
     }
 }
 
-/// Two targets with a slot each, of which the first tells its start.
+/// Creates a pool of two targets with one slot each; the first one has a known start.
 fn targets(start: TargetStart) -> TargetPool {
     let mut pool = pool(&[RESTARTED, "t1"], 1);
     if let Some(entry) = pool.targets.get_mut(RESTARTED) {
@@ -267,11 +273,11 @@
     pool
 }
 
-fn me() -> DaemonId {
+fn local_daemon() -> DaemonId {
     DaemonId { vm: "d".to_string(), incarnation: 1 }
 }
 
-fn spec(number: u8) -> RequestSpec {
+fn request_spec(number: u8) -> RequestSpec {
     RequestSpec {
         request: RequestId::from_u128(u128::from(number)),
         pool: POOL.to_string(),
--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search over every reachable state.
+//! Breadth-first search over all reachable states of a specification.
 
 use std::cell::Cell;
 use std::fmt;
@@ -7,32 +7,32 @@
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// A specification.
+/// A specification: its initial state, its transitions and its invariants.
 pub trait SpecModel {
     /// A state of the whole system.
     type State: Clone + Eq + Hash;
 
-    /// Where it begins.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Every state that one step leads to, with the step's name.
+    /// Returns every state that one step leads to, with the name of the step.
     fn successors(&self, state: &Self::State) -> Vec<(String, Self::State)>;
 
-    /// The promise that a state breaks, if it breaks one.
+    /// Returns a description of the invariant that the state violates, if it violates one.
     fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug)]
 pub struct Exploration {
-    /// States visited.
+    /// Number of states visited.
     pub states: usize,
-    /// Steps to the farthest state.
+    /// Number of steps from the initial state to the farthest state.
     pub depth: usize,
-    /// Time taken.
+    /// Duration of the search.
     pub elapsed: Duration,
-    /// The broken promise and the shortest way there.
-    pub broken: Option<(String, Vec<String>)>,
+    /// The violated invariant and the steps of the shortest trace that leads there.
+    pub violation: Option<(String, Vec<String>)>,
 }
 
 impl fmt::Display for Exploration {
@@ -44,8 +44,8 @@
             self.depth,
             self.elapsed.as_secs_f64()
         )?;
-        if let Some((promise, steps)) = &self.broken {
-            write!(f, "\n  broken: {promise}")?;
+        if let Some((invariant, steps)) = &self.violation {
+            write!(f, "\n  broken: {invariant}")?;
             for (index, step) in steps.iter().enumerate() {
                 write!(f, "\n  {:>3}. {step}", index + 1)?;
             }
@@ -54,35 +54,35 @@
     }
 }
 
-/// A state with its distance from the beginning; the distance is no part of its identity.
+/// A state with its distance from the initial state; the distance is ignored when states are compared.
 #[derive(Clone)]
-struct Visited<S> {
+struct VisitedState<S> {
     state: S,
     depth: usize,
 }
 
-impl<S: PartialEq> PartialEq for Visited<S> {
-    fn eq(&self, other: &Visited<S>) -> bool {
+impl<S: PartialEq> PartialEq for VisitedState<S> {
+    fn eq(&self, other: &VisitedState<S>) -> bool {
         self.state == other.state
     }
 }
 
-impl<S: Eq> Eq for Visited<S> {}
+impl<S: Eq> Eq for VisitedState<S> {}
 
-impl<S: Hash> Hash for Visited<S> {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        self.state.hash(state);
+impl<S: Hash> Hash for VisitedState<S> {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.state.hash(hasher);
     }
 }
 
-/// Visits every reachable state, or stops at the first that breaks a promise.
+/// Visits every reachable state, or stops at the first one that violates an invariant.
 pub fn explore<M: SpecModel>(model: &M) -> Exploration {
-    let begun = Instant::now();
-    let start = Visited { state: model.initial(), depth: 0 };
-    let successors = |visited: &Visited<M::State>| {
+    let started = Instant::now();
+    let start = VisitedState { state: model.initial(), depth: 0 };
+    let successors = |visited: &VisitedState<M::State>| {
         let depth = visited.depth + 1;
         let steps = model.successors(&visited.state).into_iter();
-        steps.map(|(_, state)| Visited { state, depth }).collect::<Vec<_>>()
+        steps.map(|(_, state)| VisitedState { state, depth }).collect::<Vec<_>>()
     };
     let mut states = 0;
     let mut depth = 0;
@@ -95,22 +95,22 @@
             break;
         }
     }
-    let broken = if found { shortest(model) } else { None };
-    Exploration { states, depth, elapsed: begun.elapsed(), broken }
+    let violation = if found { shortest_trace(model) } else { None };
+    Exploration { states, depth, elapsed: started.elapsed(), violation }
 }
 
-/// The shortest way to a state that breaks a promise.
-fn shortest<M: SpecModel>(model: &M) -> Option<(String, Vec<String>)> {
+/// Returns the violated invariant and the shortest trace to a state that violates it.
+fn shortest_trace<M: SpecModel>(model: &M) -> Option<(String, Vec<String>)> {
     let visited = Cell::new(0usize);
     let successors = |state: &M::State| {
         visited.set(visited.get() + 1);
         model.successors(state).into_iter().map(|(_, next)| next).collect::<Vec<_>>()
     };
     let path = bfs(&model.initial(), successors, |state| model.violation(state).is_some())?;
-    let promise = path.last().and_then(|state| model.violation(state))?;
+    let invariant = path.last().and_then(|state| model.violation(state))?;
     let steps = path.windows(2).map(|pair| {
-        let named = model.successors(&pair[0]).into_iter().find(|(_, next)| *next == pair[1]);
-        named.map(|(name, _)| name).unwrap_or_default()
+        let step = model.successors(&pair[0]).into_iter().find(|(_, next)| *next == pair[1]);
+        step.map(|(name, _)| name).unwrap_or_default()
     });
-    Some((promise, steps.collect()))
+    Some((invariant, steps.collect()))
 }
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -1,5 +1,5 @@
-//! Key home and its moves: two VMs, two attempts of one key, a table that moves by hand-over or
-//! after an end, stale views, lost answers, messages that come late.
+//! Model of the key holder and of moves of its slot: two VMs, two attempts of one key, a slot table that changes by a
+//! hand-over or after the holder has ended, stale views, lost answers and late messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,42 +12,43 @@
 
 use crate::explore::SpecModel;
 
-/// When the system starts, and when the key is minted.
+/// Time at which the system starts.
 const START: WallTime = Duration::from_secs(1_000);
-/// A later time, within the callers' retry window.
-const LATER: WallTime = Duration::from_secs(1_100);
+/// Time at which a timed key is created, within the callers' retry window after the start.
+const KEY_CREATION: WallTime = Duration::from_secs(1_100);
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// A slot moves by a time-out, while its holder may only be paused.
+    /// A slot is reassigned after a timeout, although its holder may only be paused.
     MoveByTimeOut,
-    /// A new holder claims to know the whole history.
+    /// A new holder claims to know the complete history of its keys.
     HistoryClaimed,
-    /// A holder goes on letting keys run while it hands its slot over.
+    /// A holder continues to grant keys while it hands its slot over.
     GrantsWhilePassing,
-    /// A caller's clock is farther ahead than is allowed for.
+    /// A caller's clock is ahead by more than the allowed skew.
     ClockBeyondSkew,
-    /// A request whose attempt is lost is reported as not run.
+    /// An attempt whose answer is lost is reported as not run.
     LostToldNotRun,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct KeyModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: KeyFault,
-    /// Whether the key tells when it was minted (UUIDv7, minted at the later time), or is opaque.
-    pub minted_later: bool,
-    /// Changes of the table.
+    /// Whether the key contains its creation time (a UUIDv7, created at `KEY_CREATION` by the caller's clock) or is
+    /// opaque.
+    pub timed_key: bool,
+    /// Number of changes of the table.
     pub moves: usize,
     /// Whether holders hand their slots over.
     pub hand_overs: bool,
-    /// Daemons that stop.
+    /// Number of daemons that stop.
     pub stops: u8,
-    /// Messages that may be delivered twice.
+    /// Number of messages that may be delivered twice.
     pub repeats: u8,
 }
 
@@ -68,28 +69,29 @@
     Ended,
 }
 
-/// A state: processes, table, messages, attempts, runs.
+/// State of the daemons, the table and its versions, the messages, the attempts and the runs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyState {
     wall: WallTime,
-    homes: BTreeMap<DaemonId, KeyHome>,
+    daemons: BTreeMap<DaemonId, KeyHome>,
     started: u64,
     stopped: u8,
     tables: Vec<KeyTable>,
-    gone: BTreeSet<VmId>,
+    unlisted: BTreeSet<VmId>,
     network: BTreeSet<Message>,
     hand_overs: Vec<KeyHandOver>,
     decisions: Vec<KeyDecision>,
     repeats: u8,
     attempts: [AttemptPhase; 2],
     runs: u8,
-    /// What holders were before they began to hand over, in the variant that goes on with it.
-    careless: BTreeMap<DaemonId, KeyHome>,
+    /// Holders as they were before they began to hand over, from which the variant `GrantsWhilePassing` continues to
+    /// grant keys.
+    still_granting: BTreeMap<DaemonId, KeyHome>,
 }
 
 impl KeyModel {
-    /// Seconds by which the caller's clock is ahead of the VMs'.
-    fn ahead(&self) -> u64 {
+    /// Returns the number of seconds by which the caller's clock is ahead of the VMs' clocks.
+    fn clock_lead(&self) -> u64 {
         let skew = KeyHomeOptions::default().clock_skew.as_secs();
         if self.fault == KeyFault::ClockBeyondSkew {
             skew + 1
@@ -99,15 +101,19 @@
     }
 
     fn claim(&self, attempt: usize) -> KeyClaim {
-        let minted = uuid::Timestamp::from_unix(uuid::NoContext, LATER.as_secs() + self.ahead(), 0);
-        let key = if self.minted_later {
-            uuid::Uuid::new_v7(minted).to_string()
+        let created = uuid::Timestamp::from_unix(
+            uuid::NoContext,
+            KEY_CREATION.as_secs() + self.clock_lead(),
+            0,
+        );
+        let key = if self.timed_key {
+            uuid::Uuid::new_v7(created).to_string()
         } else {
             "opaque".to_string()
         };
         // The random part of the key must be the same in every state.
         let key = key.get(..15).map_or(key.clone(), |time| {
-            if self.minted_later {
+            if self.timed_key {
                 format!("{time}000-8000-000000000000")
             } else {
                 key.clone()
@@ -140,41 +146,41 @@
                 let verdict =
                     [Verdict::NotRun, Verdict::MayHaveRun, Verdict::Ran][usize::from(*verdict)];
                 let outcome = KeyOutcome { claim: self.claim(*attempt), verdict, answer: None };
-                next.homes.get_mut(to)?.outcome(state.wall, outcome);
+                next.daemons.get_mut(to)?.outcome(state.wall, outcome);
             }
             Message::HandOver(from, to, number) => {
                 let hand_over = next.hand_overs.get(*number)?.clone();
-                if next.homes.get_mut(to)?.hand_over_received(hand_over) {
+                if next.daemons.get_mut(to)?.hand_over_received(hand_over) {
                     next.network.insert(Message::Ack(to.clone(), from.clone()));
                 }
             }
-            Message::Ack(from, to) => next.homes.get_mut(to)?.hand_over_acked(from, 0),
+            Message::Ack(from, to) => next.daemons.get_mut(to)?.hand_over_acked(from, 0),
         }
         Some(next)
     }
 
-    /// A home decides on a claim and answers it; `None` where the home no longer runs.
+    /// A key holder decides on a claim and answers it. Returns `None` if that daemon no longer runs.
     fn deliver_claim(&self, next: &mut KeyState, to: &DaemonId, attempt: usize) -> Option<()> {
         let claim = self.claim(attempt);
-        // The careless holder lets keys run as if it were not handing over.
-        let careless = next.careless.get_mut(to);
-        let decision = match careless {
-            Some(home) => home.claim(next.wall, &claim),
-            None => next.homes.get_mut(to)?.claim(next.wall, &claim),
+        // The broken holder grants keys as if it were not handing over.
+        let granting_holder = next.still_granting.get_mut(to);
+        let decision = match granting_holder {
+            Some(holder) => holder.claim(next.wall, &claim),
+            None => next.daemons.get_mut(to)?.claim(next.wall, &claim),
         };
         let number = intern(&mut next.decisions, decision);
         next.network.insert(Message::Answer(attempt, number));
         Some(())
     }
 
-    /// The attempt ends in each possible way.
-    fn ends(&self, state: &KeyState, attempt: usize) -> Vec<(String, KeyState)> {
+    /// Returns the possible ends of a granted attempt.
+    fn attempt_ends(&self, state: &KeyState, attempt: usize) -> Vec<(String, KeyState)> {
         let mut ends = Vec::new();
-        for (verdict, ran, what) in [
+        for (verdict, ran, result) in [
             (Some(Verdict::NotRun), false, "does not run"),
             (Some(Verdict::Ran), true, "runs"),
             (Some(Verdict::MayHaveRun), true, "runs and its answer is lost"),
-            (None, true, "runs and its entry stops"),
+            (None, true, "runs and its entry daemon stops"),
         ] {
             let mut next = state.clone();
             next.attempts[attempt] = AttemptPhase::Ended;
@@ -186,88 +192,92 @@
                 verdict => verdict,
             };
             let Some(verdict) = verdict else {
-                ends.push((format!("attempt {attempt} {what}"), next));
+                ends.push((format!("attempt {attempt} {result}"), next));
                 continue;
             };
-            for to in holders(state) {
-                let mut told = next.clone();
+            for to in named_holders(state) {
+                let mut reported = next.clone();
                 let name =
-                    format!("attempt {attempt} {what}, told to {}/{}", to.vm, to.incarnation);
-                told.network.insert(Message::Outcome(to, attempt, verdict as u8));
-                ends.push((name, told));
+                    format!("attempt {attempt} {result}, reported to {}/{}", to.vm, to.incarnation);
+                reported.network.insert(Message::Outcome(to, attempt, verdict as u8));
+                ends.push((name, reported));
             }
         }
         ends
     }
 
-    /// A daemon proposes a table; it takes effect if the daemon's table is the latest one.
+    /// A daemon proposes a table, which takes effect if the daemon's own table is the latest one.
     fn propose(
         &self,
         state: &KeyState,
         by: &DaemonId,
         table: KeyTable,
-        why: &str,
+        reason: &str,
     ) -> Vec<(String, KeyState)> {
-        let fits =
-            state.homes.get(by).is_some_and(|home| home.version() == state.tables.len() as u64);
-        if !fits || state.tables.len() > self.moves {
+        let is_current = state
+            .daemons
+            .get(by)
+            .is_some_and(|holder| holder.version() == state.tables.len() as u64);
+        if !is_current || state.tables.len() > self.moves {
             return Vec::new();
         }
-        // Whoever proposed it learns of it by reading, as after a lost answer.
+        // The daemon that proposed the table learns of it by reading it, as after a lost answer.
         let mut next = state.clone();
         next.tables.push(table);
-        vec![(format!("{} moves the slot ({why})", by.vm), next)]
+        vec![(format!("{} moves the slot ({reason})", by.vm), next)]
     }
 
+    /// Returns the steps that change the slot table or the daemons' copies of it.
     fn moves(&self, state: &KeyState) -> Vec<(String, KeyState)> {
         let mut steps = Vec::new();
-        for (id, home) in &state.homes {
-            steps.extend(self.table_proposals(state, id, home));
-            steps.extend(table_reads(state, id, home));
-            if self.hand_overs && home.slots_held() > 0 {
-                steps.push(self.hand_over(state, id, home));
+        for (id, holder) in &state.daemons {
+            steps.extend(self.table_proposals(state, id, holder));
+            steps.extend(table_reads(state, id, holder));
+            if self.hand_overs && holder.slots_held() > 0 {
+                steps.push(self.hand_over(state, id, holder));
             }
         }
         steps
     }
 
-    /// Tables that a daemon proposes: after a holder's end, and after a hand-over.
+    /// Returns the tables that a daemon proposes, after a holder's end and after a hand-over.
     fn table_proposals(
         &self,
         state: &KeyState,
         id: &DaemonId,
-        home: &KeyHome,
+        holder: &KeyHome,
     ) -> Vec<(String, KeyState)> {
         let mut steps = Vec::new();
-        let mut gone = state.gone.clone();
+        let mut unlisted = state.unlisted.clone();
         if self.fault == KeyFault::MoveByTimeOut {
-            gone.extend(["a", "b"].map(str::to_string));
-            gone.remove(&id.vm);
+            unlisted.extend(["a", "b"].map(str::to_string));
+            unlisted.remove(&id.vm);
         }
-        let running = state.homes.keys();
+        let running = state.daemons.keys();
         let usable: Vec<DaemonId> =
-            running.filter(|daemon| !gone.contains(&daemon.vm)).cloned().collect();
-        if let Some(mut table) = home.reassign(&gone, &usable, state.wall) {
+            running.filter(|daemon| !unlisted.contains(&daemon.vm)).cloned().collect();
+        if let Some(mut table) = holder.reassign(&unlisted, &usable, state.wall) {
             if self.fault == KeyFault::HistoryClaimed {
                 table.slots.iter_mut().for_each(|slot| slot.complete_since_ms = 0);
             }
             steps.extend(self.propose(state, id, table, "its holder has ended"));
         }
-        if let Some(table) = home.handed_over() {
+        if let Some(table) = holder.handed_over() {
             steps.extend(self.propose(state, id, table, "handed over"));
         }
         steps
     }
 
-    /// A holder hands its slot over to the other daemons.
-    fn hand_over(&self, state: &KeyState, id: &DaemonId, home: &KeyHome) -> (String, KeyState) {
+    /// A holder offers its slot to all other daemons.
+    fn hand_over(&self, state: &KeyState, id: &DaemonId, holder: &KeyHome) -> (String, KeyState) {
         let others: Vec<DaemonId> =
-            state.homes.keys().filter(|daemon| *daemon != id).cloned().collect();
+            state.daemons.keys().filter(|daemon| *daemon != id).cloned().collect();
         let mut next = state.clone();
         if self.fault == KeyFault::GrantsWhilePassing {
-            next.careless.entry(id.clone()).or_insert_with(|| home.clone());
+            next.still_granting.entry(id.clone()).or_insert_with(|| holder.clone());
         }
-        let sends = next.homes.get_mut(id).map(|home| home.hand_over(&others)).unwrap_or_default();
+        let sends =
+            next.daemons.get_mut(id).map(|holder| holder.hand_over(&others)).unwrap_or_default();
         for (to, hand_over) in sends {
             let number = next.hand_overs.iter().position(|known| *known == hand_over);
             let number = number.unwrap_or_else(|| {
@@ -279,40 +289,41 @@
         (format!("{}/{} hands over", id.vm, id.incarnation), next)
     }
 
-    /// The second attempt comes after the first; a key that tells its time is not used before it.
+    /// Checks whether an attempt may begin: the second one after the first one, and a timed key after its creation.
     fn may_begin(&self, state: &KeyState, attempt: usize) -> bool {
-        let in_turn = attempt == 0 || state.attempts[0] != AttemptPhase::Idle;
-        in_turn && (!self.minted_later || state.wall == LATER)
+        let is_next = attempt == 0 || state.attempts[0] != AttemptPhase::Idle;
+        is_next && (!self.timed_key || state.wall == KEY_CREATION)
     }
 
-    fn platform(&self, state: &KeyState) -> Vec<(String, KeyState)> {
+    /// Returns the steps of VMs and the platform: a daemon stops or starts, a VM is no longer listed, time passes.
+    fn platform_steps(&self, state: &KeyState) -> Vec<(String, KeyState)> {
         let mut steps = Vec::new();
-        for id in state.homes.keys().filter(|_| state.stopped < self.stops) {
+        for id in state.daemons.keys().filter(|_| state.stopped < self.stops) {
             let mut next = state.clone();
             next.stopped += 1;
-            next.homes.remove(id);
-            next.careless.remove(id);
+            next.daemons.remove(id);
+            next.still_granting.remove(id);
             steps.push((format!("{}/{} stops", id.vm, id.incarnation), next));
         }
         for vm in ["a", "b"].map(str::to_string) {
-            let running = state.homes.keys().any(|id| id.vm == vm);
-            if running || state.gone.contains(&vm) {
+            let running = state.daemons.keys().any(|id| id.vm == vm);
+            if running || state.unlisted.contains(&vm) {
                 continue;
             }
-            let mut gone = state.clone();
-            gone.gone.insert(vm.clone());
-            steps.push((format!("the platform no longer lists {vm}"), gone));
+            let mut removed = state.clone();
+            removed.unlisted.insert(vm.clone());
+            steps.push((format!("the platform no longer lists {vm}"), removed));
             if state.started < 3 {
                 let mut next = state.clone();
                 next.started += 1;
                 let id = DaemonId { vm: vm.clone(), incarnation: next.started };
-                next.homes.insert(id.clone(), home(id));
-                steps.push((format!("{vm} starts again"), next));
+                next.daemons.insert(id.clone(), new_holder(id));
+                steps.push((format!("{vm} restarts"), next));
             }
         }
-        if state.wall == START && self.minted_later {
+        if state.wall == START && self.timed_key {
             let mut next = state.clone();
-            next.wall = LATER;
+            next.wall = KEY_CREATION;
             steps.push(("time passes".to_string(), next));
         }
         steps
@@ -326,26 +337,26 @@
         let a = DaemonId { vm: "a".to_string(), incarnation: 1 };
         let b = DaemonId { vm: "b".to_string(), incarnation: 2 };
         let table = KeyTable::deal(1, std::slice::from_ref(&a));
-        let mut homes = BTreeMap::new();
+        let mut daemons = BTreeMap::new();
         for id in [a, b] {
-            let mut home = home(id.clone());
-            home.table_read(1, table.clone());
-            homes.insert(id, home);
+            let mut holder = new_holder(id.clone());
+            holder.table_read(1, table.clone());
+            daemons.insert(id, holder);
         }
         KeyState {
             wall: START,
-            homes,
+            daemons,
             started: 2,
             stopped: 0,
             tables: vec![table],
-            gone: BTreeSet::new(),
+            unlisted: BTreeSet::new(),
             network: BTreeSet::new(),
             hand_overs: Vec::new(),
             decisions: Vec::new(),
             repeats: 0,
             attempts: [AttemptPhase::Idle; 2],
             runs: 0,
-            careless: BTreeMap::new(),
+            still_granting: BTreeMap::new(),
         }
     }
 
@@ -353,20 +364,20 @@
         let mut steps = Vec::new();
         for message in &state.network {
             let Some(mut once) = self.deliver(state, message) else { continue };
-            let twice = once.clone();
+            let repeated = once.clone();
             once.network.remove(message);
             steps.push((format!("{message:?} arrives"), once));
             if state.repeats < self.repeats {
-                let mut twice = twice;
-                twice.repeats += 1;
-                steps.push((format!("{message:?} arrives and is repeated"), twice));
+                let mut repeated = repeated;
+                repeated.repeats += 1;
+                steps.push((format!("{message:?} arrives and is repeated"), repeated));
             }
         }
         for attempt in 0..2 {
             match state.attempts[attempt] {
-                // A key that tells its time is not used before that time.
+                // A timed key isn't used before its creation.
                 AttemptPhase::Idle if self.may_begin(state, attempt) => {
-                    for to in holders(state) {
+                    for to in named_holders(state) {
                         let mut next = state.clone();
                         next.attempts[attempt] = AttemptPhase::Claiming;
                         next.network.insert(Message::Claim(to.clone(), attempt));
@@ -376,14 +387,14 @@
                         ));
                     }
                 }
-                AttemptPhase::Granted => steps.extend(self.ends(state, attempt)),
+                AttemptPhase::Granted => steps.extend(self.attempt_ends(state, attempt)),
                 _ => {}
             }
         }
         steps.extend(self.moves(state));
-        steps.extend(self.platform(state));
+        steps.extend(self.platform_steps(state));
         for (_, next) in &mut steps {
-            forget_undeliverable(next);
+            remove_undeliverable(next);
         }
         steps
     }
@@ -393,25 +404,25 @@
     }
 }
 
-/// A daemon reads a table that is newer than its own.
-fn table_reads(state: &KeyState, id: &DaemonId, home: &KeyHome) -> Vec<(String, KeyState)> {
+/// Returns the reads of each table that is newer than the daemon's own.
+fn table_reads(state: &KeyState, id: &DaemonId, holder: &KeyHome) -> Vec<(String, KeyState)> {
     let mut steps = Vec::new();
-    for (place, table) in state.tables.iter().enumerate() {
-        let version = place as u64 + 1;
-        if version <= home.version() {
+    for (index, table) in state.tables.iter().enumerate() {
+        let version = index as u64 + 1;
+        if version <= holder.version() {
             continue;
         }
         let mut next = state.clone();
-        if let Some(home) = next.homes.get_mut(id) {
-            home.table_read(version, table.clone());
+        if let Some(holder) = next.daemons.get_mut(id) {
+            holder.table_read(version, table.clone());
         }
         steps.push((format!("{}/{} reads table {version}", id.vm, id.incarnation), next));
     }
     steps
 }
 
-/// Every daemon that some table, old or new, names as the holder.
-fn holders(state: &KeyState) -> Vec<DaemonId> {
+/// Returns every daemon that any table, old or new, names as the holder.
+fn named_holders(state: &KeyState) -> Vec<DaemonId> {
     let named: BTreeSet<DaemonId> = state
         .tables
         .iter()
@@ -421,25 +432,26 @@
     named.into_iter().collect()
 }
 
-/// Takes messages away that can have no effect any more.
-fn forget_undeliverable(state: &mut KeyState) {
+/// Removes messages that can no longer have an effect.
+fn remove_undeliverable(state: &mut KeyState) {
     let attempts = state.attempts;
-    let homes = &state.homes;
+    let daemons = &state.daemons;
     state.network.retain(|message| match message {
         Message::Answer(attempt, _) => attempts[*attempt] == AttemptPhase::Claiming,
-        Message::Claim(to, _) | Message::Outcome(to, ..) => homes.contains_key(to),
-        Message::HandOver(_, to, _) | Message::Ack(_, to) => homes.contains_key(to),
+        Message::Claim(to, _) | Message::Outcome(to, ..) => daemons.contains_key(to),
+        Message::HandOver(_, to, _) | Message::Ack(_, to) => daemons.contains_key(to),
     });
 }
 
+/// Returns the number of a decision in the list, and appends it if it is new.
 fn intern(known: &mut Vec<KeyDecision>, decision: KeyDecision) -> u8 {
-    let place = known.iter().position(|other| *other == decision).unwrap_or_else(|| {
+    let index = known.iter().position(|other| *other == decision).unwrap_or_else(|| {
         known.push(decision);
         known.len() - 1
     });
-    place as u8
+    index as u8
 }
 
-fn home(id: DaemonId) -> KeyHome {
+fn new_holder(id: DaemonId) -> KeyHome {
     KeyHome::new(id, KeyHomeOptions::default())
 }
--- a/crates/model/src/lethal.rs
+++ b/crates/model/src/lethal.rs
@@ -1,6 +1,7 @@
-//! A request under which targets end, over daemons that are cut off, die and begin anew: once three ends are known among
-//! those in touch, or to the platform, and all had their time, none of them sends it on; a request that does
-//! nothing and was served is refused nowhere.
+//! Model of a request that terminates its targets, at daemons that may be partitioned and may restart. Once three
+//! terminations are known to the connected daemons or stored at the platform, and all of these daemons have had time to
+//! exchange them, none of them sends the request again. Another request, which terminates nothing and was served, is
+//! refused by no daemon.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,87 +14,91 @@
 
 use crate::explore::SpecModel;
 
-/// Daemons of the model.
+/// Number of daemons.
 const DAEMONS: usize = 3;
-/// Ends after which the request is not sent on: the users' bound.
-const ENDS: usize = 3;
-/// Targets that the platform shows, for the rule that asks whether ends are common: more than end here.
+/// Number of terminations after which the request isn't sent again: the users' bound.
+const MAX_TERMINATIONS: usize = 3;
+/// Number of targets that the platform lists, for the rule that depends on how common terminations are: larger than the
+/// number that terminates in this model.
 const TARGETS: usize = 20;
-/// The time, which stands still: what depends on it is tested apart.
+/// The time, which is constant: behaviour that depends on it has separate tests.
 const NOW: Uptime = Duration::from_secs(1_000);
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LethalFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// Daemons ask nobody for what they do not know.
+    /// Daemons don't request unknown reports from other daemons.
     NothingAsked,
-    /// A daemon that begins serves before it knows anything.
+    /// A daemon serves after its start before it has received any report.
     ServesUnknowing,
-    /// Whatever broke off counts as an end.
+    /// Every interruption counts as a termination.
     BreakTakenForEnd,
-    /// A request that was served whole stays suspect.
+    /// A request that was served completely stays suspect.
     ServedStaysSuspect,
-    /// A daemon forgets a request that it refuses and has stored.
+    /// A daemon that restarts doesn't read the stored report of a request that has to be refused.
     StoredForgotten,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct LethalModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: LethalFault,
-    /// Times that the request is sent to a target.
+    /// Number of times that the request may be sent to a target.
     pub sends: u8,
-    /// Targets that have it at the same time.
+    /// Number of targets that may have the request at the same time.
     pub copies: usize,
-    /// Daemons to which callers come.
-    pub entries: usize,
-    /// Whether what a daemon tells of an end may be lost.
-    pub loses_news: bool,
-    /// Cuts of a daemon from all others and the platform.
-    pub cuts: u8,
-    /// Daemons that die and begin anew.
-    pub deaths: u8,
-    /// Breaks of the other request, at a target that lives or under the end of one.
-    pub bystander_breaks: u8,
-    /// Times that the other request comes.
-    pub bystander_visits: u8,
+    /// Number of daemons that have callers.
+    pub calling_daemons: usize,
+    /// Whether a daemon's report of a termination may be lost.
+    pub loses_reports: bool,
+    /// Number of times that a daemon is partitioned from all others and the platform.
+    pub partitions: u8,
+    /// Number of restarts, of one daemon or of all together.
+    pub restarts: u8,
+    /// Number of interruptions of the other request, at a target that keeps running or that terminates.
+    pub bystander_interruptions: u8,
+    /// Number of times that the other request arrives.
+    pub bystander_arrivals: u8,
 }
 
-/// A state: what each daemon knows, and what is true.
+/// State of what each daemon knows, and of the actual system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LethalState {
     daemons: Vec<LethalRequests>,
-    /// Target that has the request of each daemon.
-    at_target: [Option<u8>; DAEMONS],
-    /// Lives so far.
-    lives: u8,
-    /// Lives that ended under the request.
-    ended: Vec<u8>,
-    /// What the platform keeps.
+    /// Number of the target instance that has the request of each daemon.
+    running_at: [Option<u8>; DAEMONS],
+    /// Number of target instances so far.
+    instance_count: u8,
+    /// Numbers of the instances that terminated while running the request.
+    terminated: Vec<u8>,
+    /// Report that is stored at the platform.
     stored: Option<SuspectReport>,
-    cut: Option<usize>,
-    /// Whether all daemons had their time since the last end, cut or heal.
-    settled: bool,
+    /// Daemon that is partitioned from the others and the platform.
+    partitioned: Option<usize>,
+    /// Whether all daemons have had time to exchange reports since the last termination or change of the partition.
+    reports_settled: bool,
     sends: u8,
-    cuts: u8,
-    deaths: u8,
-    bystander_breaks: u8,
-    bystander_visits: u8,
-    /// Whether a daemon in touch sent it after everyone there had time to know of the third end.
-    late: bool,
-    /// Lives that ended under the other request since it was served whole.
-    bystander_ends: u8,
+    partitions: u8,
+    restarts: u8,
+    bystander_interruptions: u8,
+    bystander_arrivals: u8,
+    /// Whether a connected daemon sent the request after all connected daemons had time to learn of the third
+    /// termination.
+    sent_too_late: bool,
+    /// Number of instances that terminated while running the other request, since that one was last served completely.
+    bystander_terminations: u8,
+    /// Whether the other request was refused although fewer than three instances terminated while running it.
     bystander_refused: bool,
 }
 
-fn lethal() -> RequestDigest {
+fn lethal_digest() -> RequestDigest {
     digest(b"lethal")
 }
 
-fn bystander() -> RequestDigest {
+fn bystander_digest() -> RequestDigest {
     digest(b"other")
 }
 
@@ -105,7 +110,7 @@
     TargetLife { id: "t".to_string(), start: Some(TargetStart(u64::from(number))) }
 }
 
-fn closed(number: u8) -> RequestBreak {
+fn closed_connection(number: u8) -> RequestBreak {
     RequestBreak { life: life(number), kind: BreakKind::Closed, begun: false }
 }
 
@@ -115,189 +120,213 @@
     }
 
     fn reaches(state: &LethalState, from: usize, to: usize) -> bool {
-        from == to || state.cut != Some(from) && state.cut != Some(to)
+        from == to || state.partitioned != Some(from) && state.partitioned != Some(to)
     }
 
-    /// What a daemon knows reaches another one, which does not answer.
-    fn tell(state: &mut LethalState, from: usize, to: usize) {
-        let told = state.daemons[from].since(NOW, 0);
-        state.daemons[to].merge(NOW, told);
+    /// Delivers all reports of a daemon to another one, which doesn't answer.
+    fn deliver_reports(state: &mut LethalState, from: usize, to: usize) {
+        let reports = state.daemons[from].since(NOW, 0);
+        state.daemons[to].merge(NOW, reports);
     }
 
-    fn tell_reached(state: &mut LethalState, from: usize) {
+    /// Delivers all reports of a daemon to each daemon that it reaches.
+    fn deliver_to_reachable(state: &mut LethalState, from: usize) {
         for to in 0..DAEMONS {
             if from != to && LethalModel::reaches(state, from, to) {
-                LethalModel::tell(state, from, to);
+                LethalModel::deliver_reports(state, from, to);
             }
         }
     }
 
-    /// A daemon looks at the platform.
+    /// A daemon reads the platform's list of targets, and stores the report of the request there if it has to.
     fn review(&self, state: &mut LethalState, index: usize) {
-        let ended: Vec<TargetLife> = state.ended.iter().map(|number| life(*number)).collect();
-        let takes_all = self.fault == LethalFault::BreakTakenForEnd;
-        let sight = |life: &TargetLife| match takes_all || ended.contains(life) {
-            true => LifeSight::Gone,
-            false => LifeSight::Shown,
-        };
-        state.daemons[index].review(NOW, TARGETS, &sight);
-        let unstored: Vec<RequestDigest> =
-            state.daemons[index].unstored().copied().filter(|digest| *digest == lethal()).collect();
+        let terminated: Vec<TargetLife> =
+            state.terminated.iter().map(|number| life(*number)).collect();
+        let treats_all_as_terminated = self.fault == LethalFault::BreakTakenForEnd;
+        let presence =
+            |life: &TargetLife| match treats_all_as_terminated || terminated.contains(life) {
+                true => LifeSight::Gone,
+                false => LifeSight::Shown,
+            };
+        state.daemons[index].review(NOW, TARGETS, &presence);
+        let unstored: Vec<RequestDigest> = state.daemons[index]
+            .unstored()
+            .copied()
+            .filter(|digest| *digest == lethal_digest())
+            .collect();
         for digest in unstored {
             state.daemons[index].stored(&digest);
             state.stored = state.daemons[index].report(NOW, &digest);
         }
     }
 
-    /// Ends that daemons in touch know of, or the platform.
-    fn known_ends(state: &LethalState) -> usize {
-        let in_touch = (0..DAEMONS).filter(|index| state.cut != Some(*index));
-        let reports = in_touch.filter_map(|index| state.daemons[index].report(NOW, &lethal()));
+    /// Counts the terminations that are known to the connected daemons or stored at the platform.
+    fn known_terminations(state: &LethalState) -> usize {
+        let connected = (0..DAEMONS).filter(|index| state.partitioned != Some(*index));
+        let reports =
+            connected.filter_map(|index| state.daemons[index].report(NOW, &lethal_digest()));
         let reports = reports.chain(state.stored.clone());
-        let lives = reports.flat_map(|report| report.breaks).map(|seen| seen.broke.life);
-        lives.collect::<BTreeSet<TargetLife>>().len()
+        let instances =
+            reports.flat_map(|report| report.breaks).map(|interruption| interruption.broke.life);
+        instances.collect::<BTreeSet<TargetLife>>().len()
     }
 
-    fn clear(state: &mut LethalState, index: usize, digest: &RequestDigest) -> bool {
+    /// Checks whether a daemon may send a request.
+    fn may_send(state: &mut LethalState, index: usize, digest: &RequestDigest) -> bool {
         state.daemons[index].verdict(NOW, digest) == LethalVerdict::Clear
     }
 
+    /// Sends the request to a new target instance, if the daemon may send it.
     fn send(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
-        let copies = next.at_target.iter().flatten().count();
-        if next.sends == 0 || next.at_target[index].is_some() || copies >= self.copies {
+        let copies = next.running_at.iter().flatten().count();
+        if next.sends == 0 || next.running_at[index].is_some() || copies >= self.copies {
             return None;
         }
-        if !LethalModel::clear(&mut next, index, &lethal()) {
+        if !LethalModel::may_send(&mut next, index, &lethal_digest()) {
             return None;
         }
         next.sends -= 1;
-        next.at_target[index] = Some(next.lives);
-        next.lives += 1;
-        next.late |=
-            next.settled && next.cut != Some(index) && LethalModel::known_ends(&next) >= ENDS;
+        next.running_at[index] = Some(next.instance_count);
+        next.instance_count += 1;
+        next.sent_too_late |= next.reports_settled
+            && next.partitioned != Some(index)
+            && LethalModel::known_terminations(&next) >= MAX_TERMINATIONS;
         Some(next)
     }
 
-    /// The target of a daemon's request ends; `told` says whether the daemon's news reach the others, `beside` whether the
-    /// other request was there too, by way of the next daemon.
-    fn end(
+    /// Terminates the target instance that runs a daemon's request. `reported`: the daemon's report reaches the others.
+    /// `with_bystander`: the other request ran there too, sent by the next daemon.
+    fn terminate_target(
         &self,
         state: &LethalState,
         index: usize,
-        told: bool,
-        beside: bool,
+        reported: bool,
+        with_bystander: bool,
     ) -> Option<LethalState> {
         let mut next = state.clone();
-        let number = next.at_target[index].take()?;
-        if beside {
-            next.bystander_breaks = next.bystander_breaks.checked_sub(1)?;
+        let number = next.running_at[index].take()?;
+        if with_bystander {
+            next.bystander_interruptions = next.bystander_interruptions.checked_sub(1)?;
         }
-        next.ended.push(number);
-        next.settled = false;
-        next.daemons[index].broken_off(NOW, lethal(), closed(number));
-        if beside {
+        next.terminated.push(number);
+        next.reports_settled = false;
+        next.daemons[index].broken_off(NOW, lethal_digest(), closed_connection(number));
+        if with_bystander {
             let other = (index + 1) % DAEMONS;
-            next.bystander_ends += 1;
-            next.daemons[other].broken_off(NOW, bystander(), closed(number));
+            next.bystander_terminations += 1;
+            next.daemons[other].broken_off(NOW, bystander_digest(), closed_connection(number));
         }
-        if told {
-            LethalModel::tell_reached(&mut next, index);
+        if reported {
+            LethalModel::deliver_to_reachable(&mut next, index);
         }
         Some(next)
     }
 
-    /// The other request breaks off at a target that lives on.
-    fn bystander_breaks(&self, state: &LethalState, index: usize) -> Option<LethalState> {
+    /// Interrupts the other request at a target that keeps running.
+    fn bystander_interruptions(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
-        next.bystander_breaks = next.bystander_breaks.checked_sub(1)?;
-        next.daemons[index].broken_off(NOW, bystander(), closed(next.lives));
-        next.lives += 1;
+        next.bystander_interruptions = next.bystander_interruptions.checked_sub(1)?;
+        next.daemons[index].broken_off(
+            NOW,
+            bystander_digest(),
+            closed_connection(next.instance_count),
+        );
+        next.instance_count += 1;
         Some(next)
     }
 
-    /// The other request comes and is served whole, or is refused though fewer than three targets ended under it.
-    fn serve_bystander(&self, state: &LethalState, index: usize) -> Option<LethalState> {
+    /// The other request arrives. It is served completely, or is refused, which must not happen while fewer than three
+    /// targets have terminated while running it.
+    fn bystander_arrives(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
-        next.bystander_visits = next.bystander_visits.checked_sub(1)?;
-        if !LethalModel::clear(&mut next, index, &bystander()) {
-            let refused = next.daemons[index].refused().any(|refused| *refused == bystander());
-            next.bystander_refused = refused && usize::from(next.bystander_ends) < ENDS;
+        next.bystander_arrivals = next.bystander_arrivals.checked_sub(1)?;
+        if !LethalModel::may_send(&mut next, index, &bystander_digest()) {
+            let refused =
+                next.daemons[index].refused().any(|refused| *refused == bystander_digest());
+            next.bystander_refused =
+                refused && usize::from(next.bystander_terminations) < MAX_TERMINATIONS;
             return Some(next);
         }
-        next.bystander_ends = 0;
+        next.bystander_terminations = 0;
         if self.fault == LethalFault::ServedStaysSuspect {
             return Some(next);
         }
-        next.daemons[index].served(NOW, &bystander());
-        LethalModel::tell_reached(&mut next, index);
+        next.daemons[index].served(NOW, &bystander_digest());
+        LethalModel::deliver_to_reachable(&mut next, index);
         Some(next)
     }
 
-    /// All daemons that reach each other and the platform have had their time.
-    fn contact(&self, state: &LethalState) -> LethalState {
+    /// Gives all connected daemons time to read the platform and to exchange their reports.
+    fn exchange_reports(&self, state: &LethalState) -> LethalState {
         let mut next = state.clone();
         for _ in 0..2 {
             for index in 0..DAEMONS {
-                if next.cut != Some(index) {
+                if next.partitioned != Some(index) {
                     self.review(&mut next, index);
                 }
                 for from in 0..DAEMONS {
-                    let asks = self.fault != LethalFault::NothingAsked;
-                    if asks && from != index && LethalModel::reaches(&next, from, index) {
-                        LethalModel::tell(&mut next, from, index);
+                    let requests_reports = self.fault != LethalFault::NothingAsked;
+                    if requests_reports && from != index && LethalModel::reaches(&next, from, index)
+                    {
+                        LethalModel::deliver_reports(&mut next, from, index);
                     }
                 }
             }
         }
-        next.settled = true;
+        next.reports_settled = true;
         next
     }
 
-    /// A daemon dies and begins anew.
-    fn die(&self, state: &LethalState, index: usize) -> Option<LethalState> {
+    /// Restarts a daemon.
+    fn restart_daemon(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
-        next.deaths = next.deaths.checked_sub(1)?;
-        // The target that had its request ends with no daemon to see it.
-        next.ended.extend(next.at_target[index].take());
+        next.restarts = next.restarts.checked_sub(1)?;
+        // The target that had its request terminates, and no daemon observes it.
+        next.terminated.extend(next.running_at[index].take());
         next.daemons[index] = LethalModel::new_daemon();
-        if self.fault == LethalFault::ServesUnknowing || next.cut == Some(index) {
+        if self.fault == LethalFault::ServesUnknowing || next.partitioned == Some(index) {
             return Some(next);
         }
-        let kept = next.stored.clone().filter(|_| self.fault != LethalFault::StoredForgotten);
-        next.daemons[index].merge(NOW, kept.into_iter().collect());
+        let stored_report =
+            next.stored.clone().filter(|_| self.fault != LethalFault::StoredForgotten);
+        next.daemons[index].merge(NOW, stored_report.into_iter().collect());
         for from in 0..DAEMONS {
             if from != index && LethalModel::reaches(&next, from, index) {
-                LethalModel::tell(&mut next, from, index);
+                LethalModel::deliver_reports(&mut next, from, index);
             }
         }
         Some(next)
     }
 
-    /// All daemons die together and begin anew.
-    fn all_die(&self, state: &LethalState) -> Option<LethalState> {
+    /// Restarts all daemons together.
+    fn restart_all(&self, state: &LethalState) -> Option<LethalState> {
         let mut next = state.clone();
-        next.deaths = next.deaths.checked_sub(1)?;
-        next.ended.extend(next.at_target.iter().flatten());
-        next.at_target = [None; DAEMONS];
-        next.cut = None;
-        let kept = next.stored.clone().filter(|_| {
+        next.restarts = next.restarts.checked_sub(1)?;
+        next.terminated.extend(next.running_at.iter().flatten());
+        next.running_at = [None; DAEMONS];
+        next.partitioned = None;
+        let stored_report = next.stored.clone().filter(|_| {
             self.fault != LethalFault::StoredForgotten && self.fault != LethalFault::ServesUnknowing
         });
         for daemon in &mut next.daemons {
             *daemon = LethalModel::new_daemon();
-            daemon.merge(NOW, kept.clone().into_iter().collect());
+            daemon.merge(NOW, stored_report.clone().into_iter().collect());
         }
         Some(next)
     }
 
-    fn change_cut(&self, state: &LethalState, cut: Option<usize>) -> Option<LethalState> {
+    fn change_partition(
+        &self,
+        state: &LethalState,
+        partitioned: Option<usize>,
+    ) -> Option<LethalState> {
         let mut next = state.clone();
-        if cut.is_some() {
-            next.cuts = next.cuts.checked_sub(1)?;
+        if partitioned.is_some() {
+            next.partitions = next.partitions.checked_sub(1)?;
         }
-        next.cut = cut;
-        next.settled = false;
+        next.partitioned = partitioned;
+        next.reports_settled = false;
         Some(next)
     }
 }
@@ -308,59 +337,72 @@
     fn initial(&self) -> LethalState {
         LethalState {
             daemons: vec![LethalModel::new_daemon(); DAEMONS],
-            at_target: [None; DAEMONS],
-            lives: 0,
-            ended: Vec::new(),
+            running_at: [None; DAEMONS],
+            instance_count: 0,
+            terminated: Vec::new(),
             stored: None,
-            cut: None,
-            settled: true,
+            partitioned: None,
+            reports_settled: true,
             sends: self.sends,
-            cuts: self.cuts,
-            deaths: self.deaths,
-            bystander_breaks: self.bystander_breaks,
-            bystander_visits: self.bystander_visits,
-            late: false,
-            bystander_ends: 0,
+            partitions: self.partitions,
+            restarts: self.restarts,
+            bystander_interruptions: self.bystander_interruptions,
+            bystander_arrivals: self.bystander_arrivals,
+            sent_too_late: false,
+            bystander_terminations: 0,
             bystander_refused: false,
         }
     }
 
     fn successors(&self, state: &LethalState) -> Vec<(String, LethalState)> {
         let mut steps = Vec::new();
-        let mut step = |name: String, next: Option<LethalState>| {
+        let mut add_step = |name: String, next: Option<LethalState>| {
             steps.extend(next.map(|next| (name, next)));
         };
-        for index in 0..self.entries {
-            step(format!("daemon {index} sends it"), self.send(state, index));
-            for (told, beside) in [(true, false), (false, false), (true, true)] {
-                if !told && !self.loses_news {
+        for index in 0..self.calling_daemons {
+            add_step(format!("daemon {index} sends the request"), self.send(state, index));
+            for (reported, with_bystander) in [(true, false), (false, false), (true, true)] {
+                if !reported && !self.loses_reports {
                     continue;
                 }
-                let name =
-                    format!("its target at {index} ends, told {told}, another there {beside}");
-                step(name, self.end(state, index, told, beside));
+                let name = format!(
+                    "target of {index} terminates, reported {reported}, at both {with_bystander}"
+                );
+                add_step(name, self.terminate_target(state, index, reported, with_bystander));
             }
-            step(format!("another breaks off at {index}"), self.bystander_breaks(state, index));
-            step(format!("another comes to {index}"), self.serve_bystander(state, index));
+            add_step(
+                format!("the other request of daemon {index} is interrupted"),
+                self.bystander_interruptions(state, index),
+            );
+            add_step(
+                format!("the other request arrives at daemon {index}"),
+                self.bystander_arrives(state, index),
+            );
         }
         for index in 0..DAEMONS {
-            step(format!("daemon {index} dies"), self.die(state, index));
-            if state.cut.is_none() {
-                step(format!("daemon {index} is cut off"), self.change_cut(state, Some(index)));
+            add_step(format!("daemon {index} restarts"), self.restart_daemon(state, index));
+            if state.partitioned.is_none() {
+                add_step(
+                    format!("daemon {index} is partitioned"),
+                    self.change_partition(state, Some(index)),
+                );
             }
         }
-        if state.cut.is_some() {
-            step("the cut heals".to_string(), self.change_cut(state, None));
+        if state.partitioned.is_some() {
+            add_step("the partition ends".to_string(), self.change_partition(state, None));
         }
-        step("all die together".to_string(), self.all_die(state));
-        step("time passes".to_string(), Some(self.contact(state)));
+        add_step("all daemons restart together".to_string(), self.restart_all(state));
+        add_step("time passes".to_string(), Some(self.exchange_reports(state)));
         steps
     }
 
     fn violation(&self, state: &LethalState) -> Option<String> {
-        if state.late {
-            return Some("it was sent on after everyone had time to know".to_string());
+        if state.sent_too_late {
+            return Some(
+                "it was sent again after all daemons had time to learn of the third termination"
+                    .to_string(),
+            );
         }
-        state.bystander_refused.then(|| "a request that ended nothing was refused".to_string())
+        state.bystander_refused.then(|| "a request that terminated nothing was refused".to_string())
     }
 }
--- a/crates/model/src/levels.rs
+++ b/crates/model/src/levels.rs
@@ -1,6 +1,5 @@
-//! Shedding across daemons: two daemons act as scheduler of one pool at the same time, messages
-//! between them are lost; no higher tier is refused for want of capacity while the other one still
-//! holds a lower tier.
+//! Model of shedding across daemons: two daemons act as scheduler of one pool at the same time, and messages between
+//! them may be lost. No request is refused for lack of capacity while a request of a lower tier waits at either daemon.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,30 +13,30 @@
 use crate::request::pool;
 
 const POOL: &str = "pool";
-/// One step of the clock: the time after which a level is sent again.
+/// One step of the clock: the interval at which an unconfirmed shed level is sent again.
 const STEP: Duration = Duration::from_millis(100);
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// Refusals go out before the other daemon has shed.
+    /// Refusals are sent before the other daemon has shed its lower tiers.
     Unguarded,
-    /// A level is sent once, and after a while counts as confirmed.
+    /// A level is sent once, and is treated as confirmed after a timeout.
     ConfirmedByTimeOut,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct LevelModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: LevelFault,
-    /// Asks by their tiers; each may arrive at either daemon.
-    pub asks: Vec<TierRank>,
-    /// Messages that may be lost.
+    /// Tiers of the permit requests, in the order of their arrival; each may arrive at either daemon.
+    pub tiers: Vec<TierRank>,
+    /// Number of messages that may be lost.
     pub losses: u8,
-    /// Steps of the clock.
+    /// Number of clock steps.
     pub steps: u8,
 }
 
@@ -47,7 +46,7 @@
     Confirm { to: usize, round: u64 },
 }
 
-/// A state: two schedulers with their guards, the messages between them, the asks that are left.
+/// State of two schedulers and their guards, the messages between them and the permit requests that have arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LevelState {
     now: Uptime,
@@ -57,47 +56,48 @@
     guards: [LevelGuard; 2],
     network: BTreeSet<Message>,
     arrived: usize,
-    broken: Option<TierRank>,
+    /// Tier of a request that was refused while a request of a lower tier waited.
+    wrongly_refused: Option<TierRank>,
 }
 
 impl LevelModel {
-    fn pass(&self, state: &mut LevelState, at: usize, actions: Vec<SchedulerAction>) {
+    fn route_actions(&self, state: &mut LevelState, index: usize, actions: Vec<SchedulerAction>) {
         for action in actions {
             if self.fault == LevelFault::Unguarded {
-                self.tell(state, &action);
+                self.deliver_answer(state, &action);
                 continue;
             }
-            let step = state.guards[at].pass(state.now, action, 2, &[daemon(1 - at)]);
-            self.send(state, at, step.raise.map(|(tier, round, _)| (tier, round)));
-            step.answers.iter().for_each(|action| self.tell(state, action));
+            let step = state.guards[index].pass(state.now, action, 2, &[daemon(1 - index)]);
+            self.send_level(state, index, step.raise.map(|(tier, round, _)| (tier, round)));
+            step.answers.iter().for_each(|action| self.deliver_answer(state, action));
         }
     }
 
-    fn send(&self, state: &mut LevelState, at: usize, raise: Option<(TierRank, u64)>) {
+    fn send_level(&self, state: &mut LevelState, index: usize, raise: Option<(TierRank, u64)>) {
         if let Some((tier, round)) = raise {
-            state.network.insert(Message::Raise { to: 1 - at, tier, round });
+            state.network.insert(Message::Raise { to: 1 - index, tier, round });
         }
     }
 
-    /// An answer reaches its caller; a refusal for want of capacity must find no lower tier waiting.
-    fn tell(&self, state: &mut LevelState, action: &SchedulerAction) {
+    /// Delivers an answer to its caller. At a refusal for lack of capacity, no request of a lower tier may wait.
+    fn deliver_answer(&self, state: &mut LevelState, action: &SchedulerAction) {
         let Some(tier) = action.shed else { return };
         if !matches!(action.answer.decision, PermitDecision::Refused(_)) {
             return;
         }
         let lower_waits = state.schedulers.iter().any(|scheduler| scheduler.holds_below(tier));
         if lower_waits {
-            state.broken = Some(tier);
+            state.wrongly_refused = Some(tier);
         }
     }
 
-    fn arrive(&self, state: &LevelState, at: usize) -> LevelState {
+    fn request_arrives(&self, state: &LevelState, index: usize) -> LevelState {
         let mut next = state.clone();
         let number = next.arrived;
         next.arrived += 1;
-        let ask = ask(number, self.asks[number]);
-        let actions = next.schedulers[at].request_permit(next.now, daemon(9), ask);
-        self.pass(&mut next, at, actions);
+        let request = permit_request(number, self.tiers[number]);
+        let actions = next.schedulers[index].request_permit(next.now, daemon(9), request);
+        self.route_actions(&mut next, index, actions);
         next
     }
 
@@ -108,12 +108,12 @@
             Message::Raise { to, tier, round } => {
                 let now = next.now;
                 let actions = next.schedulers[to].shed_for_peer(now, tier);
-                actions.iter().for_each(|action| self.tell(&mut next, action));
+                actions.iter().for_each(|action| self.deliver_answer(&mut next, action));
                 next.network.insert(Message::Confirm { to: 1 - to, round });
             }
             Message::Confirm { to, round } => {
                 let released = next.guards[to].confirmed(&daemon(1 - to), round);
-                released.iter().for_each(|action| self.tell(&mut next, action));
+                released.iter().for_each(|action| self.deliver_answer(&mut next, action));
             }
         }
         next
@@ -123,18 +123,18 @@
         let mut next = state.clone();
         next.now += STEP;
         next.steps += 1;
-        for at in 0..2 {
+        for index in 0..2 {
             let now = next.now;
-            let actions = next.schedulers[at].tick(now);
-            self.pass(&mut next, at, actions);
+            let actions = next.schedulers[index].tick(now);
+            self.route_actions(&mut next, index, actions);
             let peers = if self.fault == LevelFault::ConfirmedByTimeOut {
                 vec![]
             } else {
-                vec![daemon(1 - at)]
+                vec![daemon(1 - index)]
             };
-            let step = next.guards[at].tick(now, &peers);
-            self.send(&mut next, at, step.raise.map(|(tier, round, _)| (tier, round)));
-            step.answers.iter().for_each(|action| self.tell(&mut next, action));
+            let step = next.guards[index].tick(now, &peers);
+            self.send_level(&mut next, index, step.raise.map(|(tier, round, _)| (tier, round)));
+            step.answers.iter().for_each(|action| self.deliver_answer(&mut next, action));
         }
         next
     }
@@ -152,18 +152,18 @@
             guards: Default::default(),
             network: BTreeSet::new(),
             arrived: 0,
-            broken: None,
+            wrongly_refused: None,
         }
     }
 
     fn successors(&self, state: &LevelState) -> Vec<(String, LevelState)> {
         let mut steps = Vec::new();
-        if state.arrived < self.asks.len() {
-            for at in 0..2 {
-                let tier = self.asks[state.arrived];
+        if state.arrived < self.tiers.len() {
+            for index in 0..2 {
+                let tier = self.tiers[state.arrived];
                 steps.push((
-                    format!("an ask of tier {tier} arrives at daemon {at}"),
-                    self.arrive(state, at),
+                    format!("a request of tier {tier} arrives at daemon {index}"),
+                    self.request_arrives(state, index),
                 ));
             }
         }
@@ -183,8 +183,8 @@
     }
 
     fn violation(&self, state: &LevelState) -> Option<String> {
-        state.broken.map(|tier| {
-            format!("tier {tier} was refused for want of capacity while a lower one waited")
+        state.wrongly_refused.map(|tier| {
+            format!("tier {tier} was refused for lack of capacity while a lower one waited")
         })
     }
 }
@@ -193,7 +193,7 @@
     DaemonId { vm: format!("d{index}"), incarnation: 1 }
 }
 
-/// One slot and room for one ask, so that the second one that waits is too many.
+/// Creates a scheduler with one slot and a queue of one request: a second waiting request exceeds the queue limit.
 fn scheduler() -> PoolScheduler {
     let options = PoolOptions { queue_limit: 1, lowest: 2, ..PoolOptions::default() };
     let mut scheduler = PoolScheduler::new(POOL.to_string(), options.clone());
@@ -201,7 +201,7 @@
     scheduler
 }
 
-fn ask(number: usize, tier: TierRank) -> PermitRequest {
+fn permit_request(number: usize, tier: TierRank) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number as u128 + 1), attempt: 0 },
         pool: POOL.to_string(),
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
-//! Model checking of the core protocol.
+//! Explicit-state model checking of the core protocol.
 //!
-//! Each module is a small specification: an environment that may lose, repeat and delay messages,
-//! stop processes and forget answers, around the state machines that the daemon runs. Every
-//! reachable state within the bounds is visited breadth-first by the `pathfinding` library. Each
-//! promise has a broken variant that the search must catch, with its shortest trace.
+//! Each module is a small specification: the state machines that the daemon runs, in an environment that may lose,
+//! repeat and delay messages, stop processes and lose answers. Every reachable state within the bounds is visited
+//! breadth-first by the `pathfinding` library. For each invariant there is a broken variant of the protocol, which the
+//! search must detect with its shortest trace.
 
 mod config;
 mod drain;
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -1,8 +1,10 @@
-//! A target that names how many requests a second it takes, before daemons that are cut off, die and take over: whatever they
-//! believe of each other, those that have heard it send no more together than the users allow.
+//! Model of a target that reports a limit of requests per second to daemons that may be partitioned, may restart and
+//! may take over from each other. Whatever their views of each other, the daemons that know the limit send no more
+//! requests together than the users allow.
 //!
-//! Each daemon has what the product's scheduler knows of the target, and the product's gate. Every one has more callers than the target takes, and asks whom it believes
-//! to be first; permits may be used a step after they were granted.
+//! Each daemon has the product's scheduler state of the target, and the product's gate. Every daemon has more callers
+//! than the target accepts, and requests permits from the daemon that it believes to be first. Permits may be used one
+//! step after they were granted.
 
 use std::time::Duration;
 
@@ -11,86 +13,86 @@
 
 use crate::explore::SpecModel;
 
-/// Daemons of the model.
+/// Number of daemons.
 const DAEMONS: usize = 3;
-/// One step of the clock.
+/// Duration of one step of the clock.
 const STEP: Duration = Duration::from_secs(1);
-/// Steps of the span in which the users count.
-const SPAN: usize = 4;
-/// Requests a second that the target takes.
+/// Number of steps in the window for which the users state their bound.
+const WINDOW: usize = 4;
+/// Requests per second that the target accepts.
 const LIMIT: u64 = 4;
-/// Requests that the users allow in the span: half as much again, and five.
-const ALLOWED: usize = LIMIT as usize * SPAN * 3 / 2 + 5;
-/// Turns of the daemons in a step, and requests that the callers of each send in one.
-const TURNS: u32 = 10;
-const DEMAND: usize = 2;
+/// Requests that the users allow in the window: one and a half times the limit, plus five.
+const ALLOWED: usize = LIMIT as usize * WINDOW * 3 / 2 + 5;
+/// Rounds in a step, and permits that each daemon requests in a round.
+const ROUNDS: u32 = 10;
+const PERMITS_PER_ROUND: usize = 2;
 const TARGET: &str = "t";
-/// The part of a daemon that is asked out of turn.
-const NO_PART: RatePart = RatePart { reached: 0, all: 1, turn: RateTurn::Other };
+/// Share of a daemon that isn't the leader.
+const NO_SHARE: RatePart = RatePart { reached: 0, all: 1, turn: RateTurn::Other };
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// Each daemon keeps the whole limit for itself.
+    /// Each daemon grants the whole limit.
     WholeLimitEach,
-    /// A daemon that is asked out of turn grants as much as the one that is asked first.
+    /// A daemon that isn't the leader grants as much as the leader.
     OutOfTurnGrants,
-    /// The limit is kept by the daemon that heard it, and told to nobody.
+    /// The daemon that receives the limit doesn't report it to the other daemons.
     HeardAndKept,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct LimitModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: LimitFault,
-    /// Cuts and heals.
-    pub cuts: u8,
-    /// Daemons that die and start again at once.
-    pub deaths: u8,
-    /// Steps of the clock.
+    /// Number of times that a partition begins or ends.
+    pub partition_changes: u8,
+    /// Number of daemon restarts.
+    pub restarts: u8,
+    /// Number of clock steps.
     pub steps: u8,
-    /// Daemons whose permits of one step are used in the next.
-    pub lates: u8,
+    /// Number of times that a daemon uses its permits of one step in the next step.
+    pub late_uses: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LimitDaemon {
-    /// What it grants as a scheduler.
+    /// State of the target, by which it grants permits as a scheduler.
     target: TargetState,
-    /// The part that it grants.
-    part: RatePart,
-    /// Daemon that it believes to be cut off from the others, itself perhaps.
-    believed_cut: Option<usize>,
-    /// Starts of the daemons that it knows, `None` for one that it has not heard of.
+    /// Share of the limit that it grants.
+    rate_share: RatePart,
+    /// Daemon that it believes to be partitioned from the others, possibly itself.
+    believed_partitioned: Option<usize>,
+    /// Start numbers of the daemons in its view, `None` for a daemon that it doesn't know.
     known: [Option<u8>; DAEMONS],
-    /// What its requests pass.
+    /// Gate that its requests pass before they are sent to the target.
     gate: TargetGate,
-    /// What the target has told it.
-    heard: Option<NoticeReport>,
-    /// Permits that it uses in the next step.
+    /// Notice that it has received from the target.
+    report: Option<NoticeReport>,
+    /// Number of permits that it uses in the next step.
     late: usize,
-    /// Steps for which it is excused, since it has begun anew.
-    excused: u8,
+    /// Number of steps after a restart in which its requests aren't counted.
+    uncounted_steps: u8,
 }
 
-/// A state: daemons with what they believe, the true cut, and what reached the target lately.
+/// State of the daemons and their views, the actual partition, and the requests that reached the target recently.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LimitState {
     now: Uptime,
     steps: u8,
-    cuts: u8,
-    deaths: u8,
-    lates: u8,
+    partition_changes: u8,
+    restarts: u8,
+    late_uses: u8,
     daemons: [LimitDaemon; DAEMONS],
-    /// Starts of the daemons.
+    /// Current start number of each daemon.
     starts: [u8; DAEMONS],
-    /// Daemon that is cut off.
-    cut: Option<usize>,
-    /// Requests of daemons that had been told in the latest steps, the newest last.
-    arrived: [usize; SPAN],
+    /// Daemon that is partitioned from the others.
+    partitioned: Option<usize>,
+    /// Counted requests of daemons that know the limit, per step of the window, the newest last.
+    sent: [usize; WINDOW],
 }
 
 impl LimitDaemon {
@@ -99,23 +101,25 @@
         known[index] = Some(start);
         LimitDaemon {
             target: TargetState::new(TARGET.to_string(), 100),
-            part: NO_PART,
-            believed_cut: None,
+            rate_share: NO_SHARE,
+            believed_partitioned: None,
             known,
             gate: TargetGate::default(),
-            heard: None,
+            report: None,
             late: 0,
-            excused: 0,
+            uncounted_steps: 0,
         }
     }
 
-    /// The daemons that it believes to reach, in the order in which they are asked: those that run longer go first.
-    fn order(&self, index: usize) -> Vec<usize> {
-        let believed = |other: &usize| {
-            *other == index || ![Some(*other), Some(index)].contains(&self.believed_cut)
+    /// Returns the daemons that it believes it reaches, in the order of preference: those that run longer come first.
+    fn preference_order(&self, index: usize) -> Vec<usize> {
+        let is_believed_reachable = |other: &usize| {
+            *other == index || ![Some(*other), Some(index)].contains(&self.believed_partitioned)
         };
-        let mut order: Vec<usize> =
-            (0..DAEMONS).filter(|other| self.known[*other].is_some()).filter(believed).collect();
+        let mut order: Vec<usize> = (0..DAEMONS)
+            .filter(|other| self.known[*other].is_some())
+            .filter(is_believed_reachable)
+            .collect();
         order.sort_by_key(|other| (self.known[*other], *other));
         order
     }
@@ -123,106 +127,111 @@
 
 impl LimitModel {
     fn reaches(state: &LimitState, from: usize, to: usize) -> bool {
-        from == to || (state.cut != Some(from) && state.cut != Some(to))
+        from == to || (state.partitioned != Some(from) && state.partitioned != Some(to))
     }
 
-    /// A daemon sees the world as it is: it tells those that it did not count among the schedulers before, and grants its part.
-    fn notice(&self, state: &mut LimitState, index: usize) {
-        let before = state.daemons[index].known;
-        let before_cut = state.daemons[index].believed_cut;
-        state.daemons[index].believed_cut = state.cut;
+    /// Updates a daemon's view to the actual state. The daemon reports its notice to the daemons that were not among
+    /// the schedulers in its previous view, and updates its share.
+    fn update_view(&self, state: &mut LimitState, index: usize) {
+        let known_before = state.daemons[index].known;
+        let partitioned_before = state.daemons[index].believed_partitioned;
+        state.daemons[index].believed_partitioned = state.partitioned;
         state.daemons[index].known = state.starts.map(Some);
-        for (other, known) in before.into_iter().enumerate() {
-            let new = known != Some(state.starts[other]) || before_cut.is_some();
-            if new {
-                self.tell(state, index, other);
+        for (other, start) in known_before.into_iter().enumerate() {
+            let is_new = start != Some(state.starts[other]) || partitioned_before.is_some();
+            if is_new {
+                self.deliver_report(state, index, other);
             }
         }
-        self.renew_part(state, index);
+        self.update_share(state, index);
     }
 
-    /// What a daemon has heard reaches another one.
-    fn tell(&self, state: &mut LimitState, from: usize, to: usize) {
-        let kept = self.fault == LimitFault::HeardAndKept && from != to;
-        let heard = state.daemons[from].heard.clone();
-        let Some(report) = heard.filter(|_| LimitModel::reaches(state, from, to) && !kept) else {
+    /// Delivers the notice that a daemon has received to another daemon, if that one is reachable.
+    fn deliver_report(&self, state: &mut LimitState, from: usize, to: usize) {
+        let withheld = self.fault == LimitFault::HeardAndKept && from != to;
+        let report = state.daemons[from].report.clone();
+        let Some(report) = report.filter(|_| LimitModel::reaches(state, from, to) && !withheld)
+        else {
             return;
         };
-        let (now, part) = (state.now, state.daemons[to].part);
-        state.daemons[to].target.noticed(now, &from.to_string(), &report, part);
+        let (now, rate_share) = (state.now, state.daemons[to].rate_share);
+        state.daemons[to].target.noticed(now, &from.to_string(), &report, rate_share);
     }
 
-    fn renew_part(&self, state: &mut LimitState, index: usize) {
-        let order = state.daemons[index].order(index);
-        let leads = order.first() == Some(&index);
-        let part = if self.fault == LimitFault::WholeLimitEach {
+    /// Sets the share that follows from a daemon's view.
+    fn update_share(&self, state: &mut LimitState, index: usize) {
+        let order = state.daemons[index].preference_order(index);
+        let is_leader = order.first() == Some(&index);
+        let rate_share = if self.fault == LimitFault::WholeLimitEach {
             RatePart { reached: 1, all: 1, turn: RateTurn::Leader }
-        } else if leads || self.fault == LimitFault::OutOfTurnGrants {
+        } else if is_leader || self.fault == LimitFault::OutOfTurnGrants {
             RatePart { reached: order.len(), all: DAEMONS, turn: RateTurn::Leader }
         } else {
-            NO_PART
+            NO_SHARE
         };
         let now = state.now;
         let daemon = &mut state.daemons[index];
-        if daemon.part != part {
-            daemon.part = part;
-            daemon.target.keep_part(now, part);
+        if daemon.rate_share != rate_share {
+            daemon.rate_share = rate_share;
+            daemon.target.keep_part(now, rate_share);
         }
     }
 
-    /// A second of callers at all daemons; `late` uses its permits in the next.
+    /// Advances the clock by a second, in which all daemons have callers. The daemon `late` uses its permits in the
+    /// next second.
     fn pass_second(&self, state: &mut LimitState, late: Option<usize>) {
         state.steps += 1;
-        state.arrived.rotate_left(1);
-        state.arrived[SPAN - 1] = 0;
-        for entry in 0..DAEMONS {
-            let held = std::mem::take(&mut state.daemons[entry].late);
-            self.arrive(state, entry, held);
+        state.sent.rotate_left(1);
+        state.sent[WINDOW - 1] = 0;
+        for index in 0..DAEMONS {
+            let held = std::mem::take(&mut state.daemons[index].late);
+            self.send_requests(state, index, held);
         }
-        for _ in 0..TURNS {
-            state.now += STEP / TURNS;
-            for entry in 0..DAEMONS {
-                let granted = self.ask(state, entry);
-                match late == Some(entry) {
-                    true => state.daemons[entry].late += granted,
-                    false => self.arrive(state, entry, granted),
+        for _ in 0..ROUNDS {
+            state.now += STEP / ROUNDS;
+            for index in 0..DAEMONS {
+                let granted = self.request_permits(state, index);
+                match late == Some(index) {
+                    true => state.daemons[index].late += granted,
+                    false => self.send_requests(state, index, granted),
                 }
             }
         }
         for daemon in &mut state.daemons {
-            daemon.excused = daemon.excused.saturating_sub(1);
+            daemon.uncounted_steps = daemon.uncounted_steps.saturating_sub(1);
         }
     }
 
-    /// Requests of a daemon pass its gate and reach the target, whose answers tell it of the limit, and it the others.
-    fn arrive(&self, state: &mut LimitState, entry: usize, granted: usize) {
+    /// Sends a daemon's requests through its gate to the target. The target's answers report the limit to the daemon,
+    /// which reports it to the other daemons.
+    fn send_requests(&self, state: &mut LimitState, sender: usize, granted: usize) {
         let now = state.now;
         for _ in 0..granted {
-            let daemon = &mut state.daemons[entry];
+            let daemon = &mut state.daemons[sender];
             if daemon.gate.pass(now, &life()).is_some() {
                 return;
             }
-            if daemon.heard.is_some() && daemon.excused == 0 {
-                state.arrived[SPAN - 1] += 1;
+            if daemon.report.is_some() && daemon.uncounted_steps == 0 {
+                state.sent[WINDOW - 1] += 1;
             }
-            let news =
+            let change =
                 daemon.gate.heard(now, &life(), &HeardNotice { sent: now, notice: notice() });
-            daemon.heard = Some(news.report);
-            if news.tell {
-                (0..DAEMONS).for_each(|other| self.tell(state, entry, other));
+            daemon.report = Some(change.report);
+            if change.tell {
+                (0..DAEMONS).for_each(|other| self.deliver_report(state, sender, other));
             }
         }
     }
 
-    /// Permits that the callers of a daemon get in this turn. One that does not answer is passed over.
-    fn ask(&self, state: &mut LimitState, entry: usize) -> usize {
-        let order = state.daemons[entry].order(entry);
-        let reached = order.iter().find(|other| LimitModel::reaches(state, entry, **other));
-        let asked = reached.copied().unwrap_or(entry);
+    /// Returns the number of permits that a daemon gets in one round. It skips daemons that don't answer.
+    fn request_permits(&self, state: &mut LimitState, requester: usize) -> usize {
+        let order = state.daemons[requester].preference_order(requester);
+        let reached = order.iter().find(|other| LimitModel::reaches(state, requester, **other));
+        let scheduler = reached.copied().unwrap_or(requester);
         let now = state.now;
-        let target = &mut state.daemons[asked].target;
+        let target = &mut state.daemons[scheduler].target;
         let mut granted = 0;
-        while granted < DEMAND && target.has_room(true, 0, now) {
+        while granted < PERMITS_PER_ROUND && target.has_room(true, 0, now) {
             target.request_sent(now);
             granted += 1;
         }
@@ -237,21 +246,21 @@
         let mut state = LimitState {
             now: STEP,
             steps: 0,
-            cuts: 0,
-            deaths: 0,
-            lates: 0,
+            partition_changes: 0,
+            restarts: 0,
+            late_uses: 0,
             daemons: [0, 1, 2].map(|index| LimitDaemon::new(index, 0)),
             starts: [0; DAEMONS],
-            cut: None,
-            arrived: [0; SPAN],
+            partitioned: None,
+            sent: [0; WINDOW],
         };
-        // Every daemon has heard the limit, and knows the others.
+        // Every daemon has received the limit and knows the others.
         for daemon in &mut state.daemons {
-            let heard = HeardNotice { sent: STEP, notice: notice() };
-            daemon.heard = Some(daemon.gate.heard(STEP, &life(), &heard).report);
+            let received = HeardNotice { sent: STEP, notice: notice() };
+            daemon.report = Some(daemon.gate.heard(STEP, &life(), &received).report);
         }
-        (0..DAEMONS).for_each(|index| self.notice(&mut state, index));
-        (0..DAEMONS).for_each(|index| self.tell(&mut state, index, index));
+        (0..DAEMONS).for_each(|index| self.update_view(&mut state, index));
+        (0..DAEMONS).for_each(|index| self.deliver_report(&mut state, index, index));
         state
     }
 
@@ -264,45 +273,50 @@
         };
         if state.steps < self.steps {
             add("a second passes".to_string(), &|after| self.pass_second(after, None));
-            for late in (0..DAEMONS).filter(|_| state.lates < self.lates) {
-                add(format!("a second passes, permits of {late} are used late"), &|after| {
-                    after.lates += 1;
+            for late in (0..DAEMONS).filter(|_| state.late_uses < self.late_uses) {
+                add(format!("a second passes, permits of daemon {late} are used late"), &|after| {
+                    after.late_uses += 1;
                     self.pass_second(after, Some(late));
                 });
             }
         }
         for index in 0..DAEMONS {
             let daemon = &state.daemons[index];
-            if daemon.believed_cut != state.cut || daemon.known != state.starts.map(Some) {
-                add(format!("{index} notices"), &|after| self.notice(after, index));
+            if daemon.believed_partitioned != state.partitioned
+                || daemon.known != state.starts.map(Some)
+            {
+                add(format!("daemon {index} updates its view"), &|after| {
+                    self.update_view(after, index)
+                });
             }
-            if state.cuts < self.cuts && state.cut.is_none() {
-                add(format!("{index} is cut off"), &|after| {
-                    after.cuts += 1;
-                    after.cut = Some(index);
+            if state.partition_changes < self.partition_changes && state.partitioned.is_none() {
+                add(format!("daemon {index} is partitioned"), &|after| {
+                    after.partition_changes += 1;
+                    after.partitioned = Some(index);
                 });
             }
-            if state.deaths < self.deaths {
-                add(format!("{index} starts again"), &|after| {
-                    after.deaths += 1;
-                    after.starts[index] = after.deaths;
-                    after.daemons[index] = LimitDaemon::new(index, after.deaths);
-                    after.daemons[index].excused = SPAN as u8;
+            if state.restarts < self.restarts {
+                add(format!("daemon {index} restarts"), &|after| {
+                    after.restarts += 1;
+                    after.starts[index] = after.restarts;
+                    after.daemons[index] = LimitDaemon::new(index, after.restarts);
+                    after.daemons[index].uncounted_steps = WINDOW as u8;
                 });
             }
         }
-        if state.cuts < self.cuts && state.cut.is_some() {
-            add("the cut heals".to_string(), &|after| {
-                after.cuts += 1;
-                after.cut = None;
+        if state.partition_changes < self.partition_changes && state.partitioned.is_some() {
+            add("the partition ends".to_string(), &|after| {
+                after.partition_changes += 1;
+                after.partitioned = None;
             });
         }
         next
     }
 
     fn violation(&self, state: &LimitState) -> Option<String> {
-        let arrived: usize = state.arrived.iter().sum();
-        (arrived > ALLOWED).then(|| "more requests reached the target than it takes".to_string())
+        let sent_in_window: usize = state.sent.iter().sum();
+        (sent_in_window > ALLOWED)
+            .then(|| "more requests reached the target than the users allow".to_string())
     }
 }
 
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs a model with larger bounds than CI does: `curlewcleat-model request --steps 6`.
+//! Explores a model with bounds from the command line, which may be larger than those of the tests:
+//! `curlewcleat-model request --steps 6`.
 
 use clap::{Parser, ValueEnum};
 use curlewcleat_model::{
@@ -6,7 +7,7 @@
     LevelFault, LevelModel, RequestFault, RequestModel,
 };
 
-/// Which model.
+/// The models that can be explored from the command line.
 #[derive(Clone, Copy, ValueEnum)]
 enum ModelName {
     Request,
@@ -24,24 +25,24 @@
     /// Steps of the clock (request, levels, drain) or changes of the table (keys).
     #[arg(long, default_value_t = 4)]
     steps: u8,
-    /// Further dispatches (request), messages repeated (keys) or lost (config, levels).
+    /// Retries (request), messages that are repeated (keys) or lost (config, levels).
     #[arg(long, default_value_t = 2)]
     faults: u8,
-    /// Requests (drain), asks (levels) or daemons that stop (keys).
+    /// Requests (drain), permit requests (levels) or daemons that stop (keys).
     #[arg(long, default_value_t = 4)]
     requests: u8,
-    /// Leave hand-overs out (keys).
+    /// Explore without hand-overs (keys).
     #[arg(long)]
     no_hand_overs: bool,
 }
 
 fn main() -> std::process::ExitCode {
-    let mut held = true;
+    let mut all_hold = true;
     for exploration in explorations(&Arguments::parse()) {
         println!("{exploration}");
-        held &= exploration.broken.is_none();
+        all_hold &= exploration.violation.is_none();
     }
-    if held {
+    if all_hold {
         std::process::ExitCode::SUCCESS
     } else {
         std::process::ExitCode::FAILURE
@@ -55,14 +56,14 @@
         ModelName::Keys => key_explorations(arguments),
         ModelName::Config => config_explorations(arguments),
         ModelName::Levels => {
-            let asks = (0..requests).map(|number| 2 - number % 3).collect();
-            vec![explore(&LevelModel { fault: LevelFault::None, asks, losses: faults, steps })]
+            let tiers = (0..requests).map(|number| 2 - number % 3).collect();
+            vec![explore(&LevelModel { fault: LevelFault::None, tiers, losses: faults, steps })]
         }
         ModelName::Drain => vec![explore(&DrainModel { fault: DrainFault::None, requests, steps })],
     }
 }
 
-/// Without a key, with one, and with one on its first attempt.
+/// Explores a request without a key, with a key, and with a key and the attempt number 1.
 fn request_explorations(arguments: &Arguments) -> Vec<Exploration> {
     let keys = [None, Some(None), Some(Some(1))];
     let models = keys.map(|key| RequestModel {
@@ -70,16 +71,16 @@
         attempts: u32::from(arguments.faults) + 1,
         steps: arguments.steps,
         key,
-        silences: 0,
+        unresponsive_count: 0,
     });
     models.iter().map(explore).collect()
 }
 
-/// With an opaque key, and with one that tells when it was minted.
+/// Explores an opaque key, and a key that contains the time of its creation.
 fn key_explorations(arguments: &Arguments) -> Vec<Exploration> {
-    let models = [false, true].map(|minted_later| KeyModel {
+    let models = [false, true].map(|timed_key| KeyModel {
         fault: KeyFault::None,
-        minted_later,
+        timed_key,
         moves: usize::from(arguments.steps),
         hand_overs: !arguments.no_hand_overs,
         stops: arguments.requests,
@@ -88,7 +89,7 @@
     models.iter().map(explore).collect()
 }
 
-/// With operators that apply different files, and the same file.
+/// Explores operators that apply different files, and operators that apply the same file.
 fn config_explorations(arguments: &Arguments) -> Vec<Exploration> {
     let models = [false, true].map(|same_file| ConfigModel {
         fault: ConfigFault::None,
--- a/crates/model/src/rates.rs
+++ b/crates/model/src/rates.rs
@@ -1,6 +1,7 @@
-//! Account rates over daemons that are cut off, die and take over: whatever they believe of each other,
-//! together they give out no more in a window than the rate, one burst, the margin of the leader, the
-//! reserve of its deputy, and what the daemons that do not yet know of a cut may give out meanwhile.
+//! Model of account rates shared by daemons that may be partitioned, may restart and may take over from each other.
+//! Whatever their views of each other, in one window they grant no more together than the rate, one burst, the margin
+//! of the leader, the reserve of its deputy, and what daemons that have not yet detected a partition may grant until
+//! they detect it.
 
 use std::time::Duration;
 
@@ -9,117 +10,118 @@
 
 use crate::explore::SpecModel;
 
-/// Daemons of the model.
+/// Number of daemons.
 const DAEMONS: usize = 3;
-/// One step of the clock.
+/// Duration of one step of the clock.
 const STEP: Duration = Duration::from_secs(1);
-/// Steps of a window.
+/// Number of steps in a window.
 const WINDOW: usize = 4;
-/// Steps after a change in which every daemon has noticed it.
-const NOTICE_STEPS: u8 = 1;
+/// Number of steps within which every daemon detects a change.
+const DETECTION_STEPS: u8 = 1;
 const RATE: SharedRate = SharedRate { per_s: 6, burst: 30, unit: RateUnit::Request };
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// A daemon that takes over has its own burst saved.
+    /// A daemon that becomes leader keeps the burst that it has saved.
     SavedBurst,
-    /// A daemon that is cut off gives out the whole rate.
+    /// A partitioned daemon grants the whole rate.
     WholeRateAlone,
-    /// A daemon that is asked out of turn has its part of the burst saved.
+    /// A daemon that receives requests without being the leader has its share of the burst available.
     BurstOutOfTurn,
-    /// A deputy has its reserve at once, whoever had one before.
+    /// A new deputy has its reserve at once, although an earlier deputy may have spent one.
     ReserveAtOnce,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct RateModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: RateFault,
-    /// Cuts and heals.
-    pub cuts: u8,
-    /// Daemons that die and start again at once.
-    pub deaths: u8,
-    /// Steps of the clock.
+    /// Number of times that a partition begins or ends.
+    pub partition_changes: u8,
+    /// Number of daemon restarts.
+    pub restarts: u8,
+    /// Number of clock steps.
     pub steps: u8,
-    /// Units by which the leader goes beyond the rate, and its deputy as well.
+    /// Units that the leader may grant beyond the rate, and its deputy as well.
     pub margin: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RateDaemon {
     rates: AccountRates,
-    /// Daemon that it believes to be cut off from the others, itself perhaps.
-    believed_cut: Option<usize>,
-    /// Whether it has heard of the others since it began.
-    knows: bool,
+    /// Daemon that it believes to be partitioned from the others, possibly itself.
+    believed_partitioned: Option<usize>,
+    /// Whether it knows the other daemons since its start.
+    knows_peers: bool,
     turn: RateTurn,
 }
 
-/// A state: daemons with what they believe, the true cut, and what was given out lately.
+/// State of the daemons and their views, the actual partition, and the units granted recently.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RateState {
     now: Uptime,
     steps: u8,
-    cuts: u8,
-    deaths: u8,
+    partition_changes: u8,
+    restarts: u8,
     daemons: [RateDaemon; DAEMONS],
-    /// Daemon that is cut off.
-    cut: Option<usize>,
-    /// Steps since the latest change that somebody may not have noticed.
-    unnoticed: u8,
-    /// Units given out in the latest steps, the newest last.
-    given: [u64; WINDOW],
-    /// Changes within the window, for the bound.
+    /// Daemon that is partitioned from the others.
+    partitioned: Option<usize>,
+    /// Number of steps since the latest change that some daemon may not have detected.
+    undetected_steps: u8,
+    /// Units granted in each step of the window, the newest last.
+    granted: [u64; WINDOW],
+    /// Number of changes in each step of the window; each one raises the bound.
     changes: [u8; WINDOW],
 }
 
 impl RateModel {
-    /// Whether a daemon reaches another one.
+    /// Checks whether a daemon reaches another one.
     fn reaches(state: &RateState, from: usize, to: usize) -> bool {
-        from == to || (state.cut != Some(from) && state.cut != Some(to))
+        from == to || (state.partitioned != Some(from) && state.partitioned != Some(to))
     }
 
-    /// Daemons that one believes to reach, itself among them.
-    fn believed(daemon: &RateDaemon, index: usize) -> Vec<usize> {
-        if !daemon.knows || daemon.believed_cut == Some(index) {
+    /// Returns the daemons that a daemon believes it reaches, including itself.
+    fn believed_reachable(daemon: &RateDaemon, index: usize) -> Vec<usize> {
+        if !daemon.knows_peers || daemon.believed_partitioned == Some(index) {
             return vec![index];
         }
-        (0..DAEMONS).filter(|other| daemon.believed_cut != Some(*other)).collect()
+        (0..DAEMONS).filter(|other| daemon.believed_partitioned != Some(*other)).collect()
     }
 
-    /// A daemon sees the world as it is; one that begins to lead begins with nothing saved.
-    fn notice(&self, state: &mut RateState, index: usize) {
-        let cut = state.cut;
+    /// Updates a daemon's view to the actual partition. A daemon that becomes leader or deputy starts with nothing
+    /// saved.
+    fn update_view(&self, state: &mut RateState, index: usize) {
+        let partitioned = state.partitioned;
         let now = state.now;
         let daemon = &mut state.daemons[index];
-        daemon.believed_cut = cut;
-        daemon.knows = true;
+        daemon.believed_partitioned = partitioned;
+        daemon.knows_peers = true;
         let turn = RateModel::turn(daemon, index);
         if turn != daemon.turn {
-            let forgets = match turn {
+            let restarts = match turn {
                 RateTurn::Leader => self.fault != RateFault::SavedBurst,
                 RateTurn::Deputy => self.fault != RateFault::ReserveAtOnce,
                 RateTurn::Other => false,
             };
-            if forgets {
+            if restarts {
                 daemon.rates.restart(now);
             }
         }
         daemon.turn = turn;
     }
 
-    fn no_rates(&self) -> AccountRates {
+    fn new_rates(&self) -> AccountRates {
         let window = STEP * WINDOW as u32;
         AccountRates::new(RateMargin { percent: 0, units: self.margin, window })
     }
 
-    /// Whose turn it is, as a daemon believes.
+    /// Returns the role that a daemon has in its own view.
     fn turn(daemon: &RateDaemon, index: usize) -> RateTurn {
-        let order = RateModel::believed(daemon, index);
+        let order = RateModel::believed_reachable(daemon, index);
         match order.iter().position(|other| *other == index) {
             Some(0) => RateTurn::Leader,
             Some(1) => RateTurn::Deputy,
@@ -127,24 +129,26 @@
         }
     }
 
-    /// Every daemon has more callers than it may serve, and asks whom it believes to lead. One that does
-    /// not answer is passed over, in the end for the daemon itself.
-    fn demand(&self, state: &mut RateState) -> u64 {
-        let mut given = 0;
+    /// Returns the units that all daemons grant in one step. Every daemon has more callers than it may serve, and
+    /// requests from the daemon that it believes to be leader. It skips daemons that don't answer, and uses itself as
+    /// the last resort.
+    fn grant_demand(&self, state: &mut RateState) -> u64 {
+        let mut granted = 0;
         for entry in 0..DAEMONS {
-            let order = RateModel::believed(&state.daemons[entry], entry);
+            let order = RateModel::believed_reachable(&state.daemons[entry], entry);
             let reached = order.iter().find(|other| RateModel::reaches(state, entry, **other));
             let scheduler = reached.copied().unwrap_or(entry);
-            given += self.drain(state, scheduler);
+            granted += self.take_all(state, scheduler);
         }
-        given
+        granted
     }
 
-    fn drain(&self, state: &mut RateState, index: usize) -> u64 {
+    /// Takes units from a daemon's rate until it refuses, and returns how many it granted.
+    fn take_all(&self, state: &mut RateState, index: usize) -> u64 {
         let now = state.now;
         let daemon = &mut state.daemons[index];
         let mut reached = match daemon.turn {
-            RateTurn::Leader => RateModel::believed(daemon, index).len(),
+            RateTurn::Leader => RateModel::believed_reachable(daemon, index).len(),
             RateTurn::Deputy | RateTurn::Other => 1,
         };
         if self.fault == RateFault::WholeRateAlone {
@@ -154,34 +158,35 @@
             RateFault::BurstOutOfTurn => RateTurn::Leader,
             _ => daemon.turn,
         };
-        let part = RatePart { reached, all: DAEMONS, turn };
-        let mut given = 0;
-        while daemon.rates.take(now, &"a".to_string(), &RATE, 1, part).is_ok() {
-            given += 1;
+        let rate_share = RatePart { reached, all: DAEMONS, turn };
+        let mut granted = 0;
+        while daemon.rates.take(now, &"a".to_string(), &RATE, 1, rate_share).is_ok() {
+            granted += 1;
         }
-        given
+        granted
     }
 
     fn step_clock(&self, state: &RateState) -> RateState {
         let mut next = state.clone();
         next.now += STEP;
         next.steps += 1;
-        next.given.rotate_left(1);
+        next.granted.rotate_left(1);
         next.changes.rotate_left(1);
         next.changes[WINDOW - 1] = 0;
-        if next.unnoticed >= NOTICE_STEPS {
-            next.unnoticed = 0;
-            (0..DAEMONS).for_each(|index| self.notice(&mut next, index));
+        if next.undetected_steps >= DETECTION_STEPS {
+            next.undetected_steps = 0;
+            (0..DAEMONS).for_each(|index| self.update_view(&mut next, index));
         } else {
-            next.unnoticed += 1;
+            next.undetected_steps += 1;
         }
-        next.given[WINDOW - 1] = self.demand(&mut next);
+        next.granted[WINDOW - 1] = self.grant_demand(&mut next);
         next
     }
 
-    fn changed(&self, state: &RateState) -> RateState {
+    /// Returns a copy of the state in which one more change has begun.
+    fn with_change(&self, state: &RateState) -> RateState {
         let mut next = state.clone();
-        next.unnoticed = 0;
+        next.undetected_steps = 0;
         next.changes[WINDOW - 1] += 1;
         next
     }
@@ -192,20 +197,20 @@
 
     fn initial(&self) -> RateState {
         let daemon = |index: usize| RateDaemon {
-            rates: self.no_rates(),
-            believed_cut: None,
-            knows: true,
+            rates: self.new_rates(),
+            believed_partitioned: None,
+            knows_peers: true,
             turn: [RateTurn::Leader, RateTurn::Deputy, RateTurn::Other][index],
         };
         RateState {
             now: Duration::from_secs(100),
             steps: 0,
-            cuts: 0,
-            deaths: 0,
+            partition_changes: 0,
+            restarts: 0,
             daemons: [daemon(0), daemon(1), daemon(2)],
-            cut: None,
-            unnoticed: 0,
-            given: [0; WINDOW],
+            partitioned: None,
+            undetected_steps: 0,
+            granted: [0; WINDOW],
             changes: [0; WINDOW],
         }
     }
@@ -215,44 +220,49 @@
         if state.steps < self.steps {
             steps.push(("a second passes".to_string(), self.step_clock(state)));
         }
-        if state.cuts < self.cuts {
+        if state.partition_changes < self.partition_changes {
             for index in 0..DAEMONS {
-                let mut next = self.changed(state);
-                next.cuts += 1;
-                next.cut = if state.cut == Some(index) { None } else { Some(index) };
-                steps.push((format!("daemon {index} is cut off, or back"), next));
+                let mut next = self.with_change(state);
+                next.partition_changes += 1;
+                next.partitioned =
+                    if state.partitioned == Some(index) { None } else { Some(index) };
+                steps.push((format!("a partition of daemon {index} begins or ends"), next));
             }
         }
-        if state.deaths < self.deaths {
+        if state.restarts < self.restarts {
             for index in 0..DAEMONS {
-                let mut next = self.changed(state);
-                next.deaths += 1;
+                let mut next = self.with_change(state);
+                next.restarts += 1;
                 let now = next.now;
-                let mut rates = self.no_rates();
+                let mut rates = self.new_rates();
                 rates.restart(now);
-                next.daemons[index] =
-                    RateDaemon { rates, believed_cut: None, knows: false, turn: RateTurn::Other };
-                steps.push((format!("daemon {index} dies and starts again"), next));
+                next.daemons[index] = RateDaemon {
+                    rates,
+                    believed_partitioned: None,
+                    knows_peers: false,
+                    turn: RateTurn::Other,
+                };
+                steps.push((format!("daemon {index} restarts"), next));
             }
         }
         for index in 0..DAEMONS {
             let mut next = state.clone();
-            self.notice(&mut next, index);
+            self.update_view(&mut next, index);
             if next != *state {
-                steps.push((format!("daemon {index} notices"), next));
+                steps.push((format!("daemon {index} updates its view"), next));
             }
         }
         steps
     }
 
     fn violation(&self, state: &RateState) -> Option<String> {
-        let given: u64 = state.given.iter().sum();
+        let granted: u64 = state.granted.iter().sum();
         let changes: u64 = state.changes.iter().map(|count| u64::from(*count)).sum();
-        // Until a change is noticed, one daemon may give out the whole rate beside the one that leads.
-        let unnoticed = RATE.per_s * u64::from(NOTICE_STEPS + 1) * changes;
+        // Until a change is detected, one daemon may grant the whole rate in addition to the leader.
+        let undetected_units = RATE.per_s * u64::from(DETECTION_STEPS + 1) * changes;
         let margins = 2 * self.margin;
         let allowed =
-            RATE.per_s * WINDOW as u64 + RATE.burst + margins + unnoticed + DAEMONS as u64;
-        (given > allowed).then(|| "more was given out in a window than rate and burst".to_string())
+            RATE.per_s * WINDOW as u64 + RATE.burst + margins + undetected_units + DAEMONS as u64;
+        (granted > allowed).then(|| "more was granted in a window than rate and burst".to_string())
     }
 }
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,11 +1,10 @@
-//! Request, permit and dispatch: one entry, schedulers and a network that may do anything, targets
-//! that refuse, run, cut and leave unanswered, and that start again under their id with a request on its
-//! way to the earlier life.
+//! Model of request, permit and dispatch: one entry daemon, schedulers and a network without any guarantees, and
+//! targets that refuse or run a request, close the connection, don't answer, or restart under their id while a request
+//! is in transit to the previous instance.
 //!
-//! The schedulers are not modelled as they are but as the worst that they and the network could be:
-//! any answer to any attempt that was asked for may arrive from either scheduler at any time, any
-//! number of times. That covers loss, repetition, delay, two schedulers at once and a scheduler that
-//! wakes after a pause. The entry is the daemon's own state machine.
+//! The schedulers aren't the product's code but the worst case of schedulers and network: any answer to any permit
+//! request may arrive from either scheduler at any time, any number of times. That covers loss, repetition, delay, two
+//! schedulers at once and a scheduler that resumes after a pause. The entry daemon is the product's state machine.
 
 mod silence;
 
@@ -22,80 +21,82 @@
 use crate::explore::SpecModel;
 
 const POOL: &str = "pool";
-/// One step of the clock; longer than the entry waits for a sign of its scheduler.
+/// One step of the clock; longer than the entry daemon waits for an answer of its scheduler.
 const STEP: Duration = Duration::from_millis(300);
-/// Targets that a scheduler may name.
+/// Targets that a scheduler may grant.
 const TARGETS: [&str; 2] = ["t0", "t1"];
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// A connection that ends under a written request is taken for one that never stood.
+    /// A connection that closes after the request was written is treated as one that was never established.
     CutTakenForNotRun,
-    /// The later life of a target says that it did not run a request that was written to the earlier one, and
-    /// that is taken for proof.
+    /// The new instance of a target reports that it did not run a request that was written to the previous instance,
+    /// and this is accepted as proof.
     LaterLifeTakenForProof,
-    /// Every grant is followed, also a repeated one.
+    /// Every grant leads to a dispatch, also a repeated one.
     EveryGrantDispatches,
-    /// A request that was sent and has no answer is refused as not run.
+    /// A request that was sent and got no answer is reported as not run.
     UnansweredToldNotRun,
-    /// A silent target is left before another one is granted.
+    /// An unresponsive target is given up before another one is granted.
     SilentTargetLeft,
-    /// A refusal of another target ends the request.
+    /// A refusal of the permit for another target ends the request.
     RefusalEndsRequest,
-    /// The permit of a silent target that was left is not given back.
+    /// The permit of an unresponsive target that was replaced isn't returned.
     KeptPermitLost,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct RequestModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: RequestFault,
-    /// Dispatches that the entry may try.
+    /// Number of dispatches that the entry daemon may try.
     pub attempts: u32,
-    /// Steps of the clock; the deadline passes after `steps - 1`.
+    /// Number of clock steps; the deadline passes after `steps - 1`.
     pub steps: u8,
-    /// Whether the request has a key, with the caller's attempt number.
+    /// Whether the request has a key, and the caller's attempt number if it is given.
     pub key: Option<Option<u32>>,
-    /// Times that a target may be silent. Where there are any, the request may run more than once.
-    pub silences: u8,
+    /// Number of times that a target may be unresponsive. If it isn't 0, the request may run more than once.
+    pub unresponsive_count: u8,
 }
 
-/// A state: the entry, what is under way at targets, what ran, what the caller was told.
+/// State of the entry daemon, the exchanges with targets, the runs, and the verdict that the caller received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestState {
     now: Uptime,
     steps: u8,
     entry: EntryRequests,
-    /// Which schedulers the entry sees.
-    seen: [bool; 2],
-    asked: BTreeSet<PermitId>,
+    /// Whether each scheduler is in the entry daemon's view.
+    in_view: [bool; 2],
+    requested_permits: BTreeSet<PermitId>,
     claimed: bool,
     exchanges: BTreeMap<PermitId, TargetId>,
     dispatched: BTreeMap<PermitId, u8>,
     runs: u8,
-    told: Option<Verdict>,
+    reported_verdict: Option<Verdict>,
     dispatched_after_end: bool,
-    /// Permits with which targets were granted that are not given back.
-    in_use: BTreeSet<PermitId>,
-    silences: u8,
-    /// Whether the target that has the request is silent.
-    silent: bool,
-    /// Another target that was granted; the holder of the connection has not seen it yet.
+    /// Permits that were granted and have not been returned.
+    unreturned_permits: BTreeSet<PermitId>,
+    unresponsive_count: u8,
+    /// Whether the target that has the request is unresponsive.
+    is_unresponsive: bool,
+    /// Another target that was granted, which the connection holder has not yet looked at.
     offered: Option<(PermitId, TargetId)>,
-    /// Whether a target that was left may have run it.
+    /// Whether a target that was given up may have run the request.
     may_have_run: bool,
-    /// Whether it was left at a target that was at work, and is at none.
-    left_at_work: bool,
-    breach: Option<&'static str>,
+    /// Whether the request was taken from a working target and is at no other one.
+    left_working_target: bool,
+    /// Invariant that a step has violated.
+    violated_invariant: Option<&'static str>,
 }
 
 impl RequestModel {
     fn order(state: &RequestState) -> Vec<DaemonId> {
-        let order: Vec<DaemonId> = (0..2).filter(|index| state.seen[*index]).map(daemon).collect();
+        let order: Vec<DaemonId> =
+            (0..2).filter(|index| state.in_view[*index]).map(daemon).collect();
         if order.is_empty() {
             vec![daemon(0)]
         } else {
@@ -103,16 +104,18 @@
         }
     }
 
-    fn perform(&self, state: &mut RequestState, actions: Vec<EntryAction>) {
+    fn perform_actions(&self, state: &mut RequestState, actions: Vec<EntryAction>) {
         for action in actions {
             match action {
-                EntryAction::RequestPermit(_, ask) => {
-                    state.asked.insert(ask.permit);
+                EntryAction::RequestPermit(_, request) => {
+                    state.requested_permits.insert(request.permit);
                 }
                 EntryAction::ClaimKey(_) => state.claimed = true,
                 EntryAction::Dispatch { permit, target } => silence::offer(state, permit, target),
                 EntryAction::Refuse(_, refusal) => silence::refuse(state, refusal.verdict),
-                EntryAction::ReturnPermit(_, back) => silence::give_back(state, back.permit),
+                EntryAction::ReturnPermit(_, permit_return) => {
+                    silence::return_permit(state, permit_return.permit)
+                }
                 EntryAction::HoldPermit(..)
                 | EntryAction::Replay(..)
                 | EntryAction::ReportKey(_)
@@ -122,7 +125,7 @@
         }
     }
 
-    /// An answer of a scheduler arrives.
+    /// Delivers an answer of a scheduler.
     fn answer(
         &self,
         state: &RequestState,
@@ -138,7 +141,7 @@
         if let (RequestFault::EveryGrantDispatches, PermitDecision::Granted(target)) =
             (self.fault, decision)
         {
-            if next.told.is_none() && next.entry.len() == 1 {
+            if next.reported_verdict.is_none() && next.entry.len() == 1 {
                 dispatch(&mut next, permit, target.clone());
                 return next;
             }
@@ -147,7 +150,7 @@
         let order = Self::order(&next);
         let from = daemon(from).vm;
         let actions = next.entry.permit_answered(next.now, &from, answer, &|_| order.clone());
-        self.perform(&mut next, actions);
+        self.perform_actions(&mut next, actions);
         next
     }
 
@@ -158,7 +161,7 @@
         decisions.extend(refusals);
         decisions.extend(TARGETS.map(|target| PermitDecision::Granted(target.to_string())));
         let mut steps = Vec::new();
-        for permit in &state.asked {
+        for permit in &state.requested_permits {
             for from in 0..2 {
                 for decision in &decisions {
                     let name = format!(
@@ -172,7 +175,7 @@
         steps
     }
 
-    /// The holder of the key answers, as often as it likes.
+    /// Returns the answers of the key holder, which may arrive any number of times.
     fn key_answers(&self, state: &RequestState) -> Vec<(String, RequestState)> {
         let refused = Refusal::may_have_run(RefusalReason::KeyMayHaveRun, None);
         let decisions =
@@ -183,13 +186,13 @@
             let name = format!("the key's holder answers {decision:?}");
             let answer = KeyAnswer { request: request(), decision };
             let actions = next.entry.key_answered(next.now, answer, &|_| order.clone());
-            self.perform(&mut next, actions);
+            self.perform_actions(&mut next, actions);
             (name, next)
         });
         steps.collect()
     }
 
-    /// Every way in which an exchange with a target may go.
+    /// Returns the possible ends of an exchange with a target.
     fn exchange_ends(&self, state: &RequestState, permit: PermitId) -> Vec<(String, RequestState)> {
         let mut open = state.clone();
         open.exchanges.remove(&permit);
@@ -198,34 +201,42 @@
         let mut refused = open.clone();
         self.not_run(&mut refused);
         ends.push((format!("the target refuses the connection of attempt {attempt}"), refused));
-        let mut whole = open.clone();
-        whole.runs += 1;
-        self.finish(&mut whole, Verdict::Ran);
-        ends.push((format!("the target runs attempt {attempt} and answers"), whole));
+        let mut complete = open.clone();
+        complete.runs += 1;
+        self.finish(&mut complete, Verdict::Ran);
+        ends.push((format!("the target runs attempt {attempt} and answers"), complete));
         for ran in [true, false] {
-            let mut cut = open.clone();
-            cut.runs += u8::from(ran);
+            let mut closed = open.clone();
+            closed.runs += u8::from(ran);
             match self.fault {
-                RequestFault::CutTakenForNotRun => self.not_run(&mut cut),
-                _ if self.silences > 0 => self.broke_off(&mut cut),
-                _ => self.finish(&mut cut, Verdict::MayHaveRun),
+                RequestFault::CutTakenForNotRun => self.not_run(&mut closed),
+                _ if self.unresponsive_count > 0 => self.interrupt(&mut closed),
+                _ => self.finish(&mut closed, Verdict::MayHaveRun),
             }
             let when = if ran { "after" } else { "before" };
-            ends.push((format!("the connection of attempt {attempt} ends {when} it ran"), cut));
+            ends.push((
+                format!("the connection of attempt {attempt} closes {when} it ran"),
+                closed,
+            ));
         }
-        ends.extend([true, false].map(|ran| self.starts_again(&open, attempt, ran)));
-        let mut left = open;
-        left.runs += 1;
-        let actions = left.entry.cancelled(request());
-        self.perform(&mut left, actions);
-        left.told = Some(Verdict::MayHaveRun);
-        ends.push((format!("the caller leaves while attempt {attempt} runs"), left));
+        ends.extend([true, false].map(|ran| self.restart_target(&open, attempt, ran)));
+        let mut disconnected = open;
+        disconnected.runs += 1;
+        let actions = disconnected.entry.cancelled(request());
+        self.perform_actions(&mut disconnected, actions);
+        disconnected.reported_verdict = Some(Verdict::MayHaveRun);
+        ends.push((format!("the caller disconnects while attempt {attempt} runs"), disconnected));
         ends
     }
 
-    /// The target of an attempt starts again, and its later life declines what it is asked. The earlier one
-    /// may have run the attempt.
-    fn starts_again(&self, open: &RequestState, attempt: u32, ran: bool) -> (String, RequestState) {
+    /// Restarts the target of an attempt. The new instance declines the attempt, which the previous instance may have
+    /// run.
+    fn restart_target(
+        &self,
+        open: &RequestState,
+        attempt: u32,
+        ran: bool,
+    ) -> (String, RequestState) {
         let mut next = open.clone();
         next.runs += u8::from(ran);
         match self.fault {
@@ -233,7 +244,7 @@
             _ => self.finish(&mut next, Verdict::MayHaveRun),
         }
         let when = if ran { "after" } else { "before" };
-        (format!("the target of attempt {attempt} starts again {when} it ran"), next)
+        (format!("the target of attempt {attempt} restarts {when} it ran"), next)
     }
 
     fn not_run(&self, state: &mut RequestState) {
@@ -243,8 +254,8 @@
     fn not_run_for(&self, state: &mut RequestState, end: AttemptEnd, retry: RetryReason) {
         let order = Self::order(state);
         let actions = state.entry.not_run(state.now, request(), end, retry, &|_| order.clone());
-        state.silent = false;
-        self.perform(state, actions);
+        state.is_unresponsive = false;
+        self.perform_actions(state, actions);
         silence::follow_offer(state);
     }
 
@@ -252,10 +263,10 @@
         let end =
             if verdict == Verdict::Ran { AttemptEnd::Whole(STEP) } else { AttemptEnd::Failed };
         let actions = state.entry.finished(request(), verdict, end, None);
-        self.perform(state, actions);
-        let untrue =
+        self.perform_actions(state, actions);
+        let is_false =
             self.fault == RequestFault::UnansweredToldNotRun && verdict == Verdict::MayHaveRun;
-        state.told = Some(if untrue { Verdict::NotRun } else { verdict });
+        state.reported_verdict = Some(if is_false { Verdict::NotRun } else { verdict });
     }
 
     fn step_clock(&self, state: &RequestState) -> RequestState {
@@ -264,16 +275,16 @@
         next.steps += 1;
         let order = Self::order(&next);
         let actions = next.entry.tick(next.now, &|_| order.clone());
-        self.perform(&mut next, actions);
+        self.perform_actions(&mut next, actions);
         next
     }
 
     fn change_view(&self, state: &RequestState, index: usize) -> RequestState {
         let mut next = state.clone();
-        next.seen[index] = !next.seen[index];
+        next.in_view[index] = !next.in_view[index];
         let order = Self::order(&next);
         let actions = next.entry.schedulers_changed(next.now, &|_| order.clone());
-        self.perform(&mut next, actions);
+        self.perform_actions(&mut next, actions);
         next
     }
 
@@ -300,25 +311,25 @@
             now: Duration::ZERO,
             steps: 0,
             entry: EntryRequests::new(options),
-            seen: [true, true],
-            asked: BTreeSet::new(),
+            in_view: [true, true],
+            requested_permits: BTreeSet::new(),
             claimed: false,
             exchanges: BTreeMap::new(),
             dispatched: BTreeMap::new(),
             runs: 0,
-            told: None,
+            reported_verdict: None,
             dispatched_after_end: false,
-            in_use: BTreeSet::new(),
-            silences: 0,
-            silent: false,
+            unreturned_permits: BTreeSet::new(),
+            unresponsive_count: 0,
+            is_unresponsive: false,
             offered: None,
             may_have_run: false,
-            left_at_work: false,
-            breach: None,
+            left_working_target: false,
+            violated_invariant: None,
         };
         let order = Self::order(&state);
         let actions = state.entry.admit(state.now, self.spec(), &|_| order.clone());
-        self.perform(&mut state, actions);
+        self.perform_actions(&mut state, actions);
         state
     }
 
@@ -329,7 +340,7 @@
         }
         for permit in state.exchanges.keys() {
             steps.extend(self.exchange_ends(state, *permit));
-            steps.extend(self.silence_steps(state, *permit));
+            steps.extend(self.unresponsive_steps(state, *permit));
         }
         if state.steps < self.steps {
             steps.push(("300 ms pass".to_string(), self.step_clock(state)));
@@ -344,19 +355,19 @@
     }
 
     fn violation(&self, state: &RequestState) -> Option<String> {
-        if state.runs > 1 && self.silences == 0 {
+        if state.runs > 1 && self.unresponsive_count == 0 {
             return Some("the request ran twice".to_string());
         }
-        if state.told == Some(Verdict::NotRun) && state.runs > 0 {
-            return Some("the caller was told \"not run\" and it ran".to_string());
+        if state.reported_verdict == Some(Verdict::NotRun) && state.runs > 0 {
+            return Some("the request was reported as not run and it ran".to_string());
         }
         if state.dispatched.values().any(|count| *count > 1) {
             return Some("one permit was used twice".to_string());
         }
         if state.dispatched_after_end {
-            return Some("it was sent after its caller had its answer".to_string());
+            return Some("the request was sent after its caller had the answer".to_string());
         }
-        match self.silences {
+        match self.unresponsive_count {
             0 => None,
             _ => silence::violation(state, self.attempts).map(str::to_string),
         }
@@ -364,8 +375,8 @@
 }
 
 fn dispatch(state: &mut RequestState, permit: PermitId, target: TargetId) {
-    state.dispatched_after_end |= state.told.is_some();
-    state.left_at_work = false;
+    state.dispatched_after_end |= state.reported_verdict.is_some();
+    state.left_working_target = false;
     *state.dispatched.entry(permit).or_default() += 1;
     state.exchanges.insert(permit, target);
 }
@@ -378,7 +389,7 @@
     DaemonId { vm: format!("s{index}"), incarnation: 1 }
 }
 
-/// A pool of targets with some slots each.
+/// Creates a pool of targets with the given number of slots each.
 pub(crate) fn pool(targets: &[&str], slots: u32) -> TargetPool {
     let entry = |id: &&str| {
         let entry = TargetEntry {
--- a/crates/model/src/request/silence.rs
+++ b/crates/model/src/request/silence.rs
@@ -1,7 +1,8 @@
-//! A request that may run more than once and whose target is silent: the steps of the holder of its connection.
+//! Steps of the connection holder (the task that holds the connection to the target) for a request that may run more
+//! than once and whose target is unresponsive.
 //!
-//! What the node tells the holder waits until it is looked at, so that it crosses whatever the target does; what the
-//! holder tells the node arrives at once.
+//! A replacement that the node offers waits until the connection holder looks at it, so any step of the target may come
+//! before. What the connection holder reports to the node arrives immediately.
 
 use curlewcleat_core::{AttemptEnd, PermitDecision, PermitId, RetryReason, TargetId, Verdict};
 use curlewcleat_sched::{EntryAction, ReplacementStep};
@@ -9,139 +10,151 @@
 use super::{dispatch, request, RequestFault, RequestModel, RequestState};
 
 impl RequestModel {
-    /// Whether this answer ends the request, by the fault that was put in.
+    /// Checks whether this answer ends the request because of the fault `RefusalEndsRequest`.
     pub(super) fn ends_at_refusal(
         &self,
         state: &RequestState,
         permit: PermitId,
         decision: &PermitDecision,
     ) -> bool {
-        let refused = matches!(decision, PermitDecision::Refused(_));
-        let of_other = state.silent && !state.exchanges.contains_key(&permit);
-        self.fault == RequestFault::RefusalEndsRequest && refused && of_other
+        let is_refusal = matches!(decision, PermitDecision::Refused(_));
+        let is_of_other_permit = state.is_unresponsive && !state.exchanges.contains_key(&permit);
+        self.fault == RequestFault::RefusalEndsRequest && is_refusal && is_of_other_permit
     }
 
-    /// The target that has the request is silent, speaks again, or is left for another one.
-    pub(super) fn silence_steps(
+    /// Returns the steps of an unresponsive target: it stops responding, responds again, or is replaced by another one.
+    pub(super) fn unresponsive_steps(
         &self,
         state: &RequestState,
-        at: PermitId,
+        current_permit: PermitId,
     ) -> Vec<(String, RequestState)> {
         let mut steps = Vec::new();
-        let attempt = at.attempt;
-        if state.silences < self.silences {
-            let name = format!("the target of attempt {attempt} is silent");
-            steps.push((name, self.fall_silent(state, at)));
+        let attempt = current_permit.attempt;
+        if state.unresponsive_count < self.unresponsive_count {
+            let name = format!("the target of attempt {attempt} stops responding");
+            steps.push((name, self.stop_responding(state, current_permit)));
         }
-        if state.silent {
+        if state.is_unresponsive {
             let mut next = state.clone();
-            next.silent = false;
-            self.tell(&mut next, ReplacementStep::Unwanted);
-            steps.push((format!("the target of attempt {attempt} speaks again"), next));
+            next.is_unresponsive = false;
+            self.report_step(&mut next, ReplacementStep::Unwanted);
+            steps.push((format!("the target of attempt {attempt} responds again"), next));
         }
-        if state.offered.is_some() && state.silent {
-            steps.push((format!("the target of attempt {attempt} is left"), self.take(state, at)));
-            let unreachable = self.pass_over(state, ReplacementStep::Unreachable);
-            steps.push(("the other target takes no connection".to_string(), unreachable));
+        if state.offered.is_some() && state.is_unresponsive {
+            steps.push((
+                format!("the target of attempt {attempt} is replaced"),
+                self.replace_target(state, current_permit),
+            ));
+            let unreachable = self.reject_offer(state, ReplacementStep::Unreachable);
+            steps.push(("the other target accepts no connection".to_string(), unreachable));
         }
         if state.offered.is_some() {
-            let declined = self.pass_over(state, ReplacementStep::Declined);
+            let declined = self.reject_offer(state, ReplacementStep::Declined);
             steps.push(("the other target is not needed".to_string(), declined));
         }
         steps
     }
 
-    fn fall_silent(&self, state: &RequestState, at: PermitId) -> RequestState {
+    /// The target stops responding, and a replacement is requested.
+    fn stop_responding(&self, state: &RequestState, current_permit: PermitId) -> RequestState {
         let mut next = state.clone();
-        next.silences += 1;
+        next.unresponsive_count += 1;
         if self.fault == RequestFault::SilentTargetLeft {
-            next.exchanges.remove(&at);
-            next.left_at_work = true;
-            self.broke_off(&mut next);
+            next.exchanges.remove(&current_permit);
+            next.left_working_target = true;
+            self.interrupt(&mut next);
             return next;
         }
-        next.silent = true;
-        self.tell(&mut next, ReplacementStep::Wanted);
+        next.is_unresponsive = true;
+        self.report_step(&mut next, ReplacementStep::Wanted);
         next
     }
 
-    /// The silent target, which may run the request, is left for the other one.
-    fn take(&self, state: &RequestState, at: PermitId) -> RequestState {
+    /// Replaces the unresponsive target, which may run the request, by the offered one.
+    fn replace_target(&self, state: &RequestState, current_permit: PermitId) -> RequestState {
         let mut next = state.clone();
         let Some((permit, target)) = next.offered.take() else { return next };
-        next.exchanges.remove(&at);
+        next.exchanges.remove(&current_permit);
         next.runs += 1;
         next.may_have_run = true;
-        next.silent = false;
-        self.tell(&mut next, ReplacementStep::Taken);
+        next.is_unresponsive = false;
+        self.report_step(&mut next, ReplacementStep::Taken);
         dispatch(&mut next, permit, target);
         next
     }
 
-    fn pass_over(&self, state: &RequestState, step: ReplacementStep) -> RequestState {
+    /// Rejects the offered target, for the reason that the step gives.
+    fn reject_offer(&self, state: &RequestState, step: ReplacementStep) -> RequestState {
         let mut next = state.clone();
         next.offered = None;
-        self.tell(&mut next, step);
+        self.report_step(&mut next, step);
         next
     }
 
-    fn tell(&self, state: &mut RequestState, step: ReplacementStep) {
+    /// Reports a step of the replacement to the node.
+    fn report_step(&self, state: &mut RequestState, step: ReplacementStep) {
         let order = Self::order(state);
         let mut actions = state.entry.replacement(state.now, request(), step, &|_| order.clone());
         if self.fault == RequestFault::KeptPermitLost && step == ReplacementStep::Taken {
             actions.retain(|action| !matches!(action, EntryAction::ReturnPermit(..)));
         }
-        self.perform(state, actions);
+        self.perform_actions(state, actions);
     }
 
-    /// A target that may have run the request gives no whole answer; it goes to another one.
-    pub(super) fn broke_off(&self, state: &mut RequestState) {
+    /// The target, which may have run the request, gives no complete answer, and the request is sent to another one.
+    pub(super) fn interrupt(&self, state: &mut RequestState) {
         state.may_have_run = true;
         self.not_run_for(state, AttemptEnd::Failed, RetryReason::StreamResumed);
     }
 }
 
-/// Whoever waits for a target follows its grant at once; whoever is at one has it before them.
+/// Dispatches a granted request that is at no target, or records the grant as an offer if the request is at a target.
 pub(super) fn offer(state: &mut RequestState, permit: PermitId, target: TargetId) {
-    state.in_use.insert(permit);
+    state.unreturned_permits.insert(permit);
     match state.exchanges.is_empty() {
         true => dispatch(state, permit, target),
         false => state.offered = Some((permit, target)),
     }
 }
 
+/// Dispatches the request to the offered target, if there is one.
 pub(super) fn follow_offer(state: &mut RequestState) {
     if let Some((permit, target)) = state.offered.take() {
         dispatch(state, permit, target);
     }
 }
 
+/// Refuses the request, which must neither be at a target nor have been taken from a working one.
 pub(super) fn refuse(state: &mut RequestState, verdict: Verdict) {
     if !state.exchanges.is_empty() {
-        state.breach = Some("it was refused while a target had it");
-    } else if state.left_at_work {
-        state.breach = Some("it was given up though its target was at work");
+        state.violated_invariant = Some("the request was refused while a target had it");
+    } else if state.left_working_target {
+        state.violated_invariant = Some("the request was given up while its target was working");
     }
-    state.told = Some(if state.may_have_run { Verdict::MayHaveRun } else { verdict });
+    state.reported_verdict = Some(if state.may_have_run { Verdict::MayHaveRun } else { verdict });
 }
 
-pub(super) fn give_back(state: &mut RequestState, permit: PermitId) {
+/// Returns a permit, whose target must not have the request.
+pub(super) fn return_permit(state: &mut RequestState, permit: PermitId) {
     if state.exchanges.contains_key(&permit) {
-        state.breach = Some("the permit of a target that has it was given back");
+        state.violated_invariant = Some("the permit of a target that has the request was returned");
     }
-    state.in_use.remove(&permit);
+    state.unreturned_permits.remove(&permit);
 }
 
-/// What must not come of a silent target.
+/// Returns the invariant that the handling of an unresponsive target has violated.
 pub(super) fn violation(state: &RequestState, attempts: u32) -> Option<&'static str> {
     if state.exchanges.len() > 1 {
-        return Some("it was at two targets at once");
+        return Some("the request was at two targets at once");
     }
     if state.dispatched.len() > attempts as usize {
-        return Some("it was sent to more targets than its rule allows");
+        return Some("the request was sent to more targets than its rule allows");
     }
-    if state.told.is_some() && state.breach.is_none() && !state.in_use.is_empty() {
-        return Some("a permit was not given back");
+    if state.reported_verdict.is_some()
+        && state.violated_invariant.is_none()
+        && !state.unreturned_permits.is_empty()
+    {
+        return Some("a permit was not returned");
     }
-    state.breach
+    state.violated_invariant
 }
--- a/crates/model/src/rollout.rs
+++ b/crates/model/src/rollout.rs
@@ -1,8 +1,9 @@
-//! A roll-out before two daemons that may be cut off from each other: what the version gets, and how it ends.
+//! Model of a rollout at two daemons that may be partitioned from each other: the requests that the new version gets,
+//! and the end of the rollout.
 //!
-//! Each daemon has the product's [`PoolVersions`] and [`TrialShare`]. Whoever believes to schedule decides, in any way; words
-//! between daemons, reads of the platform and writes to it come at any later time, or never. A move is completed once the words
-//! of it have had time to reach the other daemon, if it is in reach.
+//! Each daemon has the product's [`PoolVersions`] and [`TrialShare`]. A daemon that believes it is the scheduler may
+//! take any decision. Reports between daemons, reads of the platform and writes to it take effect at any later time, or
+//! never. A move is completed only after its reports have had time to reach the other daemon, if that one is reachable.
 
 use std::time::Duration;
 
@@ -13,36 +14,36 @@
 
 use crate::explore::SpecModel;
 
-/// Daemons of the model; the first one schedules where it reaches the other.
+/// Number of daemons; the first one is the scheduler while it reaches the other one.
 const DAEMONS: usize = 2;
 const NOW: Uptime = Duration::from_secs(100);
-/// The part of all requests that the version may get, in thousandths, and requests beyond it.
+/// Share of all requests that the new version may get, in permille, and the number of requests allowed beyond it.
 const LIMITS: RolloutLimits = RolloutLimits { permille: 250, slack: 2 };
 const OLD: &str = "v1";
 const NEW: &str = "v2";
 
-/// A fault put into the protocol, which the search must find.
+/// A fault injected into the protocol, which the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutFault {
-    /// The protocol as it is.
+    /// No fault.
     None,
-    /// Each scheduler gives out the whole share.
+    /// Each scheduler grants the whole share.
     WholeShareEach,
-    /// The platform takes a write whatever the order's revision.
+    /// The platform accepts a write whatever the order's revision.
     Unconditional,
-    /// A move is completed while requests are at work at the targets before it.
+    /// A move is completed while requests run at targets of the old version.
     DoesNotWait,
 }
 
-/// The specification with its bounds.
+/// The specification and its bounds.
 #[derive(Clone, Debug)]
 pub struct RolloutModel {
-    /// Fault put in.
+    /// Injected fault.
     pub fault: RolloutFault,
-    /// Requests that come to each daemon.
+    /// Number of requests that arrive at each daemon.
     pub requests: u8,
-    /// Cuts and heals.
-    pub cuts: u8,
+    /// Number of times that a partition begins or ends.
+    pub partition_changes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -50,34 +51,35 @@
     versions: PoolVersions,
     share: TrialShare,
     requests: u8,
-    /// Whether a request of it is at work at a target of the old version.
-    at_work: bool,
-    /// Whether it was cut off, and has not since heard the other, with none of its requests left from then.
-    excused: bool,
-    /// A write on its way to the platform.
+    /// Whether one of its requests runs at a target of the old version.
+    runs_at_old: bool,
+    /// Whether its running requests are ignored by the check of a completed rollout. Set when a partition begins;
+    /// cleared by a report that it receives while it has no running request and no write is in transit.
+    is_exempt: bool,
+    /// A write in transit to the platform: stage and expected revision.
     write: Option<(RolloutStage, u64)>,
-    /// Revision on which it has written that the version is completed, whatever has become of that.
-    completed_on: Option<u64>,
+    /// Expected revision of its write of `Completed`, whether or not the write took effect.
+    completed_revision: Option<u64>,
 }
 
-/// A state: what the platform keeps, and the daemons.
+/// State of the platform's record and of the daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RolloutState {
-    ended: Option<RolloutStage>,
+    recorded_end: Option<RolloutStage>,
     revision: u64,
-    /// Whether the platform's word has changed once it was final.
-    changed_again: bool,
-    /// Whether a request was at work at the old version as the platform took that it is completed.
-    cut_off: bool,
+    /// Whether the recorded end has changed after it was final.
+    end_changed: bool,
+    /// Whether a request ran at the old version when the platform accepted `Completed`.
+    completed_too_early: bool,
     daemons: [RolloutDaemon; DAEMONS],
-    is_cut: bool,
-    cuts: u8,
-    /// Requests on trial, and all until the pool was moved.
-    tried: u64,
-    all: u64,
+    is_partitioned: bool,
+    partition_changes: u8,
+    /// Number of requests on trial, and of all requests until the pool was moved.
+    trial_requests: u64,
+    all_requests: u64,
 }
 
-fn told(version: &str) -> ToldVersion {
+fn reported_version(version: &str) -> ToldVersion {
     Some(version.to_string())
 }
 
@@ -91,7 +93,7 @@
         RolloutRecord {
             name: "p".to_string(),
             order: order(),
-            ended: self.ended,
+            ended: self.recorded_end,
             noted: true,
             revision: self.revision,
         }
@@ -102,81 +104,87 @@
         rollout.map_or(RolloutStage::Trial, |rollout| rollout.stage())
     }
 
-    /// Whether a daemon believes to schedule.
-    fn leads(&self, index: usize) -> bool {
-        index == 0 || self.is_cut
+    /// Checks whether a daemon believes it is the scheduler.
+    fn is_scheduler(&self, index: usize) -> bool {
+        index == 0 || self.is_partitioned
     }
 
-    fn news(&self, index: usize) -> Option<RolloutNews> {
+    fn report(&self, index: usize) -> Option<RolloutNews> {
         self.daemons[index].versions.rollout().map(|rollout| rollout.news(NOW))
     }
 
-    /// Whether the platform may take, or have taken, a word of a daemon that the version is completed.
+    /// Checks whether the platform may accept, or may have accepted, this daemon's write of `Completed`.
     fn may_be_completed(&self, index: usize) -> bool {
-        let known = self.daemons[index].versions.rollout().map(|rollout| rollout.revision());
-        let completed_on = self.daemons[index].completed_on;
-        completed_on.is_some() && completed_on == known
+        let known_revision =
+            self.daemons[index].versions.rollout().map(|rollout| rollout.revision());
+        let completed_revision = self.daemons[index].completed_revision;
+        completed_revision.is_some() && completed_revision == known_revision
     }
 
-    /// A daemon that decides has come to a stage.
+    /// Applies a daemon's decision on a stage.
     fn decide(&mut self, index: usize, stage: RolloutStage) {
-        let Some(news) = self.news(index) else { return };
-        self.daemons[index].versions.order_told(NOW, &RolloutNews { stage, ..news });
+        let Some(report) = self.report(index) else { return };
+        self.daemons[index].versions.order_told(NOW, &RolloutNews { stage, ..report });
     }
 
-    /// A request comes to a daemon, and is granted by whoever schedules for it.
+    /// A request arrives at a daemon, and its scheduler grants it.
     fn serve(&mut self, index: usize, fault: RolloutFault) {
-        let scheduler = if self.leads(index) { index } else { 0 };
-        let whole = !self.is_cut || fault == RolloutFault::WholeShareEach;
-        let reached = if whole { DAEMONS } else { 1 };
-        let part = RatePart { reached, all: DAEMONS, turn: RateTurn::Leader };
+        let scheduler = if self.is_scheduler(index) { index } else { 0 };
+        let has_whole_rate = !self.is_partitioned || fault == RolloutFault::WholeShareEach;
+        let reached = if has_whole_rate { DAEMONS } else { 1 };
+        let rate_share = RatePart { reached, all: DAEMONS, turn: RateTurn::Leader };
         self.daemons[index].requests += 1;
-        let granting = &mut self.daemons[scheduler];
-        let on_trial = granting.versions.access(&told(NEW)) == VersionAccess::Trial;
-        let tried = on_trial && granting.share.admits(0, part);
-        granting.share.note(0, tried);
-        let is_old = granting.versions.access(&told(OLD)) == VersionAccess::Open;
-        if on_trial {
-            self.all += 1;
-            self.tried += u64::from(tried);
+        let granting_daemon = &mut self.daemons[scheduler];
+        let is_on_trial =
+            granting_daemon.versions.access(&reported_version(NEW)) == VersionAccess::Trial;
+        let is_trial = is_on_trial && granting_daemon.share.admits(0, rate_share);
+        granting_daemon.share.note(0, is_trial);
+        let old_is_open =
+            granting_daemon.versions.access(&reported_version(OLD)) == VersionAccess::Open;
+        if is_on_trial {
+            self.all_requests += 1;
+            self.trial_requests += u64::from(is_trial);
         }
-        // What the daemon itself knows stops a grant of a scheduler that knows less.
-        let is_shut = self.daemons[index].versions.is_shut(&told(OLD));
-        self.daemons[index].at_work |= !tried && is_old && !is_shut;
+        // A daemon that already knows that the version is blocked rejects a grant of a scheduler that doesn't.
+        let is_blocked = self.daemons[index].versions.is_shut(&reported_version(OLD));
+        self.daemons[index].runs_at_old |= !is_trial && old_is_open && !is_blocked;
     }
 
-    /// Nothing that a daemon knows of is at work at the old version.
+    /// Checks that no request that the daemon knows of runs at the old version.
     fn is_idle(&self, index: usize) -> bool {
         let other = &self.daemons[1 - index];
-        let knows = self.is_cut || !other.at_work && self.stage(1 - index) >= RolloutStage::Move;
-        !self.daemons[index].at_work && knows
+        let other_is_idle = self.is_partitioned
+            || !other.runs_at_old && self.stage(1 - index) >= RolloutStage::Move;
+        !self.daemons[index].runs_at_old && other_is_idle
     }
 
+    /// Applies a daemon's write at the platform, unless its revision is out of date.
     fn write(&mut self, index: usize, fault: RolloutFault) {
         let Some((stage, revision)) = self.daemons[index].write.take() else { return };
         if revision != self.revision && fault != RolloutFault::Unconditional {
             return;
         }
-        self.changed_again |= self.ended.is_some_and(|ended| ended != stage);
-        self.ended = Some(stage);
+        self.end_changed |= self.recorded_end.is_some_and(|end| end != stage);
+        self.recorded_end = Some(stage);
         self.revision += 1;
         let other = &self.daemons[1 - index];
-        let at_work = self.daemons[index].at_work || other.at_work && !other.excused;
-        self.cut_off |= stage == RolloutStage::Completed && at_work && !self.is_cut;
+        let runs_at_old = self.daemons[index].runs_at_old || other.runs_at_old && !other.is_exempt;
+        self.completed_too_early |=
+            stage == RolloutStage::Completed && runs_at_old && !self.is_partitioned;
     }
 }
 
 impl RolloutModel {
-    /// What a daemon that decides may write now.
+    /// Returns the stage that a deciding daemon may write now.
     fn may_write(&self, state: &RolloutState, index: usize) -> Option<RolloutStage> {
         let daemon = &state.daemons[index];
-        if !state.leads(index) || daemon.write.is_some() || state.revision > 2 {
+        if !state.is_scheduler(index) || daemon.write.is_some() || state.revision > 2 {
             return None;
         }
-        let ready = self.fault == RolloutFault::DoesNotWait || state.is_idle(index);
+        let is_ready = self.fault == RolloutFault::DoesNotWait || state.is_idle(index);
         match state.stage(index) {
             RolloutStage::RolledBack => Some(RolloutStage::RolledBack),
-            RolloutStage::Move if ready => Some(RolloutStage::Completed),
+            RolloutStage::Move if is_ready => Some(RolloutStage::Completed),
             _ => None,
         }
     }
@@ -190,54 +198,59 @@
         };
         let daemon = &state.daemons[index];
         if daemon.requests < self.requests {
-            add(format!("a request comes to {index}"), &|after| after.serve(index, self.fault));
+            add(format!("a request arrives at daemon {index}"), &|after| {
+                after.serve(index, self.fault)
+            });
         }
-        if daemon.at_work {
-            add(format!("a request of {index} ends"), &|after| {
-                after.daemons[index].at_work = false;
+        if daemon.runs_at_old {
+            add(format!("a request of daemon {index} ends"), &|after| {
+                after.daemons[index].runs_at_old = false;
             });
         }
-        if state.leads(index) {
+        if state.is_scheduler(index) {
             for stage in [RolloutStage::Move, RolloutStage::RolledBack] {
-                let waits = stage == RolloutStage::RolledBack && state.may_be_completed(index);
-                if state.stage(index) < stage && !waits {
-                    add(format!("{index} decides on {stage:?}"), &|after| {
+                let must_wait = stage == RolloutStage::RolledBack && state.may_be_completed(index);
+                if state.stage(index) < stage && !must_wait {
+                    add(format!("daemon {index} decides on {stage:?}"), &|after| {
                         after.decide(index, stage)
                     });
                 }
             }
         }
-        if !state.is_cut {
-            add(format!("{index} is told"), &|after| {
-                // A write takes less time than a daemon is excused for after a cut.
-                let under_way = after.daemons.iter().any(|daemon| daemon.write.is_some());
-                let waits = after.may_be_completed(index);
-                let news = after.news(1 - index);
-                let news = news.filter(|news| news.stage != RolloutStage::RolledBack || !waits);
+        if !state.is_partitioned {
+            add(format!("daemon {index} receives a report"), &|after| {
+                // A write takes less time than a daemon stays exempt after a partition.
+                let write_in_transit = after.daemons.iter().any(|daemon| daemon.write.is_some());
+                let must_wait = after.may_be_completed(index);
+                let report = after.report(1 - index);
+                let report =
+                    report.filter(|report| report.stage != RolloutStage::RolledBack || !must_wait);
                 let daemon = &mut after.daemons[index];
-                if let Some(news) = news {
-                    daemon.versions.order_told(NOW, &news);
+                if let Some(report) = report {
+                    daemon.versions.order_told(NOW, &report);
                 }
-                daemon.excused &= daemon.at_work || under_way;
+                daemon.is_exempt &= daemon.runs_at_old || write_in_transit;
             });
         }
-        add(format!("{index} reads the platform"), &|after| {
+        add(format!("daemon {index} reads the platform"), &|after| {
             let record = after.record();
             after.daemons[index].versions.order_shown(NOW, &record);
         });
         if let Some(stage) = self.may_write(state, index) {
-            let known = daemon.versions.rollout().map_or(0, |rollout| rollout.revision());
-            add(format!("{index} writes {stage:?}"), &|after| {
+            let known_revision = daemon.versions.rollout().map_or(0, |rollout| rollout.revision());
+            add(format!("daemon {index} writes {stage:?}"), &|after| {
                 let daemon = &mut after.daemons[index];
-                daemon.write = Some((stage, known));
+                daemon.write = Some((stage, known_revision));
                 if stage == RolloutStage::Completed {
-                    daemon.completed_on = Some(known);
+                    daemon.completed_revision = Some(known_revision);
                 }
             });
         }
         if daemon.write.is_some() {
-            add(format!("the write of {index} arrives"), &|after| after.write(index, self.fault));
-            add(format!("the write of {index} is lost"), &|after| {
+            add(format!("the write of daemon {index} arrives"), &|after| {
+                after.write(index, self.fault)
+            });
+            add(format!("the write of daemon {index} is lost"), &|after| {
                 after.daemons[index].write = None;
             });
         }
@@ -257,55 +270,58 @@
             revision: 1,
         };
         let mut versions = PoolVersions::default();
-        versions.shown(NOW, &[(told(OLD), 1)].into(), Some(NOW));
+        versions.shown(NOW, &[(reported_version(OLD), 1)].into(), Some(NOW));
         versions.order_shown(NOW, &record);
         let daemon = |index| RolloutDaemon {
             versions: versions.clone(),
-            // What may go beyond the share is for the one that schedules as the order is given.
+            // Only the scheduler at the time of the order may exceed the share by the slack.
             share: TrialShare::new(
                 LIMITS,
                 index == 0 || self.fault == RolloutFault::WholeShareEach,
             ),
             requests: 0,
-            at_work: false,
-            excused: false,
+            runs_at_old: false,
+            is_exempt: false,
             write: None,
-            completed_on: None,
+            completed_revision: None,
         };
         RolloutState {
-            ended: None,
+            recorded_end: None,
             revision: 1,
-            changed_again: false,
-            cut_off: false,
+            end_changed: false,
+            completed_too_early: false,
             daemons: [0, 1].map(daemon),
-            is_cut: false,
-            cuts: 0,
-            tried: 0,
-            all: 0,
+            is_partitioned: false,
+            partition_changes: 0,
+            trial_requests: 0,
+            all_requests: 0,
         }
     }
 
     fn successors(&self, state: &RolloutState) -> Vec<(String, RolloutState)> {
         let mut next: Vec<_> =
             (0..DAEMONS).flat_map(|index| self.daemon_steps(state, index)).collect();
-        if state.cuts < self.cuts {
-            let name = if state.is_cut { "the cut heals" } else { "the daemons are cut off" };
+        if state.partition_changes < self.partition_changes {
+            let name =
+                if state.is_partitioned { "the partition ends" } else { "a partition begins" };
             let mut after = state.clone();
-            after.cuts += 1;
-            after.is_cut = !state.is_cut;
-            after.daemons.iter_mut().for_each(|daemon| daemon.excused |= after.is_cut);
+            after.partition_changes += 1;
+            after.is_partitioned = !state.is_partitioned;
+            after.daemons.iter_mut().for_each(|daemon| daemon.is_exempt |= after.is_partitioned);
             next.push((name.to_string(), after));
         }
         next
     }
 
     fn violation(&self, state: &RolloutState) -> Option<String> {
-        if state.tried > state.all * LIMITS.permille / 1_000 + LIMITS.slack {
-            return Some("the version gets more than its share".to_string());
+        if state.trial_requests > state.all_requests * LIMITS.permille / 1_000 + LIMITS.slack {
+            return Some("the new version got more than its share".to_string());
         }
-        if state.changed_again {
-            return Some("a roll-out that had ended has ended otherwise".to_string());
+        if state.end_changed {
+            return Some("the end of a rollout changed after it was final".to_string());
         }
-        state.cut_off.then(|| "completed while requests were at work before it".to_string())
+        state
+            .completed_too_early
+            .then(|| "completed while requests ran at the old version".to_string())
     }
 }
