--- a/crates/model/tests/models.rs
+++ b/crates/model/tests/models.rs
@@ -1,5 +1,5 @@
-//! Every promise over every reachable state within the bounds, and the broken variants that the
-//! search must catch. Run with `--nocapture` to see the counts and the traces.
+//! Checks every invariant in every reachable state within the bounds, and that the search detects each broken variant
+//! of the protocol. Run with `--nocapture` to print the number of states and the traces.
 
 #[path = "models/rollouts.rs"]
 mod rollouts;
@@ -11,54 +11,54 @@
 };
 use rstest::rstest;
 
-fn holds<M: SpecModel>(name: &str, model: &M) {
+fn assert_holds<M: SpecModel>(name: &str, model: &M) {
     let exploration = explore(model);
     println!("{name}: {exploration}");
-    assert!(exploration.broken.is_none(), "{name}: {exploration}");
-    // A search that sees next to nothing proves nothing.
+    assert!(exploration.violation.is_none(), "{name}: {exploration}");
+    // A search that visits only a few states proves nothing.
     assert!(exploration.states > 100, "{name}: {exploration}");
 }
 
-fn caught<M: SpecModel>(name: &str, model: &M, promise: &str, steps: usize) {
+fn assert_detected<M: SpecModel>(name: &str, model: &M, invariant: &str, steps: usize) {
     let exploration = explore(model);
     println!("{name}: {exploration}");
-    let (broken, trace) = exploration.broken.expect("the broken variant is caught");
-    assert_eq!(broken, promise, "{name}");
+    let (violation, trace) = exploration.violation.expect("the broken variant is detected");
+    assert_eq!(violation, invariant, "{name}");
     assert_eq!(trace.len(), steps, "{name}: {trace:#?}");
 }
 
 fn request(fault: RequestFault, key: Option<Option<u32>>) -> RequestModel {
-    RequestModel { fault, attempts: 3, steps: 5, key, silences: 0 }
+    RequestModel { fault, attempts: 3, steps: 5, key, unresponsive_count: 0 }
 }
 
-/// A request that may run more than once; three targets at most.
-fn silent_request(fault: RequestFault) -> RequestModel {
-    RequestModel { fault, attempts: 3, steps: 2, key: None, silences: 2 }
+/// A request that may run more than once, at three targets at most.
+fn repeatable_request(fault: RequestFault) -> RequestModel {
+    RequestModel { fault, attempts: 3, steps: 2, key: None, unresponsive_count: 2 }
 }
 
 #[test]
-fn silent_target_is_left_for_another_one_and_no_permit_leaks() {
-    holds("request, silent", &silent_request(RequestFault::None));
+fn unresponsive_target_is_replaced_and_all_permits_are_returned() {
+    assert_holds("request, silent", &repeatable_request(RequestFault::None));
 }
 
 #[rstest]
 #[case::left_before_another_is_granted(
     RequestFault::SilentTargetLeft,
-    "it was given up though its target was at work",
+    "the request was given up while its target was working",
     3
 )]
 #[case::refusal_ends_it(
     RequestFault::RefusalEndsRequest,
-    "it was refused while a target had it",
+    "the request was refused while a target had it",
     3
 )]
-#[case::kept_permit_lost(RequestFault::KeptPermitLost, "a permit was not given back", 5)]
-fn broken_replacement_is_caught(
+#[case::kept_permit_lost(RequestFault::KeptPermitLost, "a permit was not returned", 5)]
+fn broken_replacement_is_detected(
     #[case] fault: RequestFault,
-    #[case] promise: &str,
+    #[case] invariant: &str,
     #[case] steps: usize,
 ) {
-    caught(&format!("request, {fault:?}"), &silent_request(fault), promise, steps);
+    assert_detected(&format!("request, {fault:?}"), &repeatable_request(fault), invariant, steps);
 }
 
 #[rstest]
@@ -66,36 +66,36 @@
 #[case::with_key(Some(None))]
 #[case::with_first_attempt(Some(Some(1)))]
 fn request_is_dispatched_at_most_once_and_verdicts_are_true(#[case] key: Option<Option<u32>>) {
-    holds("request", &request(RequestFault::None, key));
+    assert_holds("request", &request(RequestFault::None, key));
 }
 
 #[rstest]
 #[case::cut_taken_for_not_run(
     RequestFault::CutTakenForNotRun,
-    "the caller was told \"not run\" and it ran",
+    "the request was reported as not run and it ran",
     3
 )]
 #[case::later_life_taken_for_proof(
     RequestFault::LaterLifeTakenForProof,
-    "the caller was told \"not run\" and it ran",
+    "the request was reported as not run and it ran",
     3
 )]
 #[case::every_grant_dispatches(RequestFault::EveryGrantDispatches, "one permit was used twice", 2)]
 #[case::unanswered_told_not_run(
     RequestFault::UnansweredToldNotRun,
-    "the caller was told \"not run\" and it ran",
+    "the request was reported as not run and it ran",
     2
 )]
-fn broken_request_is_caught(
+fn broken_request_is_detected(
     #[case] fault: RequestFault,
-    #[case] promise: &str,
+    #[case] invariant: &str,
     #[case] steps: usize,
 ) {
-    caught(&format!("request, {fault:?}"), &request(fault, None), promise, steps);
+    assert_detected(&format!("request, {fault:?}"), &request(fault, None), invariant, steps);
 }
 
-fn keys(fault: KeyFault, minted_later: bool) -> KeyModel {
-    KeyModel { fault, minted_later, moves: 1, hand_overs: false, stops: 1, repeats: 0 }
+fn keys(fault: KeyFault, timed_key: bool) -> KeyModel {
+    KeyModel { fault, timed_key, moves: 1, hand_overs: false, stops: 1, repeats: 0 }
 }
 
 #[rstest]
@@ -106,7 +106,7 @@
 #[case::opaque_over_two_hand_overs(KeyModel { moves: 2, stops: 0, hand_overs: true, ..keys(KeyFault::None, false) })]
 #[case::opaque_over_hand_over_and_end(KeyModel { hand_overs: true, ..keys(KeyFault::None, false) })]
 fn key_runs_at_most_once(#[case] model: KeyModel) {
-    holds("keys", &model);
+    assert_holds("keys", &model);
 }
 
 #[rstest]
@@ -118,8 +118,8 @@
 )]
 #[case::lost_told_not_run(KeyModel { stops: 0, ..keys(KeyFault::LostToldNotRun, false) }, 9)]
 #[case::clock_beyond_skew(keys(KeyFault::ClockBeyondSkew, true), 13)]
-fn broken_key_home_is_caught(#[case] model: KeyModel, #[case] steps: usize) {
-    caught(&format!("keys, {:?}", model.fault), &model, "one key ran twice", steps);
+fn broken_key_holder_is_detected(#[case] model: KeyModel, #[case] steps: usize) {
+    assert_detected(&format!("keys, {:?}", model.fault), &model, "one key ran twice", steps);
 }
 
 fn config(fault: ConfigFault, same_file: bool) -> ConfigModel {
@@ -130,37 +130,45 @@
 #[case::two_files(false)]
 #[case::same_file(true)]
 fn configuration_never_reverts_and_applies_once(#[case] same_file: bool) {
-    holds("config", &config(ConfigFault::None, same_file));
+    assert_holds("config", &config(ConfigFault::None, same_file));
 }
 
 #[rstest]
-#[case::unconditional_write(ConfigFault::UnconditionalWrite, "two applies in one place", 6)]
-#[case::takes_old_versions(ConfigFault::TakesOldVersions, "daemon 0 went back", 9)]
-#[case::retries_blindly(ConfigFault::RetriesBlindly, "operator 0 was told the wrong end", 4)]
-fn broken_configuration_is_caught(
+#[case::unconditional_write(
+    ConfigFault::UnconditionalWrite,
+    "two applies produced the same generation",
+    6
+)]
+#[case::takes_old_versions(
+    ConfigFault::TakesOldVersions,
+    "daemon 0 returned to an older generation",
+    9
+)]
+#[case::retries_blindly(ConfigFault::RetriesBlindly, "operator 0 received a false result", 4)]
+fn broken_configuration_is_detected(
     #[case] fault: ConfigFault,
-    #[case] promise: &str,
+    #[case] invariant: &str,
     #[case] steps: usize,
 ) {
-    caught(&format!("config, {fault:?}"), &config(fault, false), promise, steps);
+    assert_detected(&format!("config, {fault:?}"), &config(fault, false), invariant, steps);
 }
 
 fn levels(fault: LevelFault) -> LevelModel {
-    LevelModel { fault, asks: vec![2, 2, 1, 1, 0], losses: 1, steps: 4 }
+    LevelModel { fault, tiers: vec![2, 2, 1, 1, 0], losses: 1, steps: 4 }
 }
 
 #[test]
 fn higher_tier_is_never_shed_before_a_lower_one() {
-    holds("levels", &levels(LevelFault::None));
+    assert_holds("levels", &levels(LevelFault::None));
 }
 
 #[rstest]
 #[case::unguarded(LevelFault::Unguarded, 5)]
 #[case::confirmed_by_time_out(LevelFault::ConfirmedByTimeOut, 6)]
-fn broken_shedding_is_caught(#[case] fault: LevelFault, #[case] steps: usize) {
-    let model = LevelModel { asks: vec![2, 2, 1, 1, 1], ..levels(fault) };
-    let promise = "tier 1 was refused for want of capacity while a lower one waited";
-    caught(&format!("levels, {fault:?}"), &model, promise, steps);
+fn broken_shedding_is_detected(#[case] fault: LevelFault, #[case] steps: usize) {
+    let model = LevelModel { tiers: vec![2, 2, 1, 1, 1], ..levels(fault) };
+    let invariant = "tier 1 was refused for lack of capacity while a lower one waited";
+    assert_detected(&format!("levels, {fault:?}"), &model, invariant, steps);
 }
 
 fn drain(fault: DrainFault) -> DrainModel {
@@ -168,65 +176,74 @@
 }
 
 #[test]
-fn planned_stop_cuts_nothing_off_and_leaving_targets_get_nothing() {
-    holds("drain", &drain(DrainFault::None));
+fn drain_interrupts_no_request_and_leaving_targets_get_none() {
+    assert_holds("drain", &drain(DrainFault::None));
 }
 
 #[rstest]
-#[case::ends_by_time_out(DrainFault::EndsByTimeOut, "the stop cut a request off", 4)]
+#[case::ends_by_time_out(
+    DrainFault::EndsByTimeOut,
+    "the drain ended with a request in progress",
+    4
+)]
 #[case::leaving_ignored(DrainFault::LeavingIgnored, "a leaving target got new work", 2)]
 #[case::start_ignored(
     DrainFault::StartIgnored,
-    "the places in use are not those of the target's present life",
+    "the slots in use are not those of the target's current instance",
     2
 )]
 #[case::late_entry_taken(
     DrainFault::LateEntryTaken,
-    "the places in use are not those of the target's present life",
+    "the slots in use are not those of the target's current instance",
     3
 )]
-fn broken_drain_is_caught(#[case] fault: DrainFault, #[case] promise: &str, #[case] steps: usize) {
-    caught(&format!("drain, {fault:?}"), &drain(fault), promise, steps);
+fn broken_drain_is_detected(
+    #[case] fault: DrainFault,
+    #[case] invariant: &str,
+    #[case] steps: usize,
+) {
+    assert_detected(&format!("drain, {fault:?}"), &drain(fault), invariant, steps);
 }
 
 fn rates(fault: RateFault) -> RateModel {
-    RateModel { fault, cuts: 2, deaths: 1, steps: 7, margin: 0 }
+    RateModel { fault, partition_changes: 2, restarts: 1, steps: 7, margin: 0 }
 }
 
 #[test]
-fn daemons_give_out_no_more_than_the_rate_however_they_are_cut() {
-    holds("rates", &rates(RateFault::None));
+fn partitioned_daemons_grant_no_more_than_the_rate() {
+    assert_holds("rates", &rates(RateFault::None));
 }
 
-/// Long enough for the burst of a daemon that took over to come back twice.
+/// The burst of a daemon that became leader fills again twice within these steps.
 #[test]
-fn burst_that_comes_back_keeps_the_rate_over_several_windows() {
-    let model = RateModel { cuts: 1, deaths: 1, steps: 14, ..rates(RateFault::None) };
-    holds("rates over several windows", &model);
+fn refilled_burst_keeps_the_rate_over_several_windows() {
+    let model =
+        RateModel { partition_changes: 1, restarts: 1, steps: 14, ..rates(RateFault::None) };
+    assert_holds("rates over several windows", &model);
 }
 
 fn reserves(fault: RateFault) -> RateModel {
-    RateModel { fault, cuts: 2, deaths: 0, steps: 5, margin: 300 }
+    RateModel { fault, partition_changes: 2, restarts: 0, steps: 5, margin: 300 }
 }
 
 #[test]
 fn deputies_together_spend_no_more_than_one_reserve() {
-    holds("reserves", &reserves(RateFault::None));
+    assert_holds("reserves", &reserves(RateFault::None));
 }
 
 #[test]
-fn reserve_that_is_there_at_once_is_caught() {
-    let promise = "more was given out in a window than rate and burst";
-    caught("reserves, ReserveAtOnce", &reserves(RateFault::ReserveAtOnce), promise, 4);
+fn immediate_reserve_is_detected() {
+    let invariant = "more was granted in a window than rate and burst";
+    assert_detected("reserves, ReserveAtOnce", &reserves(RateFault::ReserveAtOnce), invariant, 4);
 }
 
 #[rstest]
 #[case::saved_burst(RateFault::SavedBurst, 6)]
 #[case::whole_rate_alone(RateFault::WholeRateAlone, 5)]
 #[case::burst_out_of_turn(RateFault::BurstOutOfTurn, 6)]
-fn broken_rates_are_caught(#[case] fault: RateFault, #[case] steps: usize) {
-    let promise = "more was given out in a window than rate and burst";
-    caught(&format!("rates, {fault:?}"), &rates(fault), promise, steps);
+fn broken_rates_are_detected(#[case] fault: RateFault, #[case] steps: usize) {
+    let invariant = "more was granted in a window than rate and burst";
+    assert_detected(&format!("rates, {fault:?}"), &rates(fault), invariant, steps);
 }
 
 /// The request alone, one copy at a time.
@@ -234,69 +251,75 @@
     fault: LethalFault::None,
     sends: 4,
     copies: 1,
-    entries: 3,
-    loses_news: true,
-    cuts: 0,
-    deaths: 0,
-    bystander_breaks: 0,
-    bystander_visits: 0,
+    calling_daemons: 3,
+    loses_reports: true,
+    partitions: 0,
+    restarts: 0,
+    bystander_interruptions: 0,
+    bystander_arrivals: 0,
 };
-const CUT: LethalModel = LethalModel { cuts: 1, entries: 2, ..LETHAL };
-const DEATH: LethalModel = LethalModel { deaths: 1, ..LETHAL };
-const COPIES: LethalModel = LethalModel { copies: 2, entries: 2, ..LETHAL };
+const PARTITION: LethalModel = LethalModel { partitions: 1, calling_daemons: 2, ..LETHAL };
+const RESTART: LethalModel = LethalModel { restarts: 1, ..LETHAL };
+const COPIES: LethalModel = LethalModel { copies: 2, calling_daemons: 2, ..LETHAL };
 const BYSTANDER: LethalModel = LethalModel {
-    bystander_breaks: 3,
-    bystander_visits: 2,
+    bystander_interruptions: 3,
+    bystander_arrivals: 2,
     sends: 3,
-    entries: 1,
-    loses_news: false,
+    calling_daemons: 1,
+    loses_reports: false,
     ..LETHAL
 };
 
 #[rstest]
-#[case::with_a_cut(CUT)]
-#[case::with_a_death(DEATH)]
+#[case::with_a_partition(PARTITION)]
+#[case::with_a_restart(RESTART)]
 #[case::with_copies(COPIES)]
 #[case::beside_another(BYSTANDER)]
-fn lethal_request_is_not_sent_on_and_others_are_served(#[case] model: LethalModel) {
-    holds("lethal", &model);
+fn lethal_request_is_not_sent_again_and_others_are_served(#[case] model: LethalModel) {
+    assert_holds("lethal", &model);
 }
 
 #[rstest]
-#[case::nothing_asked(LethalFault::NothingAsked, LETHAL, SENT_ON, 8)]
-#[case::serves_unknowing(LethalFault::ServesUnknowing, DEATH, SENT_ON, 9)]
-#[case::stored_forgotten(LethalFault::StoredForgotten, DEATH, SENT_ON, 9)]
+#[case::nothing_asked(LethalFault::NothingAsked, LETHAL, SENT_AGAIN, 8)]
+#[case::serves_unknowing(LethalFault::ServesUnknowing, RESTART, SENT_AGAIN, 9)]
+#[case::stored_forgotten(LethalFault::StoredForgotten, RESTART, SENT_AGAIN, 9)]
 #[case::break_taken_for_end(LethalFault::BreakTakenForEnd, BYSTANDER, REFUSED, 5)]
 #[case::served_stays_suspect(LethalFault::ServedStaysSuspect, BYSTANDER, REFUSED, 9)]
-fn broken_lethal_is_caught(
+fn broken_lethal_is_detected(
     #[case] fault: LethalFault,
     #[case] model: LethalModel,
-    #[case] promise: &str,
+    #[case] invariant: &str,
     #[case] steps: usize,
 ) {
-    caught(&format!("lethal, {fault:?}"), &LethalModel { fault, ..model }, promise, steps);
+    assert_detected(
+        &format!("lethal, {fault:?}"),
+        &LethalModel { fault, ..model },
+        invariant,
+        steps,
+    );
 }
 
-const SENT_ON: &str = "it was sent on after everyone had time to know";
-const REFUSED: &str = "a request that ended nothing was refused";
+const SENT_AGAIN: &str =
+    "it was sent again after all daemons had time to learn of the third termination";
+const REFUSED: &str = "a request that terminated nothing was refused";
 
 fn limits(fault: LimitFault) -> LimitModel {
-    LimitModel { fault, cuts: 1, deaths: 1, steps: 4, lates: 0 }
+    LimitModel { fault, partition_changes: 1, restarts: 1, steps: 4, late_uses: 0 }
 }
 
 #[rstest]
-#[case::cut_and_death(limits(LimitFault::None))]
-#[case::cut_that_heals(LimitModel { cuts: 2, deaths: 0, lates: 1, ..limits(LimitFault::None) })]
-#[case::deaths(LimitModel { cuts: 0, deaths: 2, lates: 1, ..limits(LimitFault::None) })]
-fn daemons_together_send_no_more_than_a_limited_target_takes(#[case] model: LimitModel) {
-    holds("limits", &model);
+#[case::partition_and_restart(limits(LimitFault::None))]
+#[case::partition_that_ends(LimitModel { partition_changes: 2, restarts: 0, late_uses: 1, ..limits(LimitFault::None) })]
+#[case::restarts(LimitModel { partition_changes: 0, restarts: 2, late_uses: 1, ..limits(LimitFault::None) })]
+fn daemons_together_send_no_more_than_the_users_allow(#[case] model: LimitModel) {
+    assert_holds("limits", &model);
 }
 
 #[rstest]
 #[case::whole_limit_each(LimitFault::WholeLimitEach, 5)]
 #[case::out_of_turn(LimitFault::OutOfTurnGrants, 5)]
 #[case::heard_and_kept(LimitFault::HeardAndKept, 6)]
-fn broken_limit_is_caught(#[case] fault: LimitFault, #[case] steps: usize) {
-    let promise = "more requests reached the target than it takes";
-    caught(&format!("limits, {fault:?}"), &limits(fault), promise, steps);
+fn broken_limit_is_detected(#[case] fault: LimitFault, #[case] steps: usize) {
+    let invariant = "more requests reached the target than the users allow";
+    assert_detected(&format!("limits, {fault:?}"), &limits(fault), invariant, steps);
 }
--- a/crates/model/tests/models/rollouts.rs
+++ b/crates/model/tests/models/rollouts.rs
@@ -1,31 +1,31 @@
-//! Roll-outs: the share of a version on trial, one verdict, and nothing cut by its end.
+//! Rollouts: the share of a version on trial, a final end, and no request interrupted by the end.
 
 use curlewcleat_model::{RolloutFault, RolloutModel};
 use rstest::rstest;
 
-use super::{caught, holds};
+use super::{assert_detected, assert_holds};
 
-const SHARE: &str = "the version gets more than its share";
-const ONE_VERDICT: &str = "a roll-out that had ended has ended otherwise";
-const NOT_CUT: &str = "completed while requests were at work before it";
+const SHARE: &str = "the new version got more than its share";
+const FINAL_END: &str = "the end of a rollout changed after it was final";
+const NO_EARLY_COMPLETION: &str = "completed while requests ran at the old version";
 
 fn rollout(fault: RolloutFault) -> RolloutModel {
-    RolloutModel { fault, requests: 2, cuts: 2 }
+    RolloutModel { fault, requests: 2, partition_changes: 2 }
 }
 
 #[test]
-fn version_is_tried_and_ends_once() {
-    holds("rollout", &rollout(RolloutFault::None));
+fn version_on_trial_keeps_its_share_and_the_end_is_final() {
+    assert_holds("rollout", &rollout(RolloutFault::None));
 }
 
 #[rstest]
 #[case::whole_share_each(RolloutFault::WholeShareEach, SHARE, 4)]
-#[case::unconditional(RolloutFault::Unconditional, ONE_VERDICT, 7)]
-#[case::does_not_wait(RolloutFault::DoesNotWait, NOT_CUT, 6)]
-fn broken_rollout_is_caught(
+#[case::unconditional(RolloutFault::Unconditional, FINAL_END, 7)]
+#[case::does_not_wait(RolloutFault::DoesNotWait, NO_EARLY_COMPLETION, 6)]
+fn broken_rollout_is_detected(
     #[case] fault: RolloutFault,
-    #[case] promise: &str,
+    #[case] invariant: &str,
     #[case] steps: usize,
 ) {
-    caught(&format!("rollout, {fault:?}"), &rollout(fault), promise, steps);
+    assert_detected(&format!("rollout, {fault:?}"), &rollout(fault), invariant, steps);
 }
