--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -159,7 +159,7 @@
         Some(next)
     }
 
-    /// A key holder decides on a claim and answers it. Returns `None` if that daemon no longer runs.
+    /// Decides on a claim at a key holder and sends the answer. Returns `None` if that daemon no longer runs.
     fn deliver_claim(&self, next: &mut KeyState, to: &DaemonId, attempt: usize) -> Option<()> {
         let claim = self.claim(attempt);
         // The broken holder grants keys as if it were not handing over.
@@ -206,7 +206,7 @@
         ends
     }
 
-    /// A daemon proposes a table, which takes effect if the daemon's own table is the latest one.
+    /// Proposes a table on behalf of a daemon. It takes effect if the daemon's own table is the latest one.
     fn propose(
         &self,
         state: &KeyState,
@@ -268,7 +268,7 @@
         steps
     }
 
-    /// A holder offers its slot to all other daemons.
+    /// Offers a holder's slot to all other daemons.
     fn hand_over(&self, state: &KeyState, id: &DaemonId, holder: &KeyHome) -> (String, KeyState) {
         let others: Vec<DaemonId> =
             state.daemons.keys().filter(|daemon| *daemon != id).cloned().collect();
--- a/crates/model/src/lethal.rs
+++ b/crates/model/src/lethal.rs
@@ -138,7 +138,8 @@
         }
     }
 
-    /// A daemon reads the platform's list of targets, and stores the report of the request there if it has to.
+    /// Reads the platform's list of targets at a daemon, and stores the report of the request there if it has to be
+    /// stored.
     fn review(&self, state: &mut LethalState, index: usize) {
         let terminated: Vec<TargetLife> =
             state.terminated.iter().map(|number| life(*number)).collect();
@@ -236,8 +237,8 @@
         Some(next)
     }
 
-    /// The other request arrives. It is served completely, or is refused, which must not happen while fewer than three
-    /// targets have terminated while running it.
+    /// Handles an arrival of the other request. It is served completely or refused; a refusal is wrong while fewer than
+    /// three targets have terminated while running it.
     fn bystander_arrives(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
         next.bystander_arrivals = next.bystander_arrivals.checked_sub(1)?;
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -73,7 +73,7 @@
     /// Notice that it has received from the target.
     report: Option<NoticeReport>,
     /// Number of permits that it uses in the next step.
-    late: usize,
+    late_permits: usize,
     /// Number of steps after a restart in which its requests aren't counted.
     uncounted_steps: u8,
 }
@@ -106,7 +106,7 @@
             known,
             gate: TargetGate::default(),
             report: None,
-            late: 0,
+            late_permits: 0,
             uncounted_steps: 0,
         }
     }
@@ -184,7 +184,7 @@
         state.sent.rotate_left(1);
         state.sent[WINDOW - 1] = 0;
         for index in 0..DAEMONS {
-            let held = std::mem::take(&mut state.daemons[index].late);
+            let held = std::mem::take(&mut state.daemons[index].late_permits);
             self.send_requests(state, index, held);
         }
         for _ in 0..ROUNDS {
@@ -192,7 +192,7 @@
             for index in 0..DAEMONS {
                 let granted = self.request_permits(state, index);
                 match late == Some(index) {
-                    true => state.daemons[index].late += granted,
+                    true => state.daemons[index].late_permits += granted,
                     false => self.send_requests(state, index, granted),
                 }
             }
--- a/crates/model/src/request/silence.rs
+++ b/crates/model/src/request/silence.rs
@@ -55,7 +55,7 @@
         steps
     }
 
-    /// The target stops responding, and a replacement is requested.
+    /// Makes the target unresponsive, and requests a replacement.
     fn stop_responding(&self, state: &RequestState, current_permit: PermitId) -> RequestState {
         let mut next = state.clone();
         next.unresponsive_count += 1;
@@ -101,7 +101,8 @@
         self.perform_actions(state, actions);
     }
 
-    /// The target, which may have run the request, gives no complete answer, and the request is sent to another one.
+    /// Interrupts the request at a target that may have run it and gives no complete answer. It is sent to another
+    /// target.
     pub(super) fn interrupt(&self, state: &mut RequestState) {
         state.may_have_run = true;
         self.not_run_for(state, AttemptEnd::Failed, RetryReason::StreamResumed);
--- a/crates/model/src/rollout.rs
+++ b/crates/model/src/rollout.rs
@@ -53,8 +53,9 @@
     requests: u8,
     /// Whether one of its requests runs at a target of the old version.
     runs_at_old: bool,
-    /// Whether its running requests are ignored by the check of a completed rollout. Set when a partition begins;
-    /// cleared by a report that it receives while it has no running request and no write is in transit.
+    /// Whether its running requests are ignored when the other daemon's write of `Completed` is checked. Set when a
+    /// partition begins; cleared by a report that it receives while none of its requests runs at the old version and
+    /// no write is in transit.
     is_exempt: bool,
     /// A write in transit to the platform: stage and expected revision.
     write: Option<(RolloutStage, u64)>,
@@ -127,11 +128,11 @@
         self.daemons[index].versions.order_told(NOW, &RolloutNews { stage, ..report });
     }
 
-    /// A request arrives at a daemon, and its scheduler grants it.
+    /// Handles a request that arrives at a daemon: the daemon's scheduler grants it.
     fn serve(&mut self, index: usize, fault: RolloutFault) {
         let scheduler = if self.is_scheduler(index) { index } else { 0 };
-        let has_whole_rate = !self.is_partitioned || fault == RolloutFault::WholeShareEach;
-        let reached = if has_whole_rate { DAEMONS } else { 1 };
+        let has_whole_share = !self.is_partitioned || fault == RolloutFault::WholeShareEach;
+        let reached = if has_whole_share { DAEMONS } else { 1 };
         let rate_share = RatePart { reached, all: DAEMONS, turn: RateTurn::Leader };
         self.daemons[index].requests += 1;
         let granting_daemon = &mut self.daemons[scheduler];
