--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until the process behind them is gone, and note what they got.
+//! Callers that send requests over persistent connections and record the outcomes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,105 +15,110 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Time that a caller gives a request, in milliseconds.
-const TIME_LEFT: u64 = 3_000;
-/// Time beyond it after which a caller stops listening.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Longest pause between two requests of a caller, in milliseconds.
+/// Timeout that a caller states in each request, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
+/// Time after the stated timeout at which a caller stops waiting.
+const CALLER_GRACE: Duration = Duration::from_millis(1_500);
+/// Upper bound of the pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: u64 = 40;
 
-/// Kinds of requests, by what may be repeated.
+/// Kind of a request, by whether and how it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A record that may run once.
+    /// A request for a record that may run at most once.
     Once,
-    /// The same without a key.
-    Open,
-    /// A record that may be repeated.
-    Again,
-    /// A stream that may be taken up at another engine.
-    Resumed,
-    /// A stream that may not.
-    Plain,
+    /// The same, without an API key.
+    Keyless,
+    /// A request for a record that may be repeated.
+    Repeatable,
+    /// A request for a stream that another engine may resume.
+    ResumableStream,
+    /// A request for a stream that may not be resumed.
+    PlainStream,
 }
 
 impl CallKind {
-    const ALL: [CallKind; 5] =
-        [CallKind::Once, CallKind::Open, CallKind::Again, CallKind::Resumed, CallKind::Plain];
+    const ALL: [CallKind; 5] = [
+        CallKind::Once,
+        CallKind::Keyless,
+        CallKind::Repeatable,
+        CallKind::ResumableStream,
+        CallKind::PlainStream,
+    ];
 
-    /// Path of its route.
+    /// Returns the path of the request.
     pub fn path(self) -> &'static str {
         match self {
             CallKind::Once => "/once/1",
-            CallKind::Open => "/once/open/1",
-            CallKind::Again => "/again/1",
-            CallKind::Resumed => "/resumed/stream/1",
-            CallKind::Plain => "/plain/stream/1",
+            CallKind::Keyless => "/once/open/1",
+            CallKind::Repeatable => "/again/1",
+            CallKind::ResumableStream => "/resumed/stream/1",
+            CallKind::PlainStream => "/plain/stream/1",
         }
     }
 
-    /// Whether it may run more than once.
+    /// Returns whether the request may run more than once.
     pub fn is_repeatable(self) -> bool {
-        matches!(self, CallKind::Again | CallKind::Resumed)
+        matches!(self, CallKind::Repeatable | CallKind::ResumableStream)
     }
 
-    /// Whether its answer is a stream.
+    /// Returns whether the answer is a stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, CallKind::Resumed | CallKind::Plain)
+        matches!(self, CallKind::ResumableStream | CallKind::PlainStream)
     }
 }
 
-/// What a caller got.
+/// Outcome of a request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// No connection; nothing was sent.
+    /// The connection failed; nothing was sent.
     Unsent,
-    /// The connection ended, or the caller stopped listening, without an answer.
+    /// The connection closed, or the caller stopped waiting, before an answer began.
     NoAnswer(String),
-    /// An answer, whole or cut.
+    /// A complete or interrupted answer.
     Answer {
         /// HTTP status.
         status: u16,
-        /// What came of the body.
+        /// The received part of the body.
         text: String,
-        /// Whether its own end was seen.
-        whole: bool,
-        /// Engine that signed it.
-        seal: Option<String>,
-        /// Try that it names.
-        echo: Option<String>,
+        /// Whether the end of the body arrived.
+        complete: bool,
+        /// Engine that the seal header names.
+        sealed_by: Option<String>,
+        /// Attempt that the answer names.
+        echoed_attempt: Option<String>,
     },
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Name of the try.
+    /// Id of the attempt.
     pub attempt: String,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// Key that it carried.
+    /// API key of the request, empty if it had none.
     pub key: &'static str,
-    /// Number of the daemon.
+    /// Index of the daemon.
     pub daemon: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// When the caller had its outcome.
+    /// When the outcome was known.
     pub ended: Instant,
     /// The outcome.
     pub outcome: CallOutcome,
 }
 
-/// Callers of one run.
+/// The callers of a run.
 pub struct SoakCallers {
-    /// What they noted.
+    /// Requests so far with their outcomes.
     pub records: Rc<RefCell<Vec<CallRecord>>>,
     ended: Rc<Cell<bool>>,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
 }
 
 impl SoakCallers {
-    /// Starts callers at the daemons with these addresses.
+    /// Starts callers that send requests to daemons at these addresses.
     pub fn start(seed: u64, count: usize, daemons: &[String]) -> SoakCallers {
         let records = Rc::new(RefCell::new(Vec::new()));
         let ended = Rc::new(Cell::new(false));
@@ -132,11 +137,11 @@
         SoakCallers { records, ended, tasks }
     }
 
-    /// Ends all callers once their present requests have ended; gives what they noted.
+    /// Stops all callers after their current requests and returns the records.
     pub async fn close(self) -> Vec<CallRecord> {
         self.ended.set(true);
         for task in self.tasks {
-            // A caller that panicked shows in what is missing.
+            // The records of a caller that panicked are incomplete.
             let _ = task.await;
         }
         self.records.take()
@@ -170,15 +175,15 @@
         let kind = CallKind::ALL.choose(&mut self.random).copied().unwrap_or(CallKind::Once);
         let keys = [DRIVERS_KEY, DRIVERS_SECOND_KEY, DEPOTS_KEY];
         let key = match kind {
-            CallKind::Open => "",
+            CallKind::Keyless => "",
             _ => keys.choose(&mut self.random).copied().unwrap_or(DRIVERS_KEY),
         };
         let sent = Instant::now();
-        let limit = Duration::from_millis(TIME_LEFT) + PATIENCE;
+        let limit = Duration::from_millis(REQUEST_TIMEOUT_MS) + CALLER_GRACE;
         let exchange = self.exchange(daemon, kind, key, &attempt);
         let outcome = match tokio::time::timeout(limit, exchange).await {
             Ok(outcome) => outcome,
-            Err(_) => CallOutcome::NoAnswer("the caller stopped listening".to_string()),
+            Err(_) => CallOutcome::NoAnswer("the caller stopped waiting".to_string()),
         };
         CallRecord { attempt, kind, key, daemon, sent, ended: Instant::now(), outcome }
     }
@@ -191,12 +196,12 @@
         attempt: &str,
     ) -> CallOutcome {
         let daemon = &self.daemons[daemon];
-        exchange_as(&self.connections, daemon, kind, (key, attempt), body_of(attempt)).await
+        send_request(&self.connections, daemon, kind, (key, attempt), request_body(attempt)).await
     }
 }
 
-/// One exchange with the daemon at an address, by a key and a name of the try.
-pub async fn exchange_as(
+/// Sends a request with a key and an attempt id to the daemon at an address, and reads the answer.
+pub async fn send_request(
     connections: &ConnectionPool,
     daemon: &str,
     kind: CallKind,
@@ -206,7 +211,7 @@
     let Ok(connection) = connections.connect(daemon, Duration::from_secs(1)).await else {
         return CallOutcome::Unsent;
     };
-    let answer = match connection.exchange(head(kind, key, attempt), body).await {
+    let answer = match connection.exchange(request_head(kind, key, attempt), body).await {
         Ok(answer) => answer,
         Err(error) => return CallOutcome::NoAnswer(error.to_string()),
     };
@@ -214,33 +219,33 @@
         let value = answer.head.headers.get(name).and_then(|value| value.to_str().ok());
         value.map(str::to_string)
     };
-    let (seal, echo) = (header(SEAL), header(WIRE_PROFILE.attempt_id));
+    let (sealed_by, echoed_attempt) = (header(SEAL), header(WIRE_PROFILE.attempt_id));
     let status = answer.head.status.as_u16();
     let mut body = answer.body;
     let mut bytes = Vec::new();
-    let mut whole = true;
+    let mut complete = true;
     while let Some(part) = body.next().await {
         match part {
             Ok(part) => bytes.extend_from_slice(&part),
-            Err(_) => whole = false,
+            Err(_) => complete = false,
         }
     }
     let text = String::from_utf8_lossy(&bytes).to_string();
-    CallOutcome::Answer { status, text, whole, seal, echo }
+    CallOutcome::Answer { status, text, complete, sealed_by, echoed_attempt }
 }
 
-/// Body of a request.
-pub fn body_of(attempt: &str) -> Bytes {
+/// Returns the body of a request.
+pub fn request_body(attempt: &str) -> Bytes {
     Bytes::from(format!("body of {attempt}"))
 }
 
-fn head(kind: CallKind, key: &str, attempt: &str) -> RequestHead {
+fn request_head(kind: CallKind, key: &str, attempt: &str) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = Method::POST;
     if let Ok(uri) = kind.path().parse() {
         head.uri = uri;
     }
-    let time_left = TIME_LEFT.to_string();
+    let time_left = REQUEST_TIMEOUT_MS.to_string();
     let bearer = format!("Bearer {key}");
     let mut headers = vec![
         ("host", HOST),
--- a/crates/soak/src/evidence.rs
+++ b/crates/soak/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What is known after a run, for the judge.
+//! Holds what a run recorded, as the input of the checks.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -6,87 +6,87 @@
 use curlewcleat_standins::fleet::EngineRun;
 
 use crate::callers::CallRecord;
-use crate::words::SaidWord;
+use crate::notices::SentNotice;
 
-/// Time after an unplanned fault in which what it broke may still show.
+/// Time after an unplanned fault during which requests may still fail because of it.
 pub(crate) const AFTERMATH: Duration = Duration::from_millis(1_500);
 
-/// A key that was taken away.
+/// A key that was revoked.
 #[derive(Clone, Debug)]
-pub struct KeyLoss {
+pub struct KeyRevocation {
     /// The key.
     pub key: &'static str,
-    /// When the store had the configuration without it.
-    pub lost: Instant,
-    /// When it had one with it again.
-    pub back: Option<Instant>,
+    /// When the configuration without the key was stored.
+    pub revoked: Instant,
+    /// When the configuration with the key was stored again.
+    pub restored: Option<Instant>,
 }
 
-/// An engine that was said to leave.
+/// An engine whose leaving was written to the store.
 #[derive(Clone, Debug)]
 pub struct EngineLeave {
-    /// Name of its start.
+    /// Id of the engine.
     pub engine: String,
-    /// When the store had it.
-    pub told: Instant,
+    /// When the store had the change.
+    pub announced: Instant,
 }
 
-/// A daemon that was told to stop.
+/// A daemon that was stopped with SIGTERM.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedStop {
-    /// Number of the daemon.
+    /// Index of the daemon.
     pub daemon: usize,
-    /// When.
-    pub told: Instant,
+    /// When the signal was sent.
+    pub signalled: Instant,
 }
 
-/// All that is known after a run.
+/// Everything that a run recorded.
 #[derive(Default)]
 pub struct SoakEvidence {
-    /// Requests and their outcomes.
+    /// Requests of the callers with their outcomes.
     pub records: Vec<CallRecord>,
-    /// What reached each engine, by its name.
+    /// Requests that reached engines, with the engine's id.
     pub runs: Vec<(String, EngineRun)>,
-    /// Events of a whole stream.
+    /// Number of events of a complete stream.
     pub events: u64,
-    /// Keys that were taken away.
-    pub key_losses: Vec<KeyLoss>,
-    /// Age of the proof of a configuration above which keys are refused.
+    /// Keys that were revoked.
+    pub key_revocations: Vec<KeyRevocation>,
+    /// Time since the last confirmation of a configuration above which its keys are refused.
     pub age_limit: Duration,
-    /// Engines that left.
+    /// Engines whose leaving was written to the store.
     pub leaves: Vec<EngineLeave>,
-    /// Time after which nothing reaches them.
+    /// Time after which no request may reach these engines.
     pub leave_limit: Duration,
-    /// Daemons that were stopped.
+    /// Daemons that were stopped with SIGTERM.
     pub stops: Vec<PlannedStop>,
-    /// Times of unplanned faults.
+    /// Start and end of each unplanned fault.
     pub faults: Vec<(Instant, Instant)>,
-    /// Daemons that stood still or began anew, and when.
-    pub struck: Vec<(usize, Instant, Instant)>,
-    /// What engines have said of themselves.
-    pub words: Vec<SaidWord>,
-    /// Names of entries that name no engine.
-    pub foreign: BTreeSet<String>,
-    /// What processes did that nobody asked for.
-    pub exits: Vec<String>,
-    /// When the last fault had ended.
-    pub healed: Option<Instant>,
+    /// Daemons that were suspended or restarted, with start and end.
+    pub interruptions: Vec<(usize, Instant, Instant)>,
+    /// Notices that engines have sent about themselves.
+    pub notices: Vec<SentNotice>,
+    /// Names of list entries that no engine wrote.
+    pub foreign_entries: BTreeSet<String>,
+    /// Processes that exited by themselves, and faults that could not be injected.
+    pub failures: Vec<String>,
+    /// When the last fault ended.
+    pub faults_ended: Option<Instant>,
 }
 
 impl SoakEvidence {
-    /// Whether no unplanned fault could have had a part in what happened in a time.
-    pub(crate) fn is_calm(&self, from: Instant, to: Instant) -> bool {
+    /// Returns whether no unplanned fault, or its aftermath, overlaps a time span.
+    pub(crate) fn is_undisturbed(&self, from: Instant, to: Instant) -> bool {
         self.faults.iter().all(|(begin, end)| *begin > to || *end + AFTERMATH < from)
     }
 
-    /// Whether a daemon neither stood still nor began anew in a time.
-    pub(crate) fn was_sound(&self, daemon: usize, from: Instant, to: Instant) -> bool {
-        let struck = self.struck.iter().filter(|(struck, ..)| *struck == daemon);
-        struck.into_iter().all(|(_, begin, end)| *begin > to || *end + AFTERMATH < from)
+    /// Returns whether a daemon was neither suspended nor restarted in a time span, or shortly before.
+    pub(crate) fn ran_uninterrupted(&self, daemon: usize, from: Instant, to: Instant) -> bool {
+        let interruptions = self.interruptions.iter().filter(|(index, ..)| *index == daemon);
+        interruptions.into_iter().all(|(_, begin, end)| *begin > to || *end + AFTERMATH < from)
     }
 
-    /// Whether a daemon was told to stop before a time.
+    /// Returns whether a daemon received a SIGTERM before a time.
     pub(crate) fn is_stopping(&self, daemon: usize, at: Instant) -> bool {
-        self.stops.iter().any(|stop| stop.daemon == daemon && stop.told <= at)
+        self.stops.iter().any(|stop| stop.daemon == daemon && stop.signalled <= at)
     }
 }
--- a/crates/soak/src/extra.rs
+++ b/crates/soak/src/extra.rs
@@ -1,4 +1,4 @@
-//! Kinds of faults that a run has beside those of its plan. They are drawn apart from it, so that a seed
+//! Draws additional faults of one kind for a run. They have a random generator of their own, so that a seed
 //! gives the same plan with and without them.
 
 use std::time::Duration;
@@ -8,63 +8,65 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
+use crate::notices::EngineNotice;
 use crate::plan::{FaultStep, PlanOptions, SoakFault};
-use crate::words::EngineWord;
 
-/// Sets the draws of a kind apart from those of the plan with the same seed.
-const APART: u64 = 0x5eed_0000_0000_0000;
-/// Shortest and longest pause before a fault, in milliseconds: longer than what notices a silent connection with the
-/// settings of a run.
+/// Combined with the seed, so that the additional faults are drawn independently of the plan.
+const EXTRA_SEED_MASK: u64 = 0x5eed_0000_0000_0000;
+/// Range of the pause before a fault, in milliseconds: longer than the daemons need to detect a stalled connection
+/// with the settings of a run.
 const PAUSE_MS: std::ops::Range<u64> = 800..2_500;
 
-/// Shortest and longest time of a fault, in milliseconds: an engine is away, an entry is there.
+/// Range of the time for which an engine is stopped or a foreign list entry exists, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 10..1_200;
 
-/// A kind of faults beside those of the plan.
+/// A kind of faults that is injected in addition to the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ExtraKind {
-    /// Open connections go silent for good, without a reset, while new ones work.
-    Silence,
-    /// Engines end and start again under their ids.
+    /// Open connections stall permanently without a reset, while new ones work.
+    #[value(name = "silence")]
+    Stall,
+    /// Engines terminate and restart with the same ids.
     Restart,
-    /// Entries of other writers than engines.
+    /// List entries of writers that are no engines.
     Foreign,
-    /// A request under which engines end, which comes again and again.
+    /// A request that terminates the engines running it is sent repeatedly.
     Lethal,
-    /// Engines name limits, say that they leave, and ask for rest.
-    Words,
+    /// Engines report limits, report that they are leaving, and request a rest.
+    #[value(name = "words")]
+    Notices,
 }
 
-/// Where an engine starts again.
+/// Address at which an engine restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestartPlace {
-    /// At the address that it had.
+pub enum RestartAddress {
+    /// The previous address.
     Same,
-    /// At another one.
+    /// A new address.
     Other,
 }
 
-/// Whose connections go silent.
+/// The connections that stall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilentConnections {
-    /// All between machines, to the store and to engines.
+pub enum StalledConnections {
+    /// All connections between daemons, to the store and to engines.
     All,
-    /// Those on which peers reach a daemon.
+    /// The connections through which peers reach a daemon.
     Peers(usize),
-    /// Those of a daemon to the store.
+    /// The connections of a daemon to the store.
     Store(usize),
-    /// Those to an engine.
+    /// The connections to an engine.
     Engine(usize),
 }
 
-/// The plan of a seed with the faults of a kind among it.
+/// Adds the faults of a kind to the plan of a seed.
 pub fn with_extra(
     mut steps: Vec<FaultStep>,
     kind: ExtraKind,
     seed: u64,
     options: &PlanOptions,
 ) -> Vec<FaultStep> {
-    let mut random = StdRng::seed_from_u64(seed ^ APART);
+    let mut random = StdRng::seed_from_u64(seed ^ EXTRA_SEED_MASK);
     let mut at = Duration::ZERO;
     loop {
         at += Duration::from_millis(random.random_range(PAUSE_MS));
@@ -83,27 +85,31 @@
     let daemon = random.random_range(0..options.daemons);
     let engine = random.random_range(0..options.engines);
     match kind {
-        ExtraKind::Silence => {
+        ExtraKind::Stall => {
             let connections = [
-                SilentConnections::All,
-                SilentConnections::Peers(daemon),
-                SilentConnections::Store(daemon),
-                SilentConnections::Engine(engine),
+                StalledConnections::All,
+                StalledConnections::Peers(daemon),
+                StalledConnections::Store(daemon),
+                StalledConnections::Engine(engine),
             ];
             let drawn = connections.choose(random).copied();
-            SoakFault::Silence(drawn.unwrap_or(SilentConnections::All))
+            SoakFault::StallConnections(drawn.unwrap_or(StalledConnections::All))
         }
         ExtraKind::Restart => {
             let same = random.random_ratio(1, 2);
-            let place = if same { RestartPlace::Same } else { RestartPlace::Other };
-            SoakFault::Restart(engine, place)
+            let address = if same { RestartAddress::Same } else { RestartAddress::Other };
+            SoakFault::Restart(engine, address)
         }
         ExtraKind::Lethal => SoakFault::Lethal,
-        ExtraKind::Words => {
-            let words =
-                [EngineWord::Limit(2), EngineWord::Limit(8), EngineWord::Leaving, EngineWord::Rest];
-            let drawn = words.choose(random).copied();
-            SoakFault::Word(engine, drawn.unwrap_or(EngineWord::Leaving))
+        ExtraKind::Notices => {
+            let notices = [
+                EngineNotice::Limit(2),
+                EngineNotice::Limit(8),
+                EngineNotice::Leaving,
+                EngineNotice::Rest,
+            ];
+            let drawn = notices.choose(random).copied();
+            SoakFault::Notice(engine, drawn.unwrap_or(EngineNotice::Leaving))
         }
         ExtraKind::Foreign => {
             let entry = ForeignEntry::ALL.choose(random).copied().unwrap_or(ForeignEntry::Bytes);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run and what their engines saw.
+//! Starts and holds the daemons, engines and the store of a run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -19,39 +19,40 @@
 
 use crate::evidence::SoakEvidence;
 use crate::extra::ExtraKind;
-use crate::lethal::{arm, EndedFlag};
+use crate::lethal::{terminate_on_lethal, TerminationFlag};
 use crate::link::FaultyLink;
 use crate::options::SoakOptions;
 use crate::settings::{DaemonSettings, AGE_LIMIT, APPLY_LIMIT};
 
-/// Events of a whole stream, and the time between two.
+/// Number of events of a complete stream.
 pub const EVENTS: u64 = 6;
-pub const PACE: Duration = Duration::from_millis(15);
+/// Time between two events of a stream.
+pub const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// Slots of an engine.
 const SLOTS: u32 = 8;
-/// Daemons whose addresses the settings of each name.
+/// Number of peer addresses in the settings of each daemon.
 const SEEDS: usize = 3;
-/// Time between looks at processes.
-pub const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// Services of the example configuration.
+/// Interval at which processes are polled.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Names of the services in the example configuration.
 pub const BACKENDS: [&str; 2] = ["records", "engines"];
 
-/// An engine and where it is.
-pub struct EngineSlot {
+/// An engine with its address and server.
+pub struct EngineHandle {
     pub engine: Rc<FleetEngine>,
     pub backend: &'static str,
-    /// Where it announces itself: at its link, where it has one.
+    /// Address in the list entry: that of the link, if there is one.
     pub address: String,
-    /// The link on which daemons reach it, in runs whose connections go silent.
+    /// The link through which daemons reach the engine, in runs with stalled connections.
     pub link: Option<FaultyLink>,
-    /// Where it is served, until it ends.
+    /// The running server, `None` after the engine has terminated.
     pub served: Option<ServedHandler>,
-    /// Whether its process has ended under a request.
-    pub ended: EndedFlag,
+    /// Whether the engine has terminated while running a request.
+    pub ended: TerminationFlag,
 }
 
-/// A daemon, the links through which it is reached, and its process.
-pub struct DaemonSlot {
+/// A daemon with its addresses, links and process.
+pub struct DaemonHandle {
     pub name: String,
     pub callers: String,
     pub operators: String,
@@ -59,34 +60,34 @@
     pub store_link: FaultyLink,
     pub settings: PathBuf,
     pub process: RefCell<ChildProcess>,
-    /// Whether a fault has its hands on the process.
-    pub taken: Cell<bool>,
+    /// Whether a fault controls the process.
+    pub is_claimed: Cell<bool>,
 }
 
-/// Where a daemon receives frames, and the link through which its peers send them.
+/// Address on which a daemon receives peer frames, and the link through which its peers send them.
 struct PeerEndpoint {
     link: FaultyLink,
     address: String,
 }
 
-/// The processes and stand-ins of a run.
+/// The daemon processes and stand-ins of a run.
 pub struct SoakFleet {
     pub options: SoakOptions,
     pub programs: PathBuf,
     pub store: Rc<FleetStore>,
     pub config: RefCell<Config>,
-    pub engines: RefCell<Vec<EngineSlot>>,
-    /// Engines that left; they still note what reaches them.
-    pub left: RefCell<Vec<Rc<FleetEngine>>>,
-    pub started: Cell<usize>,
-    pub daemons: Vec<DaemonSlot>,
+    pub engines: RefCell<Vec<EngineHandle>>,
+    /// Engines that were replaced; they still record the requests that reach them.
+    pub replaced_engines: RefCell<Vec<Rc<FleetEngine>>>,
+    pub engine_count: Cell<usize>,
+    pub daemons: Vec<DaemonHandle>,
     pub evidence: RefCell<SoakEvidence>,
-    pub open_faults: Cell<usize>,
-    /// Engines that say something of themselves now.
-    pub speaking: RefCell<BTreeSet<String>>,
+    pub active_faults: Cell<usize>,
+    /// Ids of the engines that send a notice now.
+    pub notifying: RefCell<BTreeSet<String>>,
 }
 
-/// The example configuration with further routes that no caller uses.
+/// Returns the example configuration with additional routes that no caller uses.
 fn long_config(routes: usize) -> Config {
     let mut config = example_config();
     let first = config.routes[0].clone();
@@ -99,7 +100,7 @@
 }
 
 impl SoakFleet {
-    /// Ends the processes and their links.
+    /// Stops the daemon processes and closes their links.
     pub fn close(self) {
         for daemon in self.daemons {
             daemon.process.into_inner().kill();
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Starts everything and waits until all daemons are ready.
+    /// Starts the store, engines and daemons and waits until all daemons are ready.
     pub async fn start(options: SoakOptions) -> Result<SoakFleet> {
         std::fs::create_dir_all(&options.folder).context("soak: folder")?;
         let store = FleetStore::new();
@@ -119,12 +120,12 @@
             store,
             config: RefCell::new(long_config(options.routes)),
             engines: RefCell::default(),
-            left: RefCell::default(),
-            started: Cell::new(0),
+            replaced_engines: RefCell::default(),
+            engine_count: Cell::new(0),
             daemons: Vec::new(),
             evidence: RefCell::default(),
-            open_faults: Cell::new(0),
-            speaking: RefCell::default(),
+            active_faults: Cell::new(0),
+            notifying: RefCell::default(),
             options,
         };
         {
@@ -135,8 +136,8 @@
         }
         fleet.store_config()?;
         for index in 0..fleet.options.engines * BACKENDS.len() {
-            let slot = fleet.new_engine(BACKENDS[index % BACKENDS.len()]).await?;
-            fleet.engines.borrow_mut().push(slot);
+            let handle = fleet.new_engine(BACKENDS[index % BACKENDS.len()]).await?;
+            fleet.engines.borrow_mut().push(handle);
         }
         fleet.start_daemons(&store_address).await?;
         Ok(fleet)
@@ -160,7 +161,8 @@
         Ok(())
     }
 
-    /// Starts the links to all daemons first, since each daemon's settings name some of them.
+    /// Starts the links to all daemons. This comes first, since the settings of each daemon contain some of their
+    /// addresses.
     async fn start_peer_links(&self) -> Result<Vec<PeerEndpoint>> {
         let mut peers = Vec::new();
         for _ in 0..self.options.daemons {
@@ -179,7 +181,7 @@
         peer: PeerEndpoint,
         seeds: &[String],
         store: &str,
-    ) -> Result<DaemonSlot> {
+    ) -> Result<DaemonHandle> {
         let store_link = FaultyLink::start(store, None).await?;
         let (callers, operators) = (free_address()?, free_address()?);
         let name = format!("vm-{index}");
@@ -197,7 +199,7 @@
         let settings = self.options.folder.join(format!("{name}.ini"));
         std::fs::write(&settings, text)?;
         let process = RefCell::new(self.spawn(&name, &callers, &settings)?);
-        Ok(DaemonSlot {
+        Ok(DaemonHandle {
             name,
             callers,
             operators,
@@ -205,7 +207,7 @@
             store_link,
             settings,
             process,
-            taken: Cell::new(false),
+            is_claimed: Cell::new(false),
         })
     }
 
@@ -215,17 +217,17 @@
         spawn(&program, "", callers, &self.options.folder, name, &["--settings", &settings])
     }
 
-    pub fn respawn(&self, daemon: &DaemonSlot) {
+    pub fn respawn(&self, daemon: &DaemonHandle) {
         match self.spawn(&daemon.name, &daemon.callers, &daemon.settings) {
             Ok(process) => {
                 daemon.process.replace(process);
             }
-            Err(error) => self.note_exit(format!("{} does not start: {error}", daemon.name)),
+            Err(error) => self.record_failure(format!("{} does not start: {error}", daemon.name)),
         }
     }
 
-    pub fn note_exit(&self, what: String) {
-        self.evidence.borrow_mut().exits.push(what);
+    pub fn record_failure(&self, what: String) {
+        self.evidence.borrow_mut().failures.push(what);
     }
 
     pub fn store_config(&self) -> Result<()> {
@@ -235,67 +237,67 @@
         Ok(())
     }
 
-    pub async fn new_engine(&self, backend: &'static str) -> Result<EngineSlot> {
-        let number = self.started.get();
-        self.started.set(number + 1);
-        let engine = FleetEngine::new(&format!("i-{number}"), EVENTS, PACE);
+    pub async fn new_engine(&self, backend: &'static str) -> Result<EngineHandle> {
+        let number = self.engine_count.get();
+        self.engine_count.set(number + 1);
+        let engine = FleetEngine::new(&format!("i-{number}"), EVENTS, EVENT_INTERVAL);
         self.serve_engine(engine, backend, &free_address()?).await
     }
 
-    /// Serves an engine at an address, and writes its entry.
+    /// Serves an engine at an address and writes its list entry.
     pub async fn serve_engine(
         &self,
         engine: Rc<FleetEngine>,
         backend: &'static str,
         address: &str,
-    ) -> Result<EngineSlot> {
+    ) -> Result<EngineHandle> {
         let served = ServedHandler::start(address, engine.clone()).await?;
         let link = match self.options.extra {
-            Some(ExtraKind::Silence) => Some(FaultyLink::start(address, None).await?),
+            Some(ExtraKind::Stall) => Some(FaultyLink::start(address, None).await?),
             _ => None,
         };
         let address = link.as_ref().map_or(address, |link| &link.address).to_string();
-        let ended = EndedFlag::default();
+        let ended = TerminationFlag::default();
         if self.options.extra == Some(ExtraKind::Lethal) {
-            arm(&engine, &ended);
+            terminate_on_lethal(&engine, &ended);
         }
-        let slot = EngineSlot { engine, backend, address, link, served: Some(served), ended };
-        self.write_entry(&slot, READY)?;
-        Ok(slot)
+        let handle = EngineHandle { engine, backend, address, link, served: Some(served), ended };
+        self.write_entry(&handle, READY)?;
+        Ok(handle)
     }
 
-    /// Writes the entry of an engine.
-    pub fn write_entry(&self, slot: &EngineSlot, state: &str) -> Result<()> {
+    /// Writes the list entry of an engine.
+    pub fn write_entry(&self, handle: &EngineHandle, state: &str) -> Result<()> {
         let entry = EngineEntry {
-            backend: slot.backend,
-            address: &slot.address,
+            backend: handle.backend,
+            address: &handle.address,
             zone: "here",
             slots: SLOTS,
             state,
             version: None,
-            born: Some(slot.engine.born),
+            born: Some(handle.engine.born),
         };
-        self.store.write_entry(&slot.engine.id, entry)
+        self.store.write_entry(&handle.engine.id, entry)
     }
 
-    /// What reached each engine.
+    /// Returns the requests that reached engines, with the engine's id.
     pub fn runs(&self) -> Vec<(String, EngineRun)> {
         let present = self.engines.borrow();
-        let left = self.left.borrow();
-        let engines = present.iter().map(|slot| &slot.engine).chain(left.iter());
+        let replaced = self.replaced_engines.borrow();
+        let engines = present.iter().map(|handle| &handle.engine).chain(replaced.iter());
         let runs = engines
             .flat_map(|engine| engine.runs().into_iter().map(|run| (engine.id.clone(), run)));
         runs.collect()
     }
 
-    /// Notes processes that end though nobody asked them to.
+    /// Records and restarts daemons that exit by themselves.
     pub async fn watch_processes(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            for daemon in self.daemons.iter().filter(|daemon| !daemon.taken.get()) {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            for daemon in self.daemons.iter().filter(|daemon| !daemon.is_claimed.get()) {
                 let ended = daemon.process.borrow_mut().ended();
                 if let Some(code) = ended {
-                    self.note_exit(format!("{} ended with {code}", daemon.name));
+                    self.record_failure(format!("{} exited with {code}", daemon.name));
                     self.respawn(daemon);
                 }
             }
--- a/crates/soak/src/kept.rs
+++ b/crates/soak/src/kept.rs
@@ -1,28 +1,28 @@
-//! Seeds that failed once, as `kept-seeds.txt` lists them.
+//! Parses `kept-seeds.txt`, the list of seeds that failed in earlier runs.
 
 use anyhow::{anyhow, Context, Result};
 use clap::ValueEnum;
 
 use crate::extra::ExtraKind;
 
-/// Word of a line whose seed is played with planned work only.
+/// Option of a line whose seed is run with planned work only.
 const PLANNED: &str = "planned";
 
-/// A seed with the options that change its plan.
+/// A seed with the options that determine its faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlayedSeed {
     /// The seed.
     pub seed: u64,
-    /// Whether only planned work happens.
+    /// Whether only planned work is injected.
     pub planned: bool,
-    /// Kind of faults beside the plan.
+    /// Kind of faults to inject in addition to those drawn from the seed.
     pub extra: Option<ExtraKind>,
 }
 
-/// The seeds of a list with a line for each: `SEED [planned] [KIND]: CAUSE`.
+/// Parses a list with one seed per line: `SEED [planned] [KIND]: CAUSE`.
 ///
 /// # Errors
-/// Where a line cannot be read.
+/// Fails if a line has another form.
 pub fn kept_seeds(list: &str) -> Result<Vec<PlayedSeed>> {
     list.lines().filter(|line| !line.starts_with('#')).map(kept_seed).collect()
 }
--- a/crates/soak/src/lethal.rs
+++ b/crates/soak/src/lethal.rs
@@ -1,6 +1,7 @@
-//! A request under which engines end, sent again and again to all daemons.
+//! Repeatedly sends a lethal request, which terminates the engines running it, to all daemons.
 //!
-//! Owns: its body, its callers, and what becomes of the engines. Relies on: `SoakFleet` for their places.
+//! Owns: the body of the request, its callers, and the replacement of the engines. Relies on: `SoakFleet` for the list
+//! of engines.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,43 +11,43 @@
 use curlewcleat_standins::fleet::{FleetEngine, LethalBody};
 use curlewcleat_targets::ConnectionPool;
 
-use crate::callers::{exchange_as, CallKind};
+use crate::callers::{send_request, CallKind};
 use crate::fleet::SoakFleet;
 
-/// Its body.
+/// Body of the lethal request.
 pub const LETHAL: &[u8] = b"ends its engine";
-/// Time after the end of an engine at which its entry lapses and another one has started: shorter than engines need,
-/// so that more of them can end.
-const LAPSE: Duration = Duration::from_millis(400);
-/// Copies that are sent at the same time: callers that repeat at once.
+/// Time after the termination of an engine until its list entry is removed and another engine starts: shorter than
+/// real engines need, so that more of them can terminate during a run.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(400);
+/// Number of copies that are sent at the same time, as callers do that retry at once.
 const COPIES: usize = 2;
-/// Time between two rounds.
+/// Pause between two rounds.
 const PAUSE: Duration = Duration::from_millis(60);
-/// Time between looks at the engines.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which the engines are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What tells that an engine's process has ended.
-pub type EndedFlag = Rc<std::cell::Cell<bool>>;
+/// Set when an engine has terminated.
+pub type TerminationFlag = Rc<std::cell::Cell<bool>>;
 
-/// From now on an engine ends once it begins to run the request.
-pub fn arm(engine: &FleetEngine, ended: &EndedFlag) {
+/// Makes an engine terminate as soon as it begins to run the lethal request.
+pub fn terminate_on_lethal(engine: &FleetEngine, ended: &TerminationFlag) {
     let ended = Rc::clone(ended);
     engine.set_lethal(LethalBody { body: LETHAL.to_vec(), end: Box::new(move || ended.set(true)) });
 }
 
 impl SoakFleet {
-    /// The request comes again and again, each copy to the next daemon.
+    /// Sends the request repeatedly for some time, each copy to the next daemon.
     pub async fn send_lethal(&self, time: Duration) {
         let until = Instant::now() + time;
         let mut daemons = self.daemons.iter().cycle();
         while Instant::now() < until {
             let copies = daemons.by_ref().take(COPIES).map(|daemon| async {
                 let connections = ConnectionPool::default();
-                // Whatever it gets, it comes again.
-                let _ = exchange_as(
+                // It is sent again whatever the answer.
+                let _ = send_request(
                     &connections,
                     &daemon.callers,
-                    CallKind::Plain,
+                    CallKind::PlainStream,
                     (DRIVERS_KEY, "lethal"),
                     LETHAL.into(),
                 )
@@ -57,19 +58,19 @@
         }
     }
 
-    /// Puts another engine in the place of each that ends, once its entry has lapsed.
-    pub async fn watch_engines(self: Rc<Self>) {
+    /// Replaces each engine that terminates, once its list entry has been removed.
+    pub async fn replace_terminated_engines(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let ended = self.engines.borrow().iter().position(|slot| slot.ended.take());
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let ended = self.engines.borrow().iter().position(|handle| handle.ended.take());
             if let Some(index) = ended {
                 let served = self.engines.borrow_mut()[index].served.take();
-                actix_rt::spawn(Rc::clone(&self).replace_ended(index, served));
+                actix_rt::spawn(Rc::clone(&self).replace_terminated(index, served));
             }
         }
     }
 
-    async fn replace_ended(
+    async fn replace_terminated(
         self: Rc<Self>,
         index: usize,
         served: Option<curlewcleat_standins::served::ServedHandler>,
@@ -79,12 +80,12 @@
         if let Some(served) = served {
             served.close().await;
         }
-        tokio::time::sleep(LAPSE).await;
+        tokio::time::sleep(REPLACEMENT_DELAY).await;
         self.store.remove(SERVERS, &id);
-        // Another fault may have put an engine there meanwhile.
+        // Another fault may have replaced the engine in the meantime.
         if self.engines.borrow()[index].engine.id == id {
             if let Err(error) = self.replace_engine(index).await {
-                self.note_exit(format!("no engine in the place of {id}: {error}"));
+                self.record_failure(format!("engine {id} could not be replaced: {error}"));
             }
         }
         self.evidence.borrow_mut().faults.push((begun, Instant::now()));
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,31 +1,31 @@
-//! A randomized soak: real daemons as separate processes on loopback, faults from outside them, and a
-//! judge that compares what callers got with what engines ran.
+//! Randomized fault tests: starts real daemon processes on loopback, injects faults from outside and
+//! checks the answers of the callers against the requests that the engines ran.
 
 mod callers;
+mod checks;
+mod connectivity;
 mod entries;
 mod evidence;
 mod extra;
 mod faults;
 mod fleet;
-mod judge;
 mod kept;
 mod lethal;
 mod link;
+mod notices;
 mod options;
 mod outcomes;
 mod plan;
-mod reach;
 mod run;
 mod settings;
-mod words;
 
 pub use callers::{CallKind, CallOutcome, CallRecord};
-pub use evidence::{EngineLeave, KeyLoss, PlannedStop, SoakEvidence};
-pub use extra::{with_extra, ExtraKind, RestartPlace, SilentConnections};
-pub use judge::{judge, SoakFinding};
+pub use checks::{check_evidence, SoakViolation};
+pub use evidence::{EngineLeave, KeyRevocation, PlannedStop, SoakEvidence};
+pub use extra::{with_extra, ExtraKind, RestartAddress, StalledConnections};
 pub use kept::{kept_seeds, PlayedSeed};
 pub use link::{FaultyLink, LinkFault};
+pub use notices::{EngineNotice, SentNotice};
 pub use options::SoakOptions;
 pub use plan::{plan, FaultStep, PlanOptions, SoakFault};
 pub use run::{run_soak, SoakReport};
-pub use words::{EngineWord, SaidWord};
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, reset, silenced and cut one way.
+//! A TCP proxy on loopback whose connections can be delayed, reset, stalled, or blocked in one direction.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,37 +10,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Bytes forwarded at a time.
+/// Size of the read buffer in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// Bytes a second in a megabit a second.
+/// Bytes in a megabit.
 const BYTES_PER_MEGABIT: u64 = 1_000_000 / 8;
 
-/// What a link does to its connections.
+/// A fault of all connections of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Bytes arrive later.
+    /// Each chunk of bytes is delayed by this time.
     Delay(Duration),
-    /// Bytes towards the far end wait until the fault ends, those of the near end pass.
-    CutThere,
-    /// Bytes from the far end wait until the fault ends.
-    CutBack,
-    /// No bytes pass either way; new connections hang.
-    Silent,
-    /// The connections of that time stay open and never say anything again.
-    Deaf,
+    /// Bytes to the upstream address wait until the fault ends; those in the other direction pass.
+    BlockUpstream,
+    /// Bytes from the upstream address wait until the fault ends; those in the other direction pass.
+    BlockDownstream,
+    /// Bytes in both directions wait until the fault ends, also those of new connections.
+    BlockBoth,
+    /// Connections that exist during the fault stay open and never carry a byte again.
+    Stall,
 }
 
 impl LinkFault {
-    fn holds(self, towards: bool) -> bool {
+    fn holds(self, to_upstream: bool) -> bool {
         match self {
-            LinkFault::None | LinkFault::Delay(_) | LinkFault::Deaf => false,
-            LinkFault::CutThere => towards,
-            LinkFault::CutBack => !towards,
-            LinkFault::Silent => true,
+            LinkFault::None | LinkFault::Delay(_) | LinkFault::Stall => false,
+            LinkFault::BlockUpstream => to_upstream,
+            LinkFault::BlockDownstream => !to_upstream,
+            LinkFault::BlockBoth => true,
         }
     }
 }
@@ -48,29 +48,29 @@
 #[derive(Default)]
 struct LinkState {
     fault: Cell<LinkFault>,
-    /// What a connection carries in megabits a second, `None` for no limit.
+    /// Bandwidth of a connection in megabits per second; `None` for no limit.
     mbps: Option<u64>,
-    /// Times that the connections have become deaf.
-    deafened: Cell<u64>,
-    /// Times that the connections have gone silent.
-    silenced: Cell<u64>,
+    /// Number of times that [`LinkFault::Stall`] was set.
+    stall_faults: Cell<u64>,
+    /// Number of calls of [`FaultyLink::stall_open_connections`].
+    stalls_of_open: Cell<u64>,
     changed: Notify,
     connections: RefCell<Vec<actix_rt::task::JoinHandle<()>>>,
 }
 
-/// A link to one address.
+/// A proxy to one address.
 pub struct FaultyLink {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: String,
     state: Rc<LinkState>,
     listening: actix_rt::task::JoinHandle<()>,
 }
 
 impl FaultyLink {
-    /// Begins to forward to an address; each connection carries `mbps` megabits a second.
+    /// Starts a proxy to an address; each connection carries `mbps` megabits per second.
     ///
     /// # Errors
-    /// Where no port can be bound.
+    /// Fails if no port can be bound.
     pub async fn start(target: &str, mbps: Option<u64>) -> Result<FaultyLink> {
         let address = free_address()?;
         let listener = TcpListener::bind(&address).await?;
@@ -79,22 +79,23 @@
         Ok(FaultyLink { address, state, listening })
     }
 
-    /// Begins or ends a fault.
+    /// Sets the fault; [`LinkFault::None`] ends it.
     pub fn set(&self, fault: LinkFault) {
-        if fault == LinkFault::Deaf {
-            self.state.deafened.set(self.state.deafened.get() + 1);
+        if fault == LinkFault::Stall {
+            self.state.stall_faults.set(self.state.stall_faults.get() + 1);
         }
         self.state.fault.set(fault);
         self.state.changed.notify_waiters();
     }
 
-    /// The present connections stay open and carry nothing again, not even their end; new ones work.
-    pub fn silence(&self) {
-        self.state.silenced.set(self.state.silenced.get() + 1);
+    /// Stalls the open connections permanently: they stay open and carry nothing more, not even their end. New
+    /// connections work.
+    pub fn stall_open_connections(&self) {
+        self.state.stalls_of_open.set(self.state.stalls_of_open.get() + 1);
         self.state.changed.notify_waiters();
     }
 
-    /// Closes all connections and listens no more.
+    /// Closes all connections and stops listening.
     pub fn close(self) {
         self.listening.abort();
         self.reset();
@@ -109,8 +110,8 @@
 }
 
 async fn accept(listener: TcpListener, target: String, state: Rc<LinkState>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let task = actix_rt::spawn(carry(near, target.clone(), Rc::clone(&state)));
+    while let Ok((client, _)) = listener.accept().await {
+        let task = actix_rt::spawn(forward_connection(client, target.clone(), Rc::clone(&state)));
         let mut connections = state.connections.borrow_mut();
         connections.retain(|connection| !connection.is_finished());
         connections.push(task);
@@ -118,11 +119,12 @@
 }
 
 impl LinkState {
-    /// Waits until the connections that were open after so many silences go silent.
-    async fn silence_after(&self, silenced: u64) {
+    /// Waits until the connections that were opened after `stalls_of_open` calls of
+    /// [`FaultyLink::stall_open_connections`] are stalled.
+    async fn stalled_after(&self, stalls_of_open: u64) {
         loop {
             let changed = self.changed.notified();
-            if self.silenced.get() > silenced {
+            if self.stalls_of_open.get() > stalls_of_open {
                 return;
             }
             changed.await;
@@ -130,26 +132,26 @@
     }
 }
 
-async fn carry(near: TcpStream, target: String, state: Rc<LinkState>) {
-    let silenced = state.silenced.get();
-    let Ok(far) = TcpStream::connect(&target).await else { return };
-    let mut carrying = std::pin::pin!(carry_both_ways(near, far, &state));
+async fn forward_connection(client: TcpStream, target: String, state: Rc<LinkState>) {
+    let stalls_of_open = state.stalls_of_open.get();
+    let Ok(upstream) = TcpStream::connect(&target).await else { return };
+    let mut forwarding = std::pin::pin!(forward_both_ways(client, upstream, &state));
     tokio::select! {
-        () = &mut carrying => {}
-        // Both ends stay open, and what was on its way is lost.
-        () = state.silence_after(silenced) => std::future::pending().await,
+        () = &mut forwarding => {}
+        // Both sockets stay open, and bytes in transit are lost.
+        () = state.stalled_after(stalls_of_open) => std::future::pending().await,
     }
 }
 
-async fn carry_both_ways(near: TcpStream, far: TcpStream, state: &LinkState) {
-    // Small frames are passed on at once.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    // Both ends close when either does.
+async fn forward_both_ways(client: TcpStream, upstream: TcpStream, state: &LinkState) {
+    // Forward small frames without delay.
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    // Both sockets close when either does.
     tokio::select! {
-        () = forward(near_read, far_write, state, true) => {}
-        () = forward(far_read, near_write, state, false) => {}
+        () = forward(client_read, upstream_write, state, true) => {}
+        () = forward(upstream_read, client_write, state, false) => {}
     }
 }
 
@@ -157,10 +159,10 @@
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     state: &LinkState,
-    towards: bool,
+    to_upstream: bool,
 ) {
     let mut buffer = vec![0u8; CHUNK];
-    let deafened = state.deafened.get();
+    let stall_faults = state.stall_faults.get();
     loop {
         let Ok(length) = from.read(&mut buffer).await else { return };
         if length == 0 {
@@ -172,11 +174,11 @@
         }
         match state.fault.get() {
             LinkFault::Delay(time) => tokio::time::sleep(time).await,
-            LinkFault::Deaf => return std::future::pending().await,
-            _ if state.deafened.get() > deafened => return std::future::pending().await,
+            LinkFault::Stall => return std::future::pending().await,
+            _ if state.stall_faults.get() > stall_faults => return std::future::pending().await,
             _ => {}
         }
-        while state.fault.get().holds(towards) {
+        while state.fault.get().holds(to_upstream) {
             state.changed.notified().await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays seeds one after the other, or several at once, and prints what each showed.
+//! Runs one or more seeds one after the other and prints the outcomes and violations of each.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,76 +8,76 @@
 use clap::Parser;
 use curlewcleat_soak::{kept_seeds, run_soak, ExtraKind, PlayedSeed, SoakOptions, SoakReport};
 
-/// A randomized fault soak of real daemons on loopback.
+/// Randomized fault tests of real daemons on loopback.
 #[derive(Parser)]
 struct SoakArguments {
-    /// The one seed to play, with its faults printed.
+    /// Run only this seed and print its faults.
     #[arg(long)]
     seed: Option<u64>,
-    /// All seeds of `kept-seeds.txt`, which failed once.
+    /// Run all seeds of `kept-seeds.txt`, which failed in earlier runs.
     #[arg(long)]
     kept: bool,
-    /// The first of several seeds.
+    /// First of several consecutive seeds.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 5)]
     daemons: usize,
-    /// Engines of each of two services.
+    /// Number of engines of each of the two services.
     #[arg(long, default_value_t = 3)]
     engines: usize,
-    /// Callers.
+    /// Number of callers.
     #[arg(long, default_value_t = 16)]
     callers: usize,
-    /// Seconds in which faults happen.
+    /// Seconds during which faults are injected.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Planned work only: stops, reloads, changes, engines that leave.
+    /// Inject planned work only: stops, reloads, configuration changes, engines that leave.
     #[arg(long)]
     planned: bool,
-    /// Routes beside those that callers use, so that the configuration is long.
+    /// Number of additional routes that no caller uses, which make the configuration larger.
     #[arg(long, default_value_t = 0)]
     routes: usize,
-    /// Megabits a second that a connection between two daemons carries.
+    /// Bandwidth of each connection between two daemons, in megabits per second.
     #[arg(long)]
     link_mbps: Option<u64>,
-    /// Kind of faults beside those of the plan.
+    /// Kind of faults to inject in addition to those drawn from the seed.
     #[arg(long)]
     extra: Option<ExtraKind>,
-    /// Folder for settings and logs; kept where a promise was broken.
+    /// Folder for settings and logs; kept if a check failed.
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
 fn main() -> Result<ExitCode> {
     let arguments = SoakArguments::parse();
-    let own = |seed| PlayedSeed { seed, planned: arguments.planned, extra: arguments.extra };
+    let played = |seed| PlayedSeed { seed, planned: arguments.planned, extra: arguments.extra };
     let seeds: Vec<PlayedSeed> = match arguments.seed {
-        Some(seed) => vec![own(seed)],
+        Some(seed) => vec![played(seed)],
         None if arguments.kept => kept_seeds(include_str!("../kept-seeds.txt"))?,
-        None => (arguments.first..arguments.first + arguments.seeds).map(own).collect(),
+        None => (arguments.first..arguments.first + arguments.seeds).map(played).collect(),
     };
     let count = seeds.len();
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in seeds {
         let options = options(&arguments, seed);
         let folder = options.folder.clone();
         let report = actix_rt::System::new().block_on(run_soak(options))?;
         print(seed.seed, &report, arguments.seed.is_some());
-        match report.findings.is_empty() {
-            // A folder that stays behind in the temporary files does no harm.
+        match report.violations.is_empty() {
+            // A folder that cannot be removed remains among the temporary files.
             true => drop(std::fs::remove_dir_all(&folder)),
             false => {
-                broken += 1;
+                failed += 1;
                 println!("  settings and logs: {}", folder.display());
             }
         }
     }
-    println!("{} passed, {broken} failed", count - broken);
-    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("{} passed, {failed} failed", count - failed);
+    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn options(arguments: &SoakArguments, played: PlayedSeed) -> SoakOptions {
@@ -112,7 +112,7 @@
             );
         }
     }
-    for finding in &report.findings {
-        println!("  BROKEN {}: {}", finding.promise, finding.detail);
+    for violation in &report.violations {
+        println!("  BROKEN {}: {}", violation.invariant, violation.detail);
     }
 }
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,4 +1,4 @@
-//! What a run is made with.
+//! Options of a run.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,28 +6,28 @@
 use crate::extra::ExtraKind;
 use crate::plan::FaultStep;
 
-/// Sizes, seed and folder of a run.
+/// Seed, sizes, faults and folder of a run.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// Draws the faults and the requests.
+    /// Seed of the random choice of faults and requests.
     pub seed: u64,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Engines of each service.
+    /// Number of engines of each service.
     pub engines: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Time in which faults happen.
+    /// Time during which faults are injected.
     pub time: Duration,
-    /// Whether only planned work happens.
+    /// Whether only planned work is injected.
     pub planned_only: bool,
-    /// Routes beside those that callers use.
+    /// Number of additional routes that no caller uses.
     pub routes: usize,
-    /// What each connection between two daemons carries, in megabits a second; `None` for no limit.
+    /// Bandwidth of each connection between two daemons, in megabits per second; `None` for no limit.
     pub link_mbps: Option<u64>,
-    /// Kind of faults beside those of the seed.
+    /// Kind of faults to inject in addition to those drawn from the seed.
     pub extra: Option<ExtraKind>,
-    /// Faults in place of those of the seed.
+    /// Faults to inject instead of those drawn from the seed.
     pub script: Option<Vec<FaultStep>>,
     /// Folder for settings and logs.
     pub folder: PathBuf,
--- a/crates/soak/src/outcomes.rs
+++ b/crates/soak/src/outcomes.rs
@@ -1,32 +1,40 @@
-//! Counts of what callers got.
+//! Counts the outcomes of the requests.
 
 use std::collections::BTreeMap;
 
 use crate::callers::{CallKind, CallOutcome, CallRecord};
 
-/// Kinds and outcomes of a run, for its report.
-pub fn summary(records: &[CallRecord]) -> BTreeMap<String, usize> {
+/// Returns the number of requests of a run by outcome, for its report.
+pub fn count_outcomes(records: &[CallRecord]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for record in records {
         let outcome = match &record.outcome {
             CallOutcome::Unsent => "unsent".to_string(),
             CallOutcome::NoAnswer(_) => "no answer".to_string(),
-            CallOutcome::Answer { status, whole: true, .. } => status.to_string(),
-            CallOutcome::Answer { status, whole: false, .. } => format!("{status} cut"),
+            CallOutcome::Answer { status, complete: true, .. } => status.to_string(),
+            CallOutcome::Answer { status, complete: false, .. } => format!("{status} cut"),
         };
         *counts.entry(outcome).or_default() += 1;
     }
     counts
 }
 
-/// Whether a kind was served at all, so that a run that serves nothing proves nothing.
-pub fn unserved(records: &[CallRecord]) -> Vec<CallKind> {
-    let kinds =
-        [CallKind::Once, CallKind::Open, CallKind::Again, CallKind::Resumed, CallKind::Plain];
+/// Returns the kinds of which no request was served: a run shows nothing about them.
+pub fn unserved_kinds(records: &[CallRecord]) -> Vec<CallKind> {
+    let kinds = [
+        CallKind::Once,
+        CallKind::Keyless,
+        CallKind::Repeatable,
+        CallKind::ResumableStream,
+        CallKind::PlainStream,
+    ];
     let served = |kind: &CallKind| {
         records.iter().any(|record| {
             record.kind == *kind
-                && matches!(&record.outcome, CallOutcome::Answer { status: 200, whole: true, .. })
+                && matches!(
+                    &record.outcome,
+                    CallOutcome::Answer { status: 200, complete: true, .. }
+                )
         })
     };
     kinds.into_iter().filter(|kind| !served(kind)).collect()
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, drawn from its seed.
+//! Draws the faults of a run from its seed.
 
 use std::time::Duration;
 
@@ -7,117 +7,117 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use crate::extra::{RestartPlace, SilentConnections};
+use crate::extra::{RestartAddress, StalledConnections};
 use crate::link::LinkFault;
-use crate::words::EngineWord;
+use crate::notices::EngineNotice;
 
-/// Time before the first fault, in which the fleet settles.
-const SETTLED: Duration = Duration::from_millis(600);
-/// Shortest and longest time of a fault, in milliseconds.
+/// Time before the first fault, in which the fleet reaches a steady state.
+const WARM_UP: Duration = Duration::from_millis(600);
+/// Range of the duration of a fault, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 150..2_500;
-/// Shortest and longest pause between the beginnings of two faults, in milliseconds.
+/// Range of the time between the starts of two faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 60..900;
-/// One in so many faults is followed at once by others of its kind.
-const SERIES: u32 = 5;
+/// One in this many faults is followed shortly by others of the same kind.
+const SERIES_RATIO: u32 = 5;
 
-/// What is drawn from.
+/// Limits within which the faults are drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanOptions {
-    /// Daemons of the fleet.
+    /// Number of daemons in the fleet.
     pub daemons: usize,
-    /// Engines at the beginning.
+    /// Number of engines at the start.
     pub engines: usize,
-    /// Time in which faults begin and end.
+    /// Time within which all faults begin and end.
     pub time: Duration,
-    /// Whether only planned work happens: stops, reloads, changes, engines that leave.
+    /// Whether only planned work is injected: stops, reloads, configuration changes, engines that leave.
     pub planned_only: bool,
 }
 
-/// A fault, on the daemon or engine with this number.
+/// A fault of the daemon or engine with the given index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// The process is killed and started again.
+    /// The process is killed and restarted.
     Kill(usize),
-    /// An engine says something of itself.
-    Word(usize, EngineWord),
-    /// The process stands still.
+    /// An engine sends a notice about itself.
+    Notice(usize, EngineNotice),
+    /// The process is suspended (SIGSTOP) and resumed.
     Freeze(usize),
-    /// The process is told to stop and started again after its end.
+    /// The process is stopped with SIGTERM and restarted after it has exited.
     Stop(usize),
-    /// The settings file changes and the process is told.
+    /// The settings file changes and the process is signalled to reload it.
     Reload(usize),
-    /// The link on which peers reach the daemon.
+    /// The link through which peers reach the daemon has a fault.
     PeerLink(usize, LinkFault),
-    /// All connections on which peers reach the daemon are closed.
+    /// All connections through which peers reach the daemon are closed.
     PeerReset(usize),
-    /// The link on which the daemon reaches the store.
+    /// The link through which the daemon reaches the store has a fault.
     StoreLink(usize, LinkFault),
     /// All connections from the daemon to the store are closed.
     StoreReset(usize),
-    /// The store fails for all.
+    /// The store fails for all daemons.
     Store(StoreOutage),
-    /// The store loses the answers of so many writes.
+    /// The store applies this many writes without answering them.
     LostWrites(u64),
-    /// The store forgets its history.
-    Forget,
+    /// The store discards its history, so that all watches have to restart.
+    ForgetHistory,
     /// An engine fails.
     Engine(usize, EngineStep),
-    /// An engine says that it leaves, and ends later; another one comes.
+    /// A new engine replaces one whose list entry says that it is leaving and is removed later.
     Leave(usize),
-    /// An engine's entry disappears while it still serves.
-    Vanish(usize),
-    /// The configuration changes in a way that no request notices.
-    Change,
-    /// A key is taken away, and given back.
-    TakeKey,
-    /// Open connections go silent for good.
-    Silence(SilentConnections),
-    /// An engine ends and starts again under its id.
-    Restart(usize, RestartPlace),
-    /// There is an entry that is not an engine's.
+    /// An engine's list entry is removed while the engine still serves; a new engine replaces it.
+    RemoveEntry(usize),
+    /// The configuration changes without an effect on requests.
+    ConfigChange,
+    /// A key is revoked and restored later.
+    RevokeKey,
+    /// Open connections stall permanently.
+    StallConnections(StalledConnections),
+    /// An engine terminates and restarts with the same id.
+    Restart(usize, RestartAddress),
+    /// The store has a list entry that no engine wrote.
     Foreign(ForeignEntry),
-    /// A request under which engines end comes again and again.
+    /// A request that terminates the engines running it is sent repeatedly.
     Lethal,
-    /// Another writer writes over an engine's entry.
+    /// Another writer overwrites an engine's list entry.
     Overwrite(usize, ForeignEntry),
 }
 
 impl SoakFault {
-    /// Whether it is planned work, or what others write: nothing may be lost around it.
+    /// Returns whether the fault is planned work or a write of another party, around which no request may be lost.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
             SoakFault::Stop(_)
-                | SoakFault::Word(..)
+                | SoakFault::Notice(..)
                 | SoakFault::Reload(_)
-                | SoakFault::Change
+                | SoakFault::ConfigChange
                 | SoakFault::Leave(_)
-                | SoakFault::TakeKey
+                | SoakFault::RevokeKey
                 | SoakFault::Foreign(_)
                 | SoakFault::Overwrite(..)
         )
     }
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultStep {
-    /// When it begins, counted from the beginning of the traffic.
+    /// Time from the start of the traffic to the start of the fault.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
+    /// Duration, for faults that have one.
     pub time: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: SoakFault,
 }
 
-/// The faults of a seed, in order of their beginnings. All end within the time of the options.
+/// Returns the faults of a seed, ordered by their start. All end within the time of the options.
 pub fn plan(seed: u64, options: &PlanOptions) -> Vec<FaultStep> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
-    let mut at = SETTLED;
+    let mut at = WARM_UP;
     loop {
         let fault = draw(&mut random, options);
-        let series = match random.random_ratio(1, SERIES) {
+        let series = match random.random_ratio(1, SERIES_RATIO) {
             true => random.random_range(2..=4),
             false => 1,
         };
@@ -126,7 +126,7 @@
             if at + time > options.time {
                 return steps;
             }
-            steps.push(FaultStep { at, time, fault: elsewhere(&mut random, options, fault) });
+            steps.push(FaultStep { at, time, fault: redrawn(&mut random, options, fault) });
             at += Duration::from_millis(random.random_range(PAUSE_MS) / series);
         }
     }
@@ -139,8 +139,8 @@
         SoakFault::Stop(daemon),
         SoakFault::Reload(daemon),
         SoakFault::Leave(engine),
-        SoakFault::Change,
-        SoakFault::TakeKey,
+        SoakFault::ConfigChange,
+        SoakFault::RevokeKey,
     ];
     if options.planned_only || random.random_ratio(1, 4) {
         return planned[random.random_range(0..planned.len())];
@@ -154,16 +154,16 @@
         6 => SoakFault::StoreReset(daemon),
         7 => SoakFault::Store(store_outage(random)),
         8 => match random.random_ratio(1, 2) {
-            true => SoakFault::Forget,
+            true => SoakFault::ForgetHistory,
             false => SoakFault::LostWrites(random.random_range(1..4)),
         },
-        9 => SoakFault::Vanish(engine),
+        9 => SoakFault::RemoveEntry(engine),
         _ => SoakFault::Engine(engine, engine_step(random)),
     }
 }
 
-/// The same fault on another daemon or engine.
-fn elsewhere(random: &mut StdRng, options: &PlanOptions, fault: SoakFault) -> SoakFault {
+/// Returns the same fault on a newly drawn daemon or engine.
+fn redrawn(random: &mut StdRng, options: &PlanOptions, fault: SoakFault) -> SoakFault {
     let daemon = random.random_range(0..options.daemons);
     let engine = random.random_range(0..options.engines);
     match fault {
@@ -177,7 +177,7 @@
         SoakFault::StoreReset(_) => SoakFault::StoreReset(daemon),
         SoakFault::Engine(_, step) => SoakFault::Engine(engine, step),
         SoakFault::Leave(_) => SoakFault::Leave(engine),
-        SoakFault::Vanish(_) => SoakFault::Vanish(engine),
+        SoakFault::RemoveEntry(_) => SoakFault::RemoveEntry(engine),
         other => other,
     }
 }
@@ -186,10 +186,10 @@
     let delay = Duration::from_millis(random.random_range(5..400));
     let faults = [
         LinkFault::Delay(delay),
-        LinkFault::CutThere,
-        LinkFault::CutBack,
-        LinkFault::Silent,
-        LinkFault::Deaf,
+        LinkFault::BlockUpstream,
+        LinkFault::BlockDownstream,
+        LinkFault::BlockBoth,
+        LinkFault::Stall,
     ];
     faults.choose(random).copied().unwrap_or_default()
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: faults of a plan happen to a fleet under load; then what happened is judged.
+//! Runs one seed: injects the planned faults into a fleet under load, then checks the collected evidence.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,32 +8,32 @@
 use curlewcleat_standins::deployment::wait_until;
 
 use crate::callers::SoakCallers;
+use crate::checks::{check_evidence, SoakViolation};
+use crate::connectivity::check_connectivity;
 use crate::extra::with_extra;
 use crate::fleet::{SoakFleet, BACKENDS};
-use crate::judge::{judge, SoakFinding};
 use crate::options::SoakOptions;
-use crate::outcomes::{summary, unserved};
+use crate::outcomes::{count_outcomes, unserved_kinds};
 use crate::plan::{plan, FaultStep, PlanOptions};
-use crate::reach::unheard_peers;
 
-/// Time for which the traffic goes on after the last fault.
+/// Time for which callers continue to send requests after the last fault.
 const RECOVERY: Duration = Duration::from_secs(5);
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// The faults.
+    /// The injected faults.
     pub steps: Vec<FaultStep>,
-    /// Requests by outcome.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// Broken promises.
-    pub findings: Vec<SoakFinding>,
+    /// Violated invariants.
+    pub violations: Vec<SoakViolation>,
 }
 
-/// Plays one seed and judges it.
+/// Runs one seed and checks its evidence.
 ///
 /// # Errors
-/// Where processes cannot be started; a broken promise is no error.
+/// Fails if a process cannot be started. A violated invariant is part of the report, not an error.
 pub async fn run_soak(options: SoakOptions) -> Result<SoakReport> {
     let plan_options = PlanOptions {
         daemons: options.daemons,
@@ -54,31 +54,34 @@
         fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect();
     let callers = SoakCallers::start(fleet.options.seed, fleet.options.callers, &addresses);
     let watch = actix_rt::spawn(Rc::clone(&fleet).watch_processes());
-    let engines = actix_rt::spawn(Rc::clone(&fleet).watch_engines());
+    let engines = actix_rt::spawn(Rc::clone(&fleet).replace_terminated_engines());
     let begun = Instant::now();
     for step in &steps {
         tokio::time::sleep((begun + step.at).saturating_duration_since(Instant::now())).await;
         actix_rt::spawn(Rc::clone(&fleet).play(*step));
     }
-    wait_until("the faults have ended", || async { fleet.open_faults.get() == 0 }).await?;
-    fleet.evidence.borrow_mut().healed = Some(Instant::now());
+    wait_until("the faults have ended", || async { fleet.active_faults.get() == 0 }).await?;
+    fleet.evidence.borrow_mut().faults_ended = Some(Instant::now());
     tokio::time::sleep(RECOVERY).await;
     let records = callers.close().await;
     watch.abort();
     engines.abort();
-    let unheard = unheard_peers(&fleet).await;
+    let unreachable = check_connectivity(&fleet).await;
     let mut evidence = fleet.evidence.take();
-    let kinds = unserved(&records);
+    let kinds = unserved_kinds(&records);
     evidence.records = records;
     evidence.runs = fleet.runs();
-    let mut findings = judge(&evidence);
+    let mut violations = check_evidence(&evidence);
     if !kinds.is_empty() {
         let detail = format!("{kinds:?}");
-        findings.push(SoakFinding { promise: "every kind is served at some time", detail });
+        violations.push(SoakViolation {
+            invariant: "every kind of request is served at least once",
+            detail,
+        });
     }
-    findings.extend(unheard);
+    violations.extend(unreachable);
     if let Ok(fleet) = Rc::try_unwrap(fleet) {
         fleet.close();
     }
-    Ok(SoakReport { steps, outcomes: summary(&evidence.records), findings })
+    Ok(SoakReport { steps, outcomes: count_outcomes(&evidence.records), violations })
 }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,36 +1,36 @@
-//! The settings file of a daemon, with the bounds that a run holds it to.
+//! Writes the settings file of a daemon, with the bounds that the checks of a run rely on.
 
 use std::time::Duration;
 
-/// Age from which a configuration is too old to admit requests by.
+/// Age above which a configuration is too old to admit requests.
 pub const AGE_LIMIT: Duration = Duration::from_secs(2);
-/// Time in which a changed configuration takes effect, and in which engines that leave get no more work.
+/// Time within which a changed configuration takes effect and leaving engines receive no more requests.
 pub const APPLY_LIMIT: Duration = Duration::from_secs(1);
-/// Time in which a daemon that was told to stop ends.
+/// Time within which a daemon exits after SIGTERM.
 pub const STOP_LIMIT: Duration = Duration::from_secs(5);
 
-/// What differs between the daemons of a run.
+/// The settings that differ between the daemons of a run.
 pub struct DaemonSettings<'a> {
-    /// Name of its VM.
+    /// Name of the daemon's VM.
     pub name: &'a str,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: &'a str,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators: &'a str,
-    /// Where it receives frames.
+    /// Address on which the daemon receives peer frames.
     pub peers: &'a str,
-    /// Where its peers send frames for it to.
+    /// Address to which the peers send their frames.
     pub advertised: &'a str,
-    /// Addresses of peers to begin with.
+    /// Addresses of the first peers to contact.
     pub seeds: &'a [String],
-    /// Where it reaches the store.
+    /// Address of the store.
     pub store: &'a str,
-    /// Its link in megabits a second, where that is limited.
+    /// Bandwidth of the daemon's link in megabits per second, if limited.
     pub link_mbps: Option<u64>,
 }
 
 impl DaemonSettings<'_> {
-    /// The text of the settings file.
+    /// Returns the text of the settings file.
     pub fn to_ini(&self) -> String {
         let link = self.link_mbps.map(|mbps| format!("link_mbps = {mbps}\n")).unwrap_or_default();
         format!(
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short seeded soak, and the judge on evidence that it must not pass.
+//! Short seeded runs, and the checks on evidence that contains violations.
 
 use std::time::{Duration, Instant};
 
 use curlewcleat_soak::{
-    judge, kept_seeds, plan, run_soak, with_extra, CallKind, CallOutcome, CallRecord, ExtraKind,
-    FaultStep, KeyLoss, LinkFault, PlanOptions, PlayedSeed, SilentConnections, SoakEvidence,
-    SoakFault, SoakOptions,
+    check_evidence, kept_seeds, plan, run_soak, with_extra, CallKind, CallOutcome, CallRecord,
+    ExtraKind, FaultStep, KeyRevocation, LinkFault, PlanOptions, PlayedSeed, SoakEvidence,
+    SoakFault, SoakOptions, StalledConnections,
 };
 use curlewcleat_standins::deployment::own_folder;
 use curlewcleat_standins::fleet::EngineRun;
@@ -14,7 +14,7 @@
 #[rstest]
 #[case::everything(3, false)]
 #[case::planned_work(4, true)]
-fn short_soak_breaks_nothing(#[case] seed: u64, #[case] planned_only: bool) {
+fn short_run_violates_no_invariant(#[case] seed: u64, #[case] planned_only: bool) {
     let name = format!("soak-test-{seed}");
     let options = SoakOptions {
         seed,
@@ -30,12 +30,13 @@
         folder: own_folder(&name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
-    assert!(report.findings.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
 }
 
-/// A configuration of two parts on its way between daemons over links of 10 Mbit/s, with all faults beside.
+/// Guards against failures while a configuration of two parts is transferred between daemons over links of
+/// 10 Mbit/s, with faults of all kinds.
 #[test]
-fn long_configuration_over_narrow_links_breaks_nothing() {
+fn large_configuration_over_slow_links_violates_no_invariant() {
     let name = "soak-narrow";
     let options = SoakOptions {
         seed: 6,
@@ -51,20 +52,21 @@
         folder: own_folder(name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
-    assert!(report.findings.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
 }
 
-/// Each daemon's connections to the store go deaf in turn, so also those of the ones that read it. Once it
-/// is reachable again, it has to hear of what leaves.
+/// Guards against a daemon that reads the store missing changes after its watch connection stalled. The connections
+/// of each daemon to the store stall in turn, so also those of the daemons that read it. Once the store is reachable
+/// again, the daemons have to learn of leaving engines.
 #[test]
-fn reader_whose_watch_went_deaf_learns_of_leaving_engines() {
+fn daemon_with_stalled_watch_learns_of_leaving_engines() {
     let step = |at, time, fault| FaultStep {
         at: Duration::from_millis(at),
         time: Duration::from_millis(time),
         fault,
     };
-    let deaf = (0..3).map(|index| {
-        let fault = SoakFault::StoreLink(index, LinkFault::Deaf);
+    let stalls = (0..3).map(|index| {
+        let fault = SoakFault::StoreLink(index, LinkFault::Stall);
         step(600 + 2_000 * index as u64, 1_800, fault)
     });
     let leave = (0..4).map(|index| step(8_400, 2_500, SoakFault::Leave(index)));
@@ -78,31 +80,31 @@
         routes: 0,
         link_mbps: None,
         extra: None,
-        script: Some(deaf.chain(leave).collect()),
+        script: Some(stalls.chain(leave).collect()),
         folder: own_folder("deaf").expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
-    assert!(report.findings.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
 }
 
-/// Connections that were open carry nothing again, without a reset, and new ones work. Frames to a peer went on
-/// into the silent connection for good: nothing closed it and nothing else dialed, so that after this script
-/// every daemon heard nobody for the rest of the run (`peer_lost` of all others) and scheduled for itself.
+/// Guards against frames being sent into a stalled connection permanently. Open connections carry nothing more,
+/// without a reset, while new ones work. If nothing closes or redials them, every daemon loses all peers for the
+/// rest of the run (`peer_lost` of all others) and schedules on its own.
 #[rstest]
-#[case::all(vec![SilentConnections::All])]
-#[case::those_of_one_daemon(vec![SilentConnections::Peers(1)])]
+#[case::all(vec![StalledConnections::All])]
+#[case::those_of_one_daemon(vec![StalledConnections::Peers(1)])]
 #[case::one_after_the_other(vec![
-    SilentConnections::Peers(0),
-    SilentConnections::Store(1),
-    SilentConnections::Engine(0),
-    SilentConnections::All,
+    StalledConnections::Peers(0),
+    StalledConnections::Store(1),
+    StalledConnections::Engine(0),
+    StalledConnections::All,
 ])]
-fn connections_that_go_silent_are_replaced(#[case] silences: Vec<SilentConnections>) {
-    let name = format!("silence-{}", silences.len());
-    let steps = silences.iter().enumerate().map(|(index, connections)| FaultStep {
+fn stalled_connections_are_replaced(#[case] stalls: Vec<StalledConnections>) {
+    let name = format!("silence-{}", stalls.len());
+    let steps = stalls.iter().enumerate().map(|(index, connections)| FaultStep {
         at: Duration::from_millis(1_500 * (index as u64 + 1)),
         time: Duration::ZERO,
-        fault: SoakFault::Silence(*connections),
+        fault: SoakFault::StallConnections(*connections),
     });
     let options = SoakOptions {
         seed: 1,
@@ -113,25 +115,25 @@
         planned_only: false,
         routes: 0,
         link_mbps: None,
-        extra: Some(ExtraKind::Silence),
+        extra: Some(ExtraKind::Stall),
         script: Some(steps.collect()),
         folder: own_folder(&name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
-    assert!(report.findings.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
 }
 
-/// Kinds of faults beside the plan that a test plays, with their seeds.
+/// Kinds of additional faults that a test injects, with their seeds.
 const EXTRA_KINDS: &[(ExtraKind, u64)] = &[
-    (ExtraKind::Silence, 11),
+    (ExtraKind::Stall, 11),
     (ExtraKind::Restart, 12),
     (ExtraKind::Foreign, 14),
     (ExtraKind::Lethal, 15),
-    (ExtraKind::Words, 16),
+    (ExtraKind::Notices, 16),
 ];
 
 #[test]
-fn short_soak_with_extra_faults_breaks_nothing() {
+fn short_run_with_extra_faults_violates_no_invariant() {
     for (kind, seed) in EXTRA_KINDS {
         let name = format!("soak-extra-{seed}");
         let options = SoakOptions {
@@ -140,7 +142,7 @@
             engines: 2,
             callers: 6,
             time: Duration::from_secs(5),
-            // Beside other faults little is promised of engines that leave.
+            // Together with unplanned faults, leaving engines have few guarantees that could be checked.
             planned_only: *kind == ExtraKind::Foreign,
             routes: 0,
             link_mbps: None,
@@ -149,20 +151,20 @@
             folder: own_folder(&name).expect("a folder"),
         };
         let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
-        assert!(report.findings.is_empty(), "{kind:?}: {report:#?}");
+        assert!(report.violations.is_empty(), "{kind:?}: {report:#?}");
     }
 }
 
 #[test]
-fn extra_faults_leave_the_plan_of_a_seed() {
+fn extra_faults_do_not_change_the_plan_of_a_seed() {
     let options =
         PlanOptions { daemons: 5, engines: 6, time: Duration::from_secs(10), planned_only: false };
-    for kind in [ExtraKind::Silence, ExtraKind::Restart, ExtraKind::Foreign] {
+    for kind in [ExtraKind::Stall, ExtraKind::Restart, ExtraKind::Foreign] {
         let plain = plan(7, &options);
         let is_extra = |step: &FaultStep| {
             matches!(
                 step.fault,
-                SoakFault::Silence(_)
+                SoakFault::StallConnections(_)
                     | SoakFault::Restart(..)
                     | SoakFault::Foreign(_)
                     | SoakFault::Overwrite(..)
@@ -200,9 +202,9 @@
     let outcome = CallOutcome::Answer {
         status: 200,
         text: "record of a".to_string(),
-        whole: true,
-        seal: Some("i-0".to_string()),
-        echo: Some("a".to_string()),
+        complete: true,
+        sealed_by: Some("i-0".to_string()),
+        echoed_attempt: Some("a".to_string()),
     };
     let key = "key-of-drivers";
     CallRecord { attempt: "a".to_string(), kind, key, daemon: 0, sent: now, ended: now, outcome }
@@ -221,18 +223,18 @@
     (engine.to_string(), run)
 }
 
-fn promises(evidence: &SoakEvidence) -> Vec<&'static str> {
-    judge(evidence).into_iter().map(|finding| finding.promise).collect()
+fn invariants(evidence: &SoakEvidence) -> Vec<&'static str> {
+    check_evidence(evidence).into_iter().map(|violation| violation.invariant).collect()
 }
 
 #[test]
-fn sound_answer_passes() {
+fn correct_answer_violates_no_invariant() {
     let evidence = SoakEvidence {
         records: vec![served(CallKind::Once)],
         runs: vec![run("i-0")],
         ..SoakEvidence::default()
     };
-    assert!(promises(&evidence).is_empty());
+    assert!(invariants(&evidence).is_empty());
 }
 
 fn run_twice() -> SoakEvidence {
@@ -243,18 +245,24 @@
     }
 }
 
-fn run_unasked() -> SoakEvidence {
+fn run_without_request() -> SoakEvidence {
     SoakEvidence { runs: vec![run("i-0")], ..SoakEvidence::default() }
 }
 
-/// A request that ran, and what its caller got.
+/// Returns the evidence of a request that ran, with an outcome.
 fn run_with_outcome(outcome: CallOutcome) -> SoakEvidence {
     let record = CallRecord { outcome, ..served(CallKind::Once) };
     SoakEvidence { records: vec![record], runs: vec![run("i-0")], ..SoakEvidence::default() }
 }
 
 fn refused() -> CallOutcome {
-    CallOutcome::Answer { status: 503, text: String::new(), whole: true, seal: None, echo: None }
+    CallOutcome::Answer {
+        status: 503,
+        text: String::new(),
+        complete: true,
+        sealed_by: None,
+        echoed_attempt: None,
+    }
 }
 
 fn run_for_another_account() -> SoakEvidence {
@@ -271,33 +279,33 @@
     SoakEvidence {
         records: vec![served(CallKind::Once)],
         runs: vec![run("i-0")],
-        foreign: ["i-0".to_string()].into(),
+        foreign_entries: ["i-0".to_string()].into(),
         ..SoakEvidence::default()
     }
 }
 
 fn run_with_revoked_key() -> SoakEvidence {
-    let lost = Instant::now() - Duration::from_secs(5);
+    let revoked = Instant::now() - Duration::from_secs(5);
     SoakEvidence {
         records: vec![served(CallKind::Once)],
         runs: vec![run("i-0")],
-        key_losses: vec![KeyLoss { key: "key-of-drivers", lost, back: None }],
+        key_revocations: vec![KeyRevocation { key: "key-of-drivers", revoked, restored: None }],
         age_limit: Duration::from_secs(2),
         ..SoakEvidence::default()
     }
 }
 
 #[test]
-fn broken_promises_are_found() {
-    assert_eq!(promises(&run_twice()), ["what may not be repeated runs once"]);
-    assert_eq!(promises(&run_unasked()), ["nothing runs unasked"]);
-    assert_eq!(promises(&run_with_outcome(refused())), ["refused means not run"]);
+fn violated_invariants_are_reported() {
+    assert_eq!(invariants(&run_twice()), ["unrepeatable requests run at most once"]);
+    assert_eq!(invariants(&run_without_request()), ["engines run only requests of callers"]);
+    assert_eq!(invariants(&run_with_outcome(refused())), ["refused requests do not run"]);
     let no_answer = CallOutcome::NoAnswer("closed".to_string());
-    assert_eq!(promises(&run_with_outcome(no_answer)), ["planned work loses nothing"]);
-    assert_eq!(promises(&run_for_another_account()), ["requests run unchanged"]);
+    assert_eq!(invariants(&run_with_outcome(no_answer)), ["planned work loses no requests"]);
+    assert_eq!(invariants(&run_for_another_account()), ["requests reach engines unchanged"]);
     assert_eq!(
-        promises(&reached_by_foreign_entry()),
-        ["an entry of another writer names no engine"]
+        invariants(&reached_by_foreign_entry()),
+        ["list entries of other writers receive no requests"]
     );
-    assert_eq!(promises(&run_with_revoked_key()), ["a lost key is refused in time"]);
+    assert_eq!(invariants(&run_with_revoked_key()), ["a revoked key is refused in time"]);
 }
