--- a/crates/soak/src/entries.rs
+++ b/crates/soak/src/entries.rs
@@ -33,7 +33,7 @@
             RestartAddress::Same => address,
             RestartAddress::Other => free_address()?,
         };
-        let handle = self.serve_engine(ended.started_again(), backend, &address).await?;
+        let handle = self.serve_engine(ended.restarted(), backend, &address).await?;
         self.engines.borrow_mut()[index] = handle;
         self.replaced_engines.borrow_mut().push(ended);
         Ok(())
--- a/crates/soak/src/extra.rs
+++ b/crates/soak/src/extra.rs
@@ -112,7 +112,8 @@
             SoakFault::Notice(engine, drawn.unwrap_or(EngineNotice::Leaving))
         }
         ExtraKind::Foreign => {
-            let entry = ForeignEntry::ALL.choose(random).copied().unwrap_or(ForeignEntry::Bytes);
+            let entry =
+                ForeignEntry::ALL.choose(random).copied().unwrap_or(ForeignEntry::InvalidUtf8);
             match random.random_ratio(1, 3) {
                 true => SoakFault::Overwrite(engine, entry),
                 false => SoakFault::Foreign(entry),
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -7,7 +7,7 @@
     ExtraKind, FaultStep, KeyRevocation, LinkFault, PlanOptions, PlayedSeed, SoakEvidence,
     SoakFault, SoakOptions, StalledConnections,
 };
-use curlewcleat_standins::deployment::own_folder;
+use curlewcleat_standins::deployment::create_temp_folder;
 use curlewcleat_standins::fleet::EngineRun;
 use rstest::rstest;
 
@@ -27,7 +27,7 @@
         link_mbps: None,
         extra: None,
         script: None,
-        folder: own_folder(&name).expect("a folder"),
+        folder: create_temp_folder(&name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
     assert!(report.violations.is_empty(), "{report:#?}");
@@ -49,7 +49,7 @@
         link_mbps: Some(10),
         extra: None,
         script: None,
-        folder: own_folder(name).expect("a folder"),
+        folder: create_temp_folder(name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
     assert!(report.violations.is_empty(), "{report:#?}");
@@ -81,7 +81,7 @@
         link_mbps: None,
         extra: None,
         script: Some(stalls.chain(leave).collect()),
-        folder: own_folder("deaf").expect("a folder"),
+        folder: create_temp_folder("deaf").expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
     assert!(report.violations.is_empty(), "{report:#?}");
@@ -117,7 +117,7 @@
         link_mbps: None,
         extra: Some(ExtraKind::Stall),
         script: Some(steps.collect()),
-        folder: own_folder(&name).expect("a folder"),
+        folder: create_temp_folder(&name).expect("a folder"),
     };
     let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
     assert!(report.violations.is_empty(), "{report:#?}");
@@ -148,7 +148,7 @@
             link_mbps: None,
             extra: Some(*kind),
             script: None,
-            folder: own_folder(&name).expect("a folder"),
+            folder: create_temp_folder(&name).expect("a folder"),
         };
         let report = actix_rt::System::new().block_on(run_soak(options)).expect("a run");
         assert!(report.violations.is_empty(), "{kind:?}: {report:#?}");
--- a/crates/standins/src/address.rs
+++ b/crates/standins/src/address.rs
@@ -1,4 +1,4 @@
-//! Free addresses on loopback.
+//! Finds free addresses on loopback.
 
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -6,22 +6,25 @@
 
 use anyhow::{bail, Result};
 
-/// First port; below the range from which the system takes ports of outgoing connections.
+/// First port; below the range of ephemeral ports, which the system uses for outgoing connections.
 const FIRST_PORT: u16 = 10_000;
-/// Ports of one test process.
-const PORTS_EACH: u16 = 200;
+/// Number of ports for each test process.
+const PORTS_PER_PROCESS: u16 = 200;
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
-/// Held while a port is probed and while a process starts: a child that is between its fork and its
-/// exec would otherwise hold the probed port and keep another process from binding it.
-static PROBE_OR_SPAWN: Mutex<()> = Mutex::new(());
+/// Held while a port is probed and while a process starts. Otherwise a child between fork and exec could inherit
+/// the probed socket and keep another process from binding the port.
+static PROBE_OR_SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// A free address on loopback.
+/// Returns a free address on loopback.
+///
+/// # Errors
+/// Fails if all ports of this process are in use.
 pub fn free_address() -> Result<String> {
-    let base = FIRST_PORT + (std::process::id() % 100) as u16 * PORTS_EACH;
-    for _ in 0..PORTS_EACH {
-        let port = base + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % PORTS_EACH;
+    let base = FIRST_PORT + (std::process::id() % 100) as u16 * PORTS_PER_PROCESS;
+    for _ in 0..PORTS_PER_PROCESS {
+        let port = base + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % PORTS_PER_PROCESS;
         let address = format!("127.0.0.1:{port}");
-        let _alone = alone();
+        let _guard = lock_probe_or_spawn();
         if TcpListener::bind(&address).is_ok() {
             return Ok(address);
         }
@@ -29,7 +32,7 @@
     bail!("deployment: no free port from {base} on")
 }
 
-/// Keeps probes and starts of processes apart.
-pub(crate) fn alone() -> MutexGuard<'static, ()> {
-    PROBE_OR_SPAWN.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks out port probes while a process starts, and starts of processes while a port is probed.
+pub(crate) fn lock_probe_or_spawn() -> MutexGuard<'static, ()> {
+    PROBE_OR_SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/standins/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: both users' example configurations, each with 3 daemons, 4 engines and 2 services on
-//! loopback, a mixed load with a burst, and the judgement.
+//! The demo: runs a mixed load with a burst against the example configuration of each of two users, with 3 daemons,
+//! 4 engines and 2 services on loopback, and compares the ledgers of the targets with the outcomes of the callers.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use curlewcleat_standins::load::{report, LoadPlan, LoadStream};
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 
-/// Runs the demo; exits with 1 where ledgers and verdicts disagree.
+/// Runs the demo; exits with 1 if ledgers and verdicts disagree.
 #[derive(Parser)]
 struct Arguments {
     /// Folder with the examples.
@@ -25,7 +25,7 @@
     seed: u64,
 }
 
-/// An example user: its folder, its first targets, its load.
+/// An example user: folder of the configuration, ids, pools and VMs of the targets, and the load.
 struct ExampleUser {
     folder: &'static str,
     engines: [(&'static str, &'static str, &'static str); 4],
@@ -85,7 +85,7 @@
     }
 }
 
-/// Applies the user's files with the stand-ins in place of its targets.
+/// Applies the user's configuration files with the stand-ins as targets.
 fn apply_example(arguments: &Arguments, user: &ExampleUser, fleet: &Deployment) -> Result<()> {
     let folder = Path::new(&arguments.examples).join(user.folder);
     let mut targets = String::new();
--- a/crates/standins/src/bin/standin.rs
+++ b/crates/standins/src/bin/standin.rs
@@ -7,7 +7,7 @@
 use curlewcleat_standins::platform::{PlatformOptions, PlatformStandIn};
 use curlewcleat_standins::service::{ServiceOptions, ServiceStandIn};
 
-/// Small stand-ins for the outside of curlewcleat.
+/// Small stand-ins of the systems around curlewcleat.
 #[derive(Parser)]
 enum StandIn {
     /// Objects with versions and a list of VMs.
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: single requests with checked answers, and an open-loop load.
+//! Callers that send a request and compare the answer with the expected one.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 
 use crate::ledger::{expected_record, expected_stream};
 
-/// How a caller's request ended, in the caller's eyes.
+/// Outcome of a request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerEnd {
-    /// A whole answer, byte for byte the expected one.
+    /// A complete answer that equals the expected one.
     Whole,
-    /// A whole answer that is not the expected one.
+    /// A complete answer that differs from the expected one.
     Wrong(String),
     /// A problem document.
     Refused {
@@ -23,53 +23,53 @@
         status: u16,
         /// Reason code.
         reason: String,
-        /// The document's verdict.
+        /// Whether the request may have run, according to the document.
         may_have_run: bool,
-        /// Whether it says when to come back.
+        /// Whether the answer has a `retry-after` header.
         retry_after: bool,
     },
-    /// The connection broke before or within the answer.
+    /// The connection was interrupted before or within the answer, or the caller's time limit passed.
     Broken,
 }
 
-/// A request with what came of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
-    /// The request's nonce, as it stands in the targets' ledgers.
+    /// Nonce of the request, as recorded in the targets' ledgers.
     pub nonce: String,
-    /// Tier that it belongs to.
+    /// Tier of the request.
     pub tier: String,
-    /// How it ended.
+    /// Outcome.
     pub end: CallerEnd,
     /// Time to the first byte of the body.
     pub first_byte: Option<Duration>,
-    /// Time to the end.
+    /// Time until the outcome was known.
     pub took: Duration,
 }
 
-/// A request to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct CallerCall {
-    /// Path.
+    /// Path of the request.
     pub path: String,
     /// Bearer token.
     pub token: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
-    /// Nonce.
+    /// Nonce, which the ledgers of targets record.
     pub nonce: String,
     /// Tier, for the record only.
     pub tier: String,
     /// Prompt of an engine request; `None` for a service request.
     pub prompt: Option<String>,
-    /// Tokens asked of an engine.
+    /// Number of tokens requested from an engine.
     pub tokens: u64,
-    /// Time after which the caller gives up.
+    /// Time after which the caller stops waiting.
     pub limit: Duration,
 }
 
 impl CallerCall {
-    /// A service request.
+    /// Creates a service request.
     pub fn service(path: &str, token: &str, nonce: &str) -> CallerCall {
         CallerCall {
             path: path.to_string(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// An engine request.
+    /// Creates an engine request.
     pub fn engine(path: &str, token: &str, nonce: &str, prompt: &str, tokens: u64) -> CallerCall {
         CallerCall {
             prompt: Some(prompt.to_string()),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The same with a header.
+    /// Adds a header.
     pub fn header(mut self, name: &str, value: &str) -> CallerCall {
         self.headers.push((name.to_string(), value.to_string()));
         self
@@ -111,11 +111,11 @@
         let mut head = RequestHead::default();
         head.method = Method::POST;
         head.uri = self.path.parse().unwrap_or_default();
-        let own = [
+        let defaults = [
             ("authorization".to_string(), format!("Bearer {}", self.token)),
             ("content-type".to_string(), "application/json".to_string()),
         ];
-        for (name, value) in own.iter().chain(&self.headers) {
+        for (name, value) in defaults.iter().chain(&self.headers) {
             if let (Ok(name), Ok(value)) =
                 (name.parse::<HeaderName>(), HeaderValue::from_str(value))
             {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Makes the request of an entry and checks the answer.
+    /// Sends the request to an entry daemon and compares the answer with the expected one.
     pub async fn send(&self, client: &ConnectionPool, entry: &str) -> CallerRecord {
         let begun = Instant::now();
         let mut first_byte = None;
@@ -181,7 +181,7 @@
     }
 }
 
-/// Connections of a caller. They tell a cut answer from a whole one.
+/// Returns the connections of a caller, which distinguish interrupted from complete answers.
 pub fn caller_client() -> ConnectionPool {
     ConnectionPool::default()
 }
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Processes of a test or of the demo: stand-ins and daemons on loopback, ended when dropped.
+//! Processes of a test or of the demo: stand-ins and daemons on loopback, killed when dropped.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -9,21 +9,21 @@
 use awc::Client;
 use serde_json::Value;
 
-use crate::address::{alone, free_address};
+use crate::address::{free_address, lock_probe_or_spawn};
 use crate::relay::PeerRelay;
 
-/// Time for which a state is waited for.
+/// Maximum time to wait for a condition.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// Time between looks.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 static NEXT_DEPLOYMENT: AtomicU16 = AtomicU16::new(0);
 
 /// A process, killed when dropped.
 pub struct ChildProcess {
-    /// Name for messages.
+    /// Name for error messages.
     pub name: String,
-    /// Where it serves its main purpose.
+    /// Main address of the process.
     pub address: String,
     child: Child,
 }
@@ -44,14 +44,14 @@
         Ok(())
     }
 
-    /// Ends the process at once and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        // A process that has ended already is what is wanted.
+        // An error means that the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether the process has ended; its exit code if so.
+    /// Returns the exit code if the process has exited, -1 if a signal killed it.
     pub fn ended(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
@@ -65,15 +65,15 @@
 
 /// A daemon with its addresses.
 pub struct DeployedDaemon {
-    /// Its process.
+    /// Process of the daemon.
     pub process: ChildProcess,
     /// VM name.
     pub vm: String,
-    /// For callers.
+    /// Address for callers.
     pub callers: String,
-    /// For operators.
+    /// Address for operators.
     pub operators: String,
-    /// For peers.
+    /// Address for peers.
     pub peers: String,
     settings: PathBuf,
 }
@@ -94,7 +94,7 @@
     pub extra_settings: String,
     /// Lines added to the callers' section of each daemon's settings.
     pub caller_settings: String,
-    /// Relays before the peer addresses of the daemons, where [`Deployment::relayed`] asked for them.
+    /// Proxies in front of the peer addresses of the daemons, if [`Deployment::relayed`] was called.
     pub relays: Vec<PeerRelay>,
     relayed: bool,
 }
@@ -103,7 +103,7 @@
     /// Starts a platform.
     pub async fn start(name: &str) -> Result<Deployment> {
         let programs = program_folder()?;
-        let folder = own_folder(name)?;
+        let folder = create_temp_folder(name)?;
         let address = free_address()?;
         let options = ["--address", &address, "--list-lag-ms", "300"];
         let platform =
@@ -123,12 +123,12 @@
         Ok(fleet)
     }
 
-    /// Puts a relay before the peer address of each daemon that is started from now on.
+    /// Puts a proxy in front of the peer address of each daemon that is started from now on.
     pub fn relayed(&mut self) {
         self.relayed = true;
     }
 
-    /// Starts an engine or service with further options; gives its index.
+    /// Starts an engine or service with additional options; returns its index.
     pub async fn target(&mut self, kind: &str, options: &[&str]) -> Result<usize> {
         let address = free_address()?;
         let name = format!("{kind}-{}", self.targets.len());
@@ -141,7 +141,7 @@
         Ok(self.targets.len() - 1)
     }
 
-    /// Starts daemons that know each other as seeds.
+    /// Starts daemons whose settings list each other as seeds.
     pub async fn daemons(&mut self, count: usize) -> Result<()> {
         let mut addresses = Vec::new();
         for _ in 0..count {
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Starts a daemon again on the same VM and addresses after its end.
+    /// Kills a daemon and starts it again on the same VM and addresses.
     pub async fn restart(&mut self, index: usize) -> Result<()> {
         self.daemons[index].process.kill();
         let daemon = &self.daemons[index];
@@ -179,12 +179,12 @@
         wait_listening(&self.daemons[index].operators).await
     }
 
-    /// Runs the operators' tool; gives its exit code and what it printed.
+    /// Runs the operators' tool; returns its exit code and output.
     pub fn tool(&self, arguments: &[&str]) -> Result<(i32, String)> {
         output_of(self.start_tool(arguments)?)
     }
 
-    /// Starts the operators' tool without waiting for its end.
+    /// Starts the operators' tool without waiting for its exit.
     pub fn start_tool(&self, arguments: &[&str]) -> Result<Child> {
         let daemons: Vec<&str> =
             self.daemons.iter().map(|daemon| daemon.operators.as_str()).collect();
@@ -192,25 +192,25 @@
         start_tool(&self.programs, &daemons, &[&platform, arguments].concat())
     }
 
-    /// Runs the daemon's program to its end; gives its exit code and what it printed.
+    /// Runs the daemon's program until it exits; returns its exit code and output.
     pub fn daemon_program(&self, arguments: &[&str]) -> Result<(i32, String)> {
         let mut command = Command::new(self.programs.join("curlewcleatd"));
         command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
         let child = {
-            let _alone = alone();
+            let _guard = lock_probe_or_spawn();
             command.spawn().context("deployment: run the daemon")?
         };
         output_of(child)
     }
 
-    /// Writes a file into the fleet's folder.
+    /// Writes a file into the deployment's folder and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> Result<String> {
         let path = self.folder.join(name);
         std::fs::write(&path, text)?;
         Ok(path.display().to_string())
     }
 
-    /// Applies a configuration text and waits until all daemons have it in force.
+    /// Applies a configuration text and waits until it is in force on all daemons.
     pub fn apply(&self, name: &str, text: &str) -> Result<()> {
         let path = self.write_file(name, text)?;
         let (code, output) = self.tool(&["apply", &path, "--wait", "--wait-seconds", "20"])?;
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Waits until the key table is known to all daemons.
+    /// Waits until all daemons have the key table.
     pub async fn key_table_ready(&self) -> Result<()> {
         for daemon in &self.daemons {
             wait_status(&daemon.operators, "the key table", |status| {
@@ -250,7 +250,7 @@
         Ok(())
     }
 
-    /// Waits until each daemon sees so many live peers.
+    /// Waits until each daemon has at least this number of live peers.
     pub async fn peers_ready(&self, peers: usize) -> Result<()> {
         for daemon in &self.daemons {
             wait_status(&daemon.operators, "its peers", |status| live_peers(status) >= peers)
@@ -294,24 +294,24 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         if std::env::var_os("CURLEWCLEAT_KEEP_LOGS").is_none() {
-            // A folder that stays behind in the temporary files does no harm.
+            // A folder that cannot be removed remains among the temporary files.
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// Starts the operators' tool against these daemons without waiting for its end.
+/// Starts the operators' tool against these daemons without waiting for its exit.
 pub fn start_tool(programs: &Path, daemons: &[&str], arguments: &[&str]) -> Result<Child> {
     let mut command = Command::new(programs.join("curlewcleat"));
     if !daemons.is_empty() {
         command.args(["--daemons", &daemons.join(",")]);
     }
     command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let _alone = alone();
+    let _guard = lock_probe_or_spawn();
     command.spawn().context("deployment: run the tool")
 }
 
-/// Waits for the end of a program; gives its exit code and what it printed.
+/// Waits until a program exits; returns its exit code and output.
 pub fn output_of(child: Child) -> Result<(i32, String)> {
     let output = child.wait_with_output()?;
     let mut text = String::from_utf8_lossy(&output.stdout).to_string();
@@ -319,12 +319,12 @@
     Ok((output.status.code().unwrap_or(-1), text))
 }
 
-/// A folder that belongs to one deployment alone, also where another one of this process has its name: two
-/// that shared their folder took each other's settings files, and one daemon was never reached.
+/// Creates a folder for one deployment. A counter in its name distinguishes deployments of this process with the same
+/// name: with a common folder they would overwrite each other's settings files, and one daemon would be unreachable.
 ///
 /// # Errors
-/// Where it cannot be created.
-pub fn own_folder(name: &str) -> Result<PathBuf> {
+/// Fails if the folder cannot be created.
+pub fn create_temp_folder(name: &str) -> Result<PathBuf> {
     let count = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
     let folder = format!("curlewcleat-{name}-{}-{count}", std::process::id());
     let folder = std::env::temp_dir().join(folder);
@@ -332,60 +332,60 @@
     Ok(folder)
 }
 
-/// Live peers in a status.
+/// Returns the number of live peers in a status.
 pub fn live_peers(status: &Value) -> usize {
     status["peers"]
         .as_array()
         .map_or(0, |peers| peers.iter().filter(|peer| peer["live"] == true).count())
 }
 
-/// The status of a daemon.
+/// Returns the status of a daemon.
 pub async fn status(operators: &str) -> Result<Value> {
     get_json(operators, "/status").await
 }
 
-/// Waits until a daemon's status fits.
+/// Waits until a daemon's status meets a condition and returns the status.
 pub async fn wait_status(
     operators: &str,
     what: &str,
-    fits: impl Fn(&Value) -> bool,
+    is_met: impl Fn(&Value) -> bool,
 ) -> Result<Value> {
     let begun = Instant::now();
     loop {
         if let Ok(status) = status(operators).await {
-            if fits(&status) {
+            if is_met(&status) {
                 return Ok(status);
             }
         }
         if begun.elapsed() > WAIT_LIMIT {
             bail!("deployment: daemon at {operators} did not reach {what} within {WAIT_LIMIT:?}");
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Waits until a condition holds.
-pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F) -> Result<()>
+pub async fn wait_until<F>(what: &str, mut is_met: impl FnMut() -> F) -> Result<()>
 where
     F: std::future::Future<Output = bool>,
 {
     let begun = Instant::now();
-    while !holds().await {
+    while !is_met().await {
         if begun.elapsed() > WAIT_LIMIT {
-            bail!("deployment: not within {WAIT_LIMIT:?}: {what}");
+            bail!("deployment: condition not met within {WAIT_LIMIT:?}: {what}");
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Reads JSON from a stand-in or daemon.
+/// Requests a path of a stand-in or daemon and parses the answer as JSON.
 pub async fn get_json(address: &str, path: &str) -> Result<Value> {
     let body = get(address, path).await?;
     serde_json::from_slice(&body).with_context(|| format!("deployment: {address}{path}"))
 }
 
-/// Reads a text from a daemon.
+/// Requests a path of a daemon and returns the answer as text.
 pub async fn get_text(address: &str, path: &str) -> Result<String> {
     Ok(String::from_utf8_lossy(&get(address, path).await?).to_string())
 }
@@ -404,23 +404,23 @@
     Ok(())
 }
 
-/// Folder in which the programs were built, beside the running one.
+/// Returns the folder of the built programs, which is one of the parent folders of the running program.
 ///
 /// # Errors
-/// Where the daemon is not built.
+/// Fails if the daemon is not built.
 pub fn program_folder() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let folders = own.ancestors().skip(1);
+    let executable = std::env::current_exe()?;
+    let folders = executable.ancestors().skip(1);
     let found = folders.map(Path::to_path_buf).find(|folder| folder.join("curlewcleatd").is_file());
     found.ok_or_else(|| {
         anyhow!("deployment: curlewcleatd is not built; run `cargo build --workspace` first")
     })
 }
 
-/// Starts a process whose output goes into a log file.
+/// Starts a process and appends its output to a log file.
 ///
 /// # Errors
-/// Where it cannot be started.
+/// Fails if the process cannot be started.
 pub fn spawn(
     program: &Path,
     kind: &str,
@@ -438,16 +438,16 @@
         command.arg(kind);
     }
     let command = command.args(options).stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
-    let _alone = alone();
+    let _guard = lock_probe_or_spawn();
     let child =
         command.spawn().with_context(|| format!("deployment: start {}", program.display()))?;
     Ok(ChildProcess { name: name.to_string(), address: address.to_string(), child })
 }
 
-/// Waits until somebody listens at an address.
+/// Waits until an address accepts connections.
 ///
 /// # Errors
-/// Where nobody does in time.
+/// Fails if it accepts none in time.
 pub async fn wait_listening(address: &str) -> Result<()> {
     wait_until(&format!("{address} listens"), || async move {
         tokio::net::TcpStream::connect(address).await.is_ok()
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine that streams: batches continuously, caches prompt prefixes, keeps finished and
-//! cut streams for resumption, honours nothing it is not told.
+//! Stand-in of a streaming model engine with slots, a cache of prompt prefixes, and streams that can be resumed
+//! after their end or an interruption.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,13 +14,13 @@
 use crate::ledger::{token_event, END_EVENT};
 use crate::target::TargetBase;
 
-/// Characters of a prompt that count as one token.
+/// Number of characters of a prompt that count as one token.
 pub const CHARS_PER_TOKEN: usize = 4;
-/// Characters of a prompt that make its prefix.
+/// Number of characters of a prompt that form its prefix.
 pub const PREFIX_CHARS: usize = 1_024;
 
-/// Cache events that a report carries; older ones are lost.
-const EVICTIONS_KEPT: usize = 8;
+/// Maximum number of cache evictions in a report; older ones are dropped.
+const MAX_EVICTIONS: usize = 8;
 
 /// Speed and size of an engine.
 #[derive(Clone, Debug, clap::Args)]
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone)]
-struct KeptStream {
+struct StoredStream {
     nonce: String,
     tokens: u64,
 }
@@ -60,14 +60,14 @@
     options: EngineOptions,
     base: TargetBase,
     prefixes: RefCell<VecDeque<String>>,
-    streams: RefCell<BTreeMap<String, KeptStream>>,
+    streams: RefCell<BTreeMap<String, StoredStream>>,
     running: Cell<usize>,
     evictions: RefCell<VecDeque<CacheEviction>>,
-    evicted: Cell<u64>,
+    eviction_count: Cell<u64>,
 }
 
 impl EngineStandIn {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(options: EngineOptions) -> Rc<EngineStandIn> {
         Rc::new(EngineStandIn {
             base: TargetBase::new(options.slots),
@@ -76,7 +76,7 @@
             streams: RefCell::default(),
             running: Cell::new(0),
             evictions: RefCell::default(),
-            evicted: Cell::new(0),
+            eviction_count: Cell::new(0),
         })
     }
 
@@ -85,7 +85,7 @@
         request: PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
-        if self.base.administer(&request, connection).await? {
+        if self.base.handle_control_request(&request, connection).await? {
             return Ok(AfterAnswer::KeepOpen);
         }
         match (request.method.as_str(), request.path.as_str()) {
@@ -117,58 +117,58 @@
             return Ok(AfterAnswer::KeepOpen);
         };
         let mut faults = self.base.faults();
-        if let Some(declined) = self.base.decline(&request, connection).await? {
+        if let Some(declined) = self.base.answer_declined(&request, connection).await? {
             return Ok(declined);
         }
         let _slot = self.base.slots.acquire().await?;
         let _running = RunningGuard::new(&self.running);
         let prompt_tokens = (body.prompt.len() / CHARS_PER_TOKEN) as u64;
         let prefill = prompt_tokens - self.cached_tokens(&body.prompt);
-        let place = self.base.begin(&body.nonce, &request, prefill);
-        if self.base.strikes(|faults| &mut faults.close_after_read) {
+        let ledger_index = self.base.begin(&body.nonce, &request, prefill);
+        if self.base.use_fault(|faults| &mut faults.close_after_read) {
             return Ok(AfterAnswer::Close);
         }
-        self.pause(prefill * self.options.prompt_token_us + faults.delay_ms * 1_000).await;
-        if self.base.strikes(|faults| &mut faults.stalls) {
+        self.sleep(prefill * self.options.prompt_token_us + faults.delay_ms * 1_000).await;
+        if self.base.use_fault(|faults| &mut faults.stalls) {
             connection.closed().await;
             return Ok(AfterAnswer::Close);
         }
-        if !self.base.strikes(|faults| &mut faults.cuts) {
+        if !self.base.use_fault(|faults| &mut faults.cuts) {
             faults.cut_bytes = 0;
         }
         let stream_id = uuid::Uuid::new_v4().to_string();
-        let kept = KeptStream { nonce: body.nonce, tokens: body.max_tokens };
-        self.streams.borrow_mut().insert(stream_id.clone(), kept.clone());
+        let stored = StoredStream { nonce: body.nonce, tokens: body.max_tokens };
+        self.streams.borrow_mut().insert(stream_id.clone(), stored.clone());
         let headers = [("Content-Type", "text/event-stream"), ("Stream-Id", stream_id.as_str())];
         connection.begin_chunked(&headers).await?;
-        if !self.stream(&kept, 0, faults.cut_bytes, connection).await? {
+        if !self.stream(&stored, 0, faults.cut_bytes, connection).await? {
             return Ok(AfterAnswer::Close);
         }
-        self.base.ledger.complete(place);
+        self.base.ledger.complete(ledger_index);
         Ok(AfterAnswer::KeepOpen)
     }
 
-    /// Streams tokens from a byte offset on; `cut` bytes later it stops, where that is not 0.
-    /// Returns whether the end was written.
+    /// Streams tokens from a byte offset on and stops after `cut` bytes, unless that is 0. Returns whether the end of
+    /// the stream was written.
     async fn stream(
         &self,
-        kept: &KeptStream,
+        stored: &StoredStream,
         offset: u64,
         cut: u64,
         connection: &mut PlainConnection,
     ) -> Result<bool> {
         let mut position = 0u64;
         let mut written = 0u64;
-        for index in 0..=kept.tokens {
-            let event = if index < kept.tokens {
-                token_event(&kept.nonce, index)
+        for index in 0..=stored.tokens {
+            let event = if index < stored.tokens {
+                token_event(&stored.nonce, index)
             } else {
                 END_EVENT.to_string()
             };
             let end = position + event.len() as u64;
             if end > offset {
-                if index < kept.tokens {
-                    self.pause(self.options.output_token_us).await;
+                if index < stored.tokens {
+                    self.sleep(self.options.output_token_us).await;
                 }
                 let skip = offset.saturating_sub(position) as usize;
                 connection.chunk(&event.as_bytes()[skip..]).await?;
@@ -183,24 +183,24 @@
         Ok(true)
     }
 
-    /// Sends the rest of a stream whose connection was cut. Nothing runs again.
+    /// Sends the remaining part of a stream whose connection was interrupted, without running the request again.
     async fn resume(
         &self,
         request: &PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
         let id = request.path.trim_start_matches("/v1/streams/");
-        let Some(kept) = self.streams.borrow().get(id).cloned() else {
+        let Some(stored) = self.streams.borrow().get(id).cloned() else {
             connection.answer(404, &[], b"").await?;
             return Ok(AfterAnswer::KeepOpen);
         };
         let offset: u64 = request.query.get("offset").map_or(Ok(0), |text| text.parse())?;
         connection.begin_chunked(&[("Content-Type", "text/event-stream")]).await?;
-        self.stream(&kept, offset, 0, connection).await?;
+        self.stream(&stored, offset, 0, connection).await?;
         Ok(AfterAnswer::KeepOpen)
     }
 
-    /// Tokens of the prompt that are cached; the prefix is cached from now on.
+    /// Returns the number of prompt tokens that are cached, and caches the prefix.
     fn cached_tokens(&self, prompt: &str) -> u64 {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         if prefix.len() < PREFIX_CHARS || self.options.prefixes == 0 {
@@ -214,9 +214,9 @@
         prefixes.push_back(prefix);
         if prefixes.len() > self.options.prefixes {
             let evicted = prefixes.pop_front().unwrap_or_default();
-            self.note_eviction(&evicted);
+            self.record_eviction(&evicted);
         }
-        // The whole prompt of a known prefix counts as cached but for a tenth.
+        // With a known prefix, nine tenths of the prompt count as cached.
         if hit.is_some() {
             (prompt.len() / CHARS_PER_TOKEN) as u64 * 9 / 10
         } else {
@@ -224,24 +224,24 @@
         }
     }
 
-    /// Publishes an eviction under the hash that schedulers use; only the latest ones are kept.
-    fn note_eviction(&self, prefix: &str) {
+    /// Adds an eviction to the reports, with the hash that schedulers use for the prefix. Only the latest are kept.
+    fn record_eviction(&self, prefix: &str) {
         let mut hasher = siphasher::sip::SipHasher13::new();
         std::hash::Hasher::write(&mut hasher, prefix.as_bytes());
-        self.evicted.set(self.evicted.get() + 1);
+        self.eviction_count.set(self.eviction_count.get() + 1);
         let eviction = CacheEviction {
-            number: self.evicted.get(),
+            number: self.eviction_count.get(),
             prefix: std::hash::Hasher::finish(&hasher),
         };
         let mut evictions = self.evictions.borrow_mut();
         evictions.push_back(eviction);
-        if evictions.len() > EVICTIONS_KEPT {
+        if evictions.len() > MAX_EVICTIONS {
             evictions.pop_front();
         }
     }
 
-    async fn pause(&self, micros: u64) {
-        // Even an empty sleep takes a turn of the timer.
+    async fn sleep(&self, micros: u64) {
+        // A sleep of zero duration would still wait for a timer tick.
         if micros == 0 {
             return;
         }
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a platform that keeps the configuration and on which targets announce themselves: its
-//! store, its engines, and daemons before them. Formats and names are those of the crate in `platform/`.
+//! Stand-in of a platform whose store holds the configuration and the list entries of targets, with its engines and
+//! the daemons in front of them. Formats and names are those of the crate in `platform/`.
 
 mod deployment;
 mod engine;
--- a/crates/standins/src/fleet/deployment.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! Store, engines and daemons of a test, together.
+//! Starts and holds the store, engines and daemons of a test.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -14,65 +14,65 @@
 use super::{EngineEntry, FleetEngine, FleetStore, LethalBody};
 use crate::address::free_address;
 use crate::deployment::{
-    get_json, live_peers, output_of, own_folder, program_folder, spawn, start_tool, wait_listening,
-    wait_until, ChildProcess,
+    create_temp_folder, get_json, live_peers, output_of, program_folder, spawn, start_tool,
+    wait_listening, wait_until, ChildProcess,
 };
 use crate::http;
 use crate::served::ServedHandler;
 
-/// Slots of an engine.
+/// Number of slots of an engine.
 const SLOTS: u32 = 4;
 
 /// A daemon of a test.
 pub struct FleetDaemon {
-    /// Its process.
+    /// Process of the daemon.
     pub process: ChildProcess,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: String,
-    /// Where operators and the balancer reach it.
+    /// Address for operators and the load balancer.
     pub operators: String,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
 }
 
-/// Where a daemon is reached, and its settings.
+/// Addresses and settings file of a daemon.
 pub struct DaemonPlace {
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: String,
-    /// Where operators and the balancer reach it.
+    /// Address for operators and the load balancer.
     pub operators: String,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
 }
 
-/// Store, engines and daemons.
+/// Store, engines and daemons of a test.
 pub struct FleetDeployment {
     /// The store.
     pub store: Rc<FleetStore>,
     /// The engines.
     pub engines: Vec<Rc<FleetEngine>>,
-    /// Their addresses.
+    /// Addresses of the engines.
     pub engine_addresses: Vec<String>,
-    /// Where they are served, until they end.
+    /// Servers of the engines, `None` after an engine has terminated.
     engines_served: Rc<RefCell<Vec<Option<ServedHandler>>>>,
-    /// Their services.
+    /// Services of the engines.
     engine_backends: Vec<String>,
-    /// Their versions.
+    /// Versions of the engines.
     engine_versions: Vec<Option<String>>,
     /// The daemons.
     pub daemons: Vec<FleetDaemon>,
-    /// The configuration that was stored last.
+    /// The configuration, which [`FleetDeployment::store_config`] stores.
     pub config: Config,
     store_address: String,
     folder: PathBuf,
 }
 
 impl FleetDeployment {
-    /// A store with the small configuration.
+    /// Starts a store; the configuration is the example configuration and not stored yet.
     pub async fn start(name: &str) -> Result<FleetDeployment> {
         let store = FleetStore::new();
         let store_address = http::serve_here(store.clone()).await?;
-        let folder = own_folder(&format!("fleet-{name}"))?;
+        let folder = create_temp_folder(&format!("fleet-{name}"))?;
         let fleet = FleetDeployment {
             store,
             engines: Vec::new(),
@@ -95,12 +95,12 @@
         Ok(())
     }
 
-    /// Starts an engine and announces it.
+    /// Starts an engine and writes its list entry.
     pub async fn engine(&mut self, backend: &str, events: u64, pace: Duration) -> Result<()> {
         self.start_engine(backend, None, events, pace).await
     }
 
-    /// Starts an engine of a version and announces it.
+    /// Starts an engine with a version and writes its list entry.
     pub async fn engine_of(
         &mut self,
         backend: &str,
@@ -130,13 +130,13 @@
         Ok(())
     }
 
-    /// An engine ends at once and starts again under its id, at this address.
+    /// Terminates an engine and restarts it with the same id at this address.
     pub async fn restart_engine(&mut self, index: usize, address: String) -> Result<()> {
         let served = self.engines_served.borrow_mut()[index].take();
         if let Some(served) = served {
             served.close().await;
         }
-        let engine = self.engines[index].started_again();
+        let engine = self.engines[index].restarted();
         let served = ServedHandler::start(&address, engine.clone()).await?;
         let version = self.engine_versions[index].as_deref();
         self.write_entry(&engine, &self.engine_backends[index], version, &address)?;
@@ -146,8 +146,9 @@
         Ok(())
     }
 
-    /// Every engine ends once it begins to run a request with this body; its entry lapses that much later.
-    pub fn engines_end_under(&self, body: &[u8], lapse: Duration) {
+    /// Makes every engine terminate when it begins to run a request with this body. Its list entry is removed after the
+    /// time `removal_delay`.
+    pub fn engines_end_under(&self, body: &[u8], removal_delay: Duration) {
         for (index, engine) in self.engines.iter().enumerate() {
             let (served, store) = (Rc::clone(&self.engines_served), Rc::clone(&self.store));
             let id = engine.id.clone();
@@ -157,7 +158,7 @@
                     if let Some(served) = served {
                         served.close().await;
                     }
-                    tokio::time::sleep(lapse).await;
+                    tokio::time::sleep(removal_delay).await;
                     store.remove(SERVERS, &id);
                 });
             };
@@ -165,7 +166,7 @@
         }
     }
 
-    /// An engine ends at once, and its entry goes.
+    /// Terminates an engine and removes its list entry.
     pub async fn end_engine(&mut self, index: usize) {
         let served = self.engines_served.borrow_mut()[index].take();
         if let Some(served) = served {
@@ -193,12 +194,12 @@
         self.store.write_entry(&engine.id, entry)
     }
 
-    /// Writes the entry of an engine.
+    /// Writes a list entry without the time of the engine's start.
     pub fn announce(&self, id: &str, backend: &str, address: &str, state: &str) -> Result<()> {
         self.store.announce(id, backend, address, SLOTS, state)
     }
 
-    /// Starts daemons; `bounds` are lines of that section of their settings.
+    /// Starts daemons; `bounds` holds additional lines for the section `bounds` of their settings.
     pub async fn daemons(&mut self, count: usize, bounds: &str) -> Result<()> {
         let peers: Vec<String> = (0..count).map(|_| free_address()).collect::<Result<_>>()?;
         for (index, peer) in peers.iter().enumerate() {
@@ -213,7 +214,7 @@
         Ok(())
     }
 
-    /// Waits until every daemon has heard of all others.
+    /// Waits until every daemon reports all others as live peers.
     pub async fn peers_known(&self) -> Result<()> {
         let others = self.daemons.len() - 1;
         for daemon in &self.daemons {
@@ -249,14 +250,14 @@
         Ok(DaemonPlace { callers, operators, settings })
     }
 
-    /// Runs the operators' tool against the daemons; gives its exit code and output.
+    /// Runs the operators' tool against the daemons; returns its exit code and output.
     pub fn tool(&self, arguments: &[&str]) -> Result<(i32, String)> {
         let daemons: Vec<&str> =
             self.daemons.iter().map(|daemon| daemon.operators.as_str()).collect();
         output_of(start_tool(&program_folder()?, &daemons, arguments)?)
     }
 
-    /// Ends a daemon at once and starts another one on the same VM.
+    /// Kills a daemon and starts it again on the same VM.
     pub async fn restart(&mut self, index: usize) -> Result<()> {
         self.daemons[index].process.kill();
         let daemon = &self.daemons[index];
--- a/crates/standins/src/fleet/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -1,4 +1,5 @@
-//! An engine: answers records and event streams, says who it is, keeps a ledger, and fails on command.
+//! Stand-in of an engine: answers with records and event streams, identifies itself, records the requests that reach
+//! it, and plays faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,39 +11,39 @@
 
 use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
-/// What an engine does with a request.
+/// Behaviour of an engine for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStep {
-    /// Answers whole.
+    /// Sends a complete answer.
     Serve,
-    /// Says that it did not run the request.
+    /// Reports that it did not run the request.
     Decline,
-    /// Says that it did not run the request, and wants nothing from its sender for so long.
+    /// Reports that it did not run the request, and requests a rest of this duration from the sender.
     Rest(Duration),
-    /// Runs it and answers with this status.
+    /// Runs the request and answers with this status.
     Fail(u16),
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without an answer.
     Close,
-    /// Runs it, sends so many events and a part of the next, and closes the connection.
+    /// Runs the request, sends this number of events and half of the next, and closes the connection.
     Break(u64),
-    /// Runs it and says nothing until the other side closes.
+    /// Runs the request and sends nothing until the caller closes the connection.
     Silent,
-    /// Answers whole, and once more a moment later.
+    /// Sends a complete answer, and a second one shortly afterwards.
     Twice,
-    /// Answers whole without a length, and closes the connection.
+    /// Sends a complete answer without a length, and closes the connection.
     Unframed,
-    /// Runs it and answers without saying which request it answers.
+    /// Runs the request and answers without the attempt id.
     Unnamed,
-    /// Says nothing for so long, then answers whole.
+    /// Waits for this duration before it sends a complete answer.
     Late(Duration),
-    /// Sends so many events, says nothing for so long, and goes on to the end.
+    /// Sends this number of events, pauses for this duration, and sends the remaining events.
     Pause(u64, Duration),
 }
 
-/// One request that reached an engine.
+/// A request that reached an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineRun {
-    /// The caller's name of the try.
+    /// The caller's attempt id.
     pub attempt: String,
     /// Method and path.
     pub request: String,
@@ -50,114 +51,114 @@
     pub headers: BTreeMap<String, String>,
     /// Body.
     pub body: Vec<u8>,
-    /// Account that it names.
+    /// Account header of the request.
     pub account: String,
-    /// Key that it carries.
+    /// Authorization header of the request.
     pub key: String,
-    /// Milliseconds that are left.
+    /// Remaining time in milliseconds.
     pub time_left: u64,
-    /// Event after which the stream goes on, 0 for its beginning.
+    /// Number of the event after which the stream resumes, 0 for a new stream.
     pub after: u64,
-    /// Whether it began to run.
+    /// Whether the request began to run.
     pub ran: bool,
-    /// Whether the other side closed before the end.
+    /// Whether the caller closed the connection before the end of the answer.
     pub left: bool,
-    /// When it arrived.
+    /// When the request arrived.
     pub begun: Option<Instant>,
 }
 
-/// A request that has begun to run.
+/// A running request.
 #[derive(Clone, Copy)]
 struct RunningRequest<'a> {
-    /// The caller's name of the try.
+    /// The caller's attempt id.
     attempt: &'a str,
-    /// Its place in the runs.
-    place: usize,
+    /// Index of the request in the recorded runs.
+    run_index: usize,
     /// Whether the answer is an event stream.
-    streams: bool,
+    is_stream: bool,
 }
 
-/// What ends an engine's process as soon as it begins to run a request with this body.
+/// A request body that terminates an engine as soon as the engine begins to run it.
 pub struct LethalBody {
     /// The body.
     pub body: Vec<u8>,
-    /// Ends the process.
+    /// Terminates the engine.
     pub end: Box<dyn FnOnce()>,
 }
 
 /// An engine in this process.
 pub struct FleetEngine {
-    /// Name of the engine, which a further start of it may have again.
+    /// Id of the engine, which remains the same after a restart.
     pub id: String,
-    /// Unix millisecond of this start.
+    /// Start of this instance in Unix milliseconds.
     pub born: u64,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
     /// Time between two events.
     pub pace: Duration,
     steps: RefCell<VecDeque<EngineStep>>,
-    otherwise: Cell<EngineStep>,
+    default_step: Cell<EngineStep>,
     runs: RefCell<Vec<EngineRun>>,
     lethal: RefCell<Option<LethalBody>>,
     says: RefCell<Vec<(String, String)>>,
 }
 
 impl FleetEngine {
-    /// An engine that serves.
+    /// Creates an engine that serves all requests.
     pub fn new(id: &str, events: u64, pace: Duration) -> Rc<FleetEngine> {
         Rc::new(FleetEngine {
             id: id.to_string(),
-            born: unix_millisecond(),
+            born: unix_ms_now(),
             events,
             pace,
             steps: RefCell::default(),
-            otherwise: Cell::new(EngineStep::Serve),
+            default_step: Cell::new(EngineStep::Serve),
             runs: RefCell::default(),
             lethal: RefCell::default(),
             says: RefCell::default(),
         })
     }
 
-    /// The engine's next start: it knows nothing of before.
-    pub fn started_again(&self) -> Rc<FleetEngine> {
+    /// Returns a new instance of the engine with the same id and no state of the previous one.
+    pub fn restarted(&self) -> Rc<FleetEngine> {
         FleetEngine::new(&self.id, self.events, self.pace)
     }
 
-    /// What it does with the next request; later ones queue behind.
+    /// Queues the behaviour for one of the next requests.
     pub fn next(&self, step: EngineStep) {
         self.steps.borrow_mut().push_back(step);
     }
 
-    /// What it does with requests for which nothing else is set.
+    /// Sets the behaviour for requests for which no step is queued.
     pub fn always(&self, step: EngineStep) {
-        self.otherwise.set(step);
+        self.default_step.set(step);
     }
 
-    /// Headers that all its answers have from now on: what it says of itself.
+    /// Sets the notice headers that all answers have from now on.
     pub fn says(&self, headers: &[(&str, &str)]) {
         let owned = |(name, value): &(&str, &str)| (name.to_string(), value.to_string());
         *self.says.borrow_mut() = headers.iter().map(owned).collect();
     }
 
-    /// Its process ends under requests with a body.
+    /// Makes the engine terminate when it begins to run a request with this body.
     pub fn set_lethal(&self, lethal: LethalBody) {
         *self.lethal.borrow_mut() = Some(lethal);
     }
 
-    /// Ends where the body of a request is the one that is lethal.
-    fn ends_under(&self, body: &[u8]) -> bool {
+    /// Terminates the engine if the body is the lethal one, and returns whether it is.
+    fn terminate_if_lethal(&self, body: &[u8]) -> bool {
         let lethal = self.lethal.borrow_mut().take_if(|lethal| lethal.body == body);
         let Some(lethal) = lethal else { return false };
         (lethal.end)();
         true
     }
 
-    /// What has reached it.
+    /// Returns the requests that reached the engine.
     pub fn runs(&self) -> Vec<EngineRun> {
         self.runs.borrow().clone()
     }
 
-    /// The whole stream of a try.
+    /// Returns the complete stream of an attempt.
     pub fn expected_stream(attempt: &str, events: u64) -> String {
         (1..=events).map(|number| event(attempt, number)).collect()
     }
@@ -168,33 +169,33 @@
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
         let attempt = request.header(WIRE_PROFILE.attempt_id).to_string();
-        let place = self.note(&request, &attempt);
-        let echo = (WIRE_PROFILE.attempt_id, attempt.as_str());
+        let run_index = self.record_run(&request, &attempt);
+        let attempt_header = (WIRE_PROFILE.attempt_id, attempt.as_str());
         let instance = request.header(WIRE_PROFILE.instance);
         if !instance.is_empty() && instance != self.id {
-            connection.answer(WIRE_PROFILE.misdirected_status, &[echo], b"").await?;
+            connection.answer(WIRE_PROFILE.misdirected_status, &[attempt_header], b"").await?;
             return Ok(AfterAnswer::KeepOpen);
         }
         let next = self.steps.borrow_mut().pop_front();
-        let step = next.unwrap_or(self.otherwise.get());
-        if let Some(rest) = declined(step) {
+        let step = next.unwrap_or(self.default_step.get());
+        if let Some(rest) = requested_rest(step) {
             let seconds = rest.map(|rest| rest.as_secs_f64().to_string());
             let says = self.says.borrow().clone();
-            let mut headers = vec![echo, (WIRE_PROFILE.not_run, "1")];
+            let mut headers = vec![attempt_header, (WIRE_PROFILE.not_run, "1")];
             headers.extend(seconds.iter().map(|seconds| ("retry-after", seconds.as_str())));
             headers.extend(says.iter().map(|(name, value)| (name.as_str(), value.as_str())));
             connection.answer(503, &headers, b"").await?;
             return Ok(AfterAnswer::KeepOpen);
         }
-        self.runs.borrow_mut()[place].ran = true;
-        if self.ends_under(&request.body) {
+        self.runs.borrow_mut()[run_index].ran = true;
+        if self.terminate_if_lethal(&request.body) {
             return Ok(AfterAnswer::Close);
         }
-        let streams = request.path.contains("/stream/");
-        self.run(step, RunningRequest { attempt: &attempt, place, streams }, connection).await
+        let is_stream = request.path.contains("/stream/");
+        self.run(step, RunningRequest { attempt: &attempt, run_index, is_stream }, connection).await
     }
 
-    /// Runs a request in the way of a step.
+    /// Runs a request with the behaviour of a step.
     async fn run(
         &self,
         step: EngineStep,
@@ -203,7 +204,9 @@
     ) -> anyhow::Result<AfterAnswer> {
         match step {
             EngineStep::Fail(status) => {
-                connection.answer(status, &borrowed(&self.sealed(run.attempt)), b"failed").await?;
+                connection
+                    .answer(status, &borrowed(&self.identity_headers(run.attempt)), b"failed")
+                    .await?;
                 Ok(AfterAnswer::KeepOpen)
             }
             EngineStep::Close => Ok(AfterAnswer::Close),
@@ -213,29 +216,29 @@
             }
             EngineStep::Silent => {
                 connection.closed().await;
-                self.runs.borrow_mut()[run.place].left = true;
+                self.runs.borrow_mut()[run.run_index].left = true;
                 Ok(AfterAnswer::Close)
             }
             EngineStep::Unframed => self.answer_unframed(run, connection).await,
-            EngineStep::Break(events) if run.streams => {
-                self.break_off(run, events, connection).await
+            EngineStep::Break(events) if run.is_stream => {
+                self.answer_interrupted(run, events, connection).await
             }
             EngineStep::Twice => self.answer_twice(run, connection).await,
             EngineStep::Late(time) => self.answer_late(run, time, connection).await,
-            EngineStep::Pause(events, time) if run.streams => {
+            EngineStep::Pause(events, time) if run.is_stream => {
                 self.answer_with_pause(run, events, time, connection).await
             }
-            _ => self.answer_whole(run, connection).await,
+            _ => self.answer_complete(run, connection).await,
         }
     }
 
-    async fn answer_whole(
+    async fn answer_complete(
         &self,
         run: RunningRequest<'_>,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
-        if run.streams {
-            let left = self.events - self.after(run.place);
+        if run.is_stream {
+            let left = self.events - self.after(run.run_index);
             if !self.stream(run, left, connection).await? {
                 return Ok(AfterAnswer::Close);
             }
@@ -243,7 +246,9 @@
         } else {
             tokio::time::sleep(self.pace).await;
             let body = record(run.attempt);
-            connection.answer(200, &borrowed(&self.sealed(run.attempt)), body.as_bytes()).await?;
+            connection
+                .answer(200, &borrowed(&self.identity_headers(run.attempt)), body.as_bytes())
+                .await?;
         }
         Ok(AfterAnswer::KeepOpen)
     }
@@ -254,10 +259,10 @@
         time: Duration,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
-        if self.is_left_within(run, time, connection).await {
+        if self.disconnects_within(run, time, connection).await {
             return Ok(AfterAnswer::Close);
         }
-        self.answer_whole(run, connection).await
+        self.answer_complete(run, connection).await
     }
 
     async fn answer_with_pause(
@@ -267,13 +272,13 @@
         time: Duration,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
-        let before = events.min(self.events - self.after(run.place));
+        let before = events.min(self.events - self.after(run.run_index));
         if !self.stream(run, before, connection).await?
-            || self.is_left_within(run, time, connection).await
+            || self.disconnects_within(run, time, connection).await
         {
             return Ok(AfterAnswer::Close);
         }
-        let sent = self.after(run.place) + before;
+        let sent = self.after(run.run_index) + before;
         if !self.send_events(run, sent + 1..=self.events, connection).await {
             return Ok(AfterAnswer::Close);
         }
@@ -281,15 +286,15 @@
         Ok(AfterAnswer::KeepOpen)
     }
 
-    /// Whether the other side closes within this time.
-    async fn is_left_within(
+    /// Waits for this time and returns whether the caller closed the connection within it.
+    async fn disconnects_within(
         &self,
         run: RunningRequest<'_>,
         time: Duration,
         connection: &mut PlainConnection,
     ) -> bool {
         let left = tokio::time::timeout(time, connection.closed()).await.is_ok();
-        self.runs.borrow_mut()[run.place].left |= left;
+        self.runs.borrow_mut()[run.run_index].left |= left;
         left
     }
 
@@ -298,10 +303,12 @@
         run: RunningRequest<'_>,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
-        let first = self.answer_whole(run, connection).await?;
+        let first = self.answer_complete(run, connection).await?;
         if first == AfterAnswer::KeepOpen {
             tokio::time::sleep(self.pace).await;
-            connection.answer(200, &borrowed(&self.sealed(run.attempt)), b"nobody asked").await?;
+            connection
+                .answer(200, &borrowed(&self.identity_headers(run.attempt)), b"nobody asked")
+                .await?;
         }
         Ok(first)
     }
@@ -312,11 +319,11 @@
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
         let mut head = "HTTP/1.1 200 OK\r\n".to_string();
-        for (name, value) in self.sealed(run.attempt) {
+        for (name, value) in self.identity_headers(run.attempt) {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         head.push_str("Connection: close\r\n\r\n");
-        let body = match run.streams {
+        let body = match run.is_stream {
             true => FleetEngine::expected_stream(run.attempt, self.events),
             false => record(run.attempt),
         };
@@ -324,47 +331,47 @@
         Ok(AfterAnswer::Close)
     }
 
-    /// Sends so many events and half of the next.
-    async fn break_off(
+    /// Sends this number of events and half of the next.
+    async fn answer_interrupted(
         &self,
         run: RunningRequest<'_>,
         events: u64,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
         self.stream(run, events, connection).await?;
-        let next = event(run.attempt, events + self.after(run.place) + 1);
+        let next = event(run.attempt, events + self.after(run.run_index) + 1);
         connection.chunk(&next.as_bytes()[..next.len() / 2]).await?;
         Ok(AfterAnswer::Close)
     }
 
-    /// Headers of an answer by which its engine and its request are known.
-    fn sealed(&self, attempt: &str) -> Vec<(String, String)> {
+    /// Returns the headers that identify engine and request, with the notices of the engine.
+    fn identity_headers(&self, attempt: &str) -> Vec<(String, String)> {
         let headers =
             [(WIRE_PROFILE.attempt_id, attempt), (SEAL, &self.id), ("keep-alive", "timeout=10")];
-        let sealed = headers.map(|(name, value)| (name.to_string(), value.to_string()));
-        sealed.into_iter().chain(self.says.borrow().clone()).collect()
+        let identity_headers = headers.map(|(name, value)| (name.to_string(), value.to_string()));
+        identity_headers.into_iter().chain(self.says.borrow().clone()).collect()
     }
 
-    fn after(&self, place: usize) -> u64 {
-        self.runs.borrow()[place].after
+    fn after(&self, run_index: usize) -> u64 {
+        self.runs.borrow()[run_index].after
     }
 
-    /// Sends so many events; gives whether the other side still reads.
+    /// Sends the head of a stream and this number of events; returns whether the caller is still connected.
     async fn stream(
         &self,
         run: RunningRequest<'_>,
         count: u64,
         connection: &mut PlainConnection,
     ) -> anyhow::Result<bool> {
-        let sealed = self.sealed(run.attempt);
-        let mut headers = borrowed(&sealed);
+        let identity_headers = self.identity_headers(run.attempt);
+        let mut headers = borrowed(&identity_headers);
         headers.push(("content-type", "text/event-stream"));
         connection.begin_chunked(&headers).await?;
-        let after = self.after(run.place);
+        let after = self.after(run.run_index);
         Ok(self.send_events(run, after + 1..=after + count, connection).await)
     }
 
-    /// Sends these events; gives whether the other side still reads.
+    /// Sends these events; returns whether the caller is still connected.
     async fn send_events(
         &self,
         run: RunningRequest<'_>,
@@ -374,14 +381,14 @@
         for number in numbers {
             let left = tokio::time::timeout(self.pace, connection.closed()).await.is_ok();
             if left || connection.chunk(event(run.attempt, number).as_bytes()).await.is_err() {
-                self.runs.borrow_mut()[run.place].left = true;
+                self.runs.borrow_mut()[run.run_index].left = true;
                 return false;
             }
         }
         true
     }
 
-    fn note(&self, request: &PlainRequest, attempt: &str) -> usize {
+    fn record_run(&self, request: &PlainRequest, attempt: &str) -> usize {
         let number = |name: &str| request.header(name).parse().unwrap_or(0);
         let mut runs = self.runs.borrow_mut();
         runs.push(EngineRun {
@@ -401,8 +408,8 @@
     }
 }
 
-/// Whether a step declines, and for how long the engine wants to rest.
-fn declined(step: EngineStep) -> Option<Option<Duration>> {
+/// Returns `Some` if a step declines the request, with the duration of the requested rest if there is one.
+fn requested_rest(step: EngineStep) -> Option<Option<Duration>> {
     match step {
         EngineStep::Decline => Some(None),
         EngineStep::Rest(time) => Some(Some(time)),
@@ -414,9 +421,9 @@
     headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect()
 }
 
-/// The present time as engines tell it.
-fn unix_millisecond() -> u64 {
-    // A clock that stands before 1970 tells no time of a start.
+/// Returns the current time in Unix milliseconds.
+fn unix_ms_now() -> u64 {
+    // A clock before 1970 yields 0.
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
@@ -425,7 +432,7 @@
     format!("id: {number}\ndata: {attempt} {number}\n\n")
 }
 
-/// The record of a try.
+/// Returns the record of an attempt.
 fn record(attempt: &str) -> String {
     format!("record of {attempt}")
 }
--- a/crates/standins/src/fleet/entry.rs
+++ b/crates/standins/src/fleet/entry.rs
@@ -1,83 +1,84 @@
-//! What an engine writes of itself, and what other writers may leave in its place.
+//! List entries of engines, and invalid entries of other writers.
 
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// The entry of an engine.
+/// The list entry of an engine.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct EngineEntry<'a> {
-    /// Its service.
+    /// Service of the engine.
     pub backend: &'a str,
-    /// Where it serves.
+    /// Address of the engine.
     pub address: &'a str,
-    /// Where it stands.
+    /// Data centre of the engine.
     pub zone: &'a str,
-    /// Its slots.
+    /// Number of slots.
     pub slots: u32,
-    /// Whether it serves or leaves.
+    /// Whether the engine serves or is leaving.
     pub state: &'a str,
-    /// Version of its software; earlier engines do not write it.
+    /// Version of the engine's software; earlier engines do not write it.
     #[serde(rename = "resource_version", skip_serializing_if = "Option::is_none")]
     pub version: Option<&'a str>,
-    /// Unix millisecond of its start; earlier engines do not write it.
+    /// Start of the engine in Unix milliseconds; earlier engines do not write it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub born: Option<u64>,
 }
 
-/// Stands for bytes that are no UTF-8 until the store writes them: a character that nobody uses.
-pub(crate) const UNREADABLE: char = '\u{f8ff}';
-/// What the store writes in its place.
-const NO_UTF8: [u8; 3] = [0xff, 0xfe, 0xfd];
+/// Placeholder for bytes that are not UTF-8, which the store replaces when it writes an answer: a private-use
+/// character that occurs nowhere else.
+pub(crate) const INVALID_UTF8_MARKER: char = '\u{f8ff}';
+/// Bytes that replace the placeholder.
+const INVALID_UTF8: [u8; 3] = [0xff, 0xfe, 0xfd];
 
-/// An entry that is not an engine's.
+/// A list entry that no engine wrote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForeignEntry {
-    /// Fields are missing.
-    Missing,
-    /// Fields are of other types.
-    Types,
-    /// A state that nobody named.
-    State,
-    /// A service that nobody named.
-    Service,
-    /// No fields at all.
-    Text,
-    /// Bytes that are no UTF-8.
-    Bytes,
+    /// Some fields are missing.
+    MissingFields,
+    /// Some fields have other types.
+    WrongTypes,
+    /// The state is unknown.
+    UnknownState,
+    /// The service is unknown.
+    UnknownService,
+    /// A string instead of fields.
+    NotAnObject,
+    /// Bytes that are not UTF-8.
+    InvalidUtf8,
 }
 
 impl ForeignEntry {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [ForeignEntry; 6] = [
-        ForeignEntry::Missing,
-        ForeignEntry::Types,
-        ForeignEntry::State,
-        ForeignEntry::Service,
-        ForeignEntry::Text,
-        ForeignEntry::Bytes,
+        ForeignEntry::MissingFields,
+        ForeignEntry::WrongTypes,
+        ForeignEntry::UnknownState,
+        ForeignEntry::UnknownService,
+        ForeignEntry::NotAnObject,
+        ForeignEntry::InvalidUtf8,
     ];
 
-    /// The content; where it has an address, it is this one.
+    /// Returns the content of the entry, with this address if it has one.
     pub fn spec(self, backend: &str, address: &str) -> Value {
         match self {
-            ForeignEntry::Missing => json!({ "address": address, "state": "ready" }),
-            ForeignEntry::Types => {
+            ForeignEntry::MissingFields => json!({ "address": address, "state": "ready" }),
+            ForeignEntry::WrongTypes => {
                 json!({ "backend": [backend], "address": address, "slots": "8", "state": 1 })
             }
-            ForeignEntry::State => {
+            ForeignEntry::UnknownState => {
                 json!({ "backend": backend, "address": address, "slots": 8, "state": "resting" })
             }
-            ForeignEntry::Service => {
+            ForeignEntry::UnknownService => {
                 json!({ "backend": "unnamed", "address": address, "slots": 8, "state": "ready" })
             }
-            ForeignEntry::Text => json!("nothing of an engine"),
-            ForeignEntry::Bytes => json!(UNREADABLE.to_string()),
+            ForeignEntry::NotAnObject => json!("nothing of an engine"),
+            ForeignEntry::InvalidUtf8 => json!(INVALID_UTF8_MARKER.to_string()),
         }
     }
 }
 
-/// The bytes of an answer, with those that are no UTF-8 where they belong.
-pub(crate) fn with_unreadable_bytes(text: &str) -> Vec<u8> {
-    let parts: Vec<&[u8]> = text.split(UNREADABLE).map(str::as_bytes).collect();
-    parts.join(&NO_UTF8[..])
+/// Returns the bytes of an answer, with the placeholders replaced by bytes that are not UTF-8.
+pub(crate) fn with_invalid_utf8(text: &str) -> Vec<u8> {
+    let parts: Vec<&[u8]> = text.split(INVALID_UTF8_MARKER).map(str::as_bytes).collect();
+    parts.join(&INVALID_UTF8[..])
 }
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -1,5 +1,5 @@
-//! The store: objects by kind and name with one counter of revisions, lists in pages, watches that
-//! resume, and faults.
+//! Stand-in of the store: objects by kind and name with a common revision counter, paged lists, resumable watches,
+//! and faults.
 
 mod state;
 
@@ -14,16 +14,16 @@
 use tokio::sync::Notify;
 
 use self::state::StoreState;
-use super::entry::{with_unreadable_bytes, EngineEntry};
+use super::entry::{with_invalid_utf8, EngineEntry};
 use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
-/// Objects of one page.
+/// Number of objects on a page.
 const PAGE_SIZE: usize = 3;
 
-/// How the store fails.
+/// Failure of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutage {
-    /// Every call is answered with this status, and nothing is done.
+    /// Every call is answered with this status and has no effect.
     Status(u16),
     /// No call is answered.
     Silent,
@@ -31,93 +31,93 @@
     Closed,
 }
 
-/// A store in this process.
+/// A running store.
 #[derive(Default)]
 pub struct FleetStore {
     state: RefCell<StoreState>,
     changed: Notify,
     outage: Cell<Option<StoreOutage>>,
     calls: Cell<u64>,
-    /// Calls by method, kind and whether an old answer would do.
+    /// Number of calls by method, kind, and whether they were watches or allowed stale answers.
     tally: RefCell<BTreeMap<String, u64>>,
-    /// Writes that take effect and are not answered.
+    /// Number of next writes that take effect without an answer.
     lose_writes: Cell<u64>,
-    /// Whether watches are answered at once, with nothing.
-    hasty_watches: Cell<bool>,
-    /// Copy from which the store comes back.
+    /// Whether watches without changes are answered at once.
+    immediate_watches: Cell<bool>,
+    /// Copy of the objects that [`FleetStore::restore_copy`] restores.
     copy: RefCell<StoreState>,
-    /// Times that it has come back from a copy.
+    /// Number of restores.
     era: Cell<u64>,
 }
 
 impl FleetStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Rc<FleetStore> {
         Rc::default()
     }
 
-    /// Begins or ends an outage.
+    /// Starts or ends an outage.
     pub fn set_outage(&self, outage: Option<StoreOutage>) {
         self.outage.set(outage);
         self.changed.notify_waiters();
     }
 
-    /// Loses the answers of the next writes.
+    /// Applies the next `count` writes without answering them.
     pub fn lose_writes(&self, count: u64) {
         self.lose_writes.set(count);
     }
 
-    /// Answers watches at once, with nothing.
-    pub fn set_hasty_watches(&self, hasty: bool) {
-        self.hasty_watches.set(hasty);
+    /// Sets whether watches without changes are answered at once.
+    pub fn set_hasty_watches(&self, immediate: bool) {
+        self.immediate_watches.set(immediate);
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// Calls so far by method, kind and, in the end, what is asked for: `old`, `watch` or nothing.
+    /// Returns the number of calls by method, kind and, if it applies, `old` (stale answers allowed) or `watch`.
     pub fn tally(&self) -> BTreeMap<String, u64> {
         self.tally.borrow().clone()
     }
 
-    fn count(&self, request: &PlainRequest) {
+    fn count_call(&self, request: &PlainRequest) {
         let path = request.path.strip_prefix(OBJECTS).unwrap_or_default();
         let kind = path.trim_matches('/').split('/').next().unwrap_or_default();
         let stale = request.query.get("stale").is_some_and(|stale| stale == "1");
-        let manner = match request.query.contains_key("watch") {
+        let suffix = match request.query.contains_key("watch") {
             true => " watch",
             false if stale => " old",
             false => "",
         };
-        let call = format!("{} {kind}{manner}", request.method);
+        let call = format!("{} {kind}{suffix}", request.method);
         *self.tally.borrow_mut().entry(call).or_default() += 1;
     }
 
-    /// Forgets the history, so that watches have to begin anew.
+    /// Discards the history, so that watches have to restart.
     pub fn forget_history(&self) {
         self.state.borrow_mut().forget_history();
         self.changed.notify_waiters();
     }
 
-    /// Takes a copy of all that is stored.
+    /// Takes a copy of all objects.
     pub fn take_copy(&self) {
         *self.copy.borrow_mut() = self.state.borrow().clone();
     }
 
-    /// Comes back from the latest copy. Open watches end without an answer.
+    /// Restores the latest copy. Running watches are closed without an answer.
     pub fn restore_copy(&self) {
         *self.state.borrow_mut() = self.copy.borrow().clone();
         self.era.set(self.era.get() + 1);
         self.changed.notify_waiters();
     }
 
-    /// Writes the entry of an engine, as one does that says nothing of its start.
+    /// Writes the list entry of an engine without the time of its start, as earlier engines do.
     ///
     /// # Errors
-    /// Where the entry cannot be written as JSON.
+    /// Fails if the entry cannot be serialized.
     pub fn announce(
         &self,
         id: &str,
@@ -132,10 +132,10 @@
         )
     }
 
-    /// Writes the entry of an engine, as the engine does.
+    /// Writes the list entry of an engine, as the engine does.
     ///
     /// # Errors
-    /// Where the entry cannot be written as JSON.
+    /// Fails if the entry cannot be serialized.
     pub fn write_entry(&self, id: &str, entry: EngineEntry<'_>) -> Result<()> {
         self.put(SERVERS, id, serde_json::to_value(entry)?);
         Ok(())
@@ -153,19 +153,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Content of an object.
+    /// Returns the content of an object.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         let state = self.state.borrow();
         Some(state.kinds.get(kind)?.get(name)?["spec"].clone())
     }
 
-    /// Status of an object.
+    /// Returns the status of an object.
     pub fn status(&self, kind: &str, name: &str) -> Option<Value> {
         let state = self.state.borrow();
         Some(state.kinds.get(kind)?.get(name)?["status"].clone())
     }
 
-    /// Names of the objects of a kind.
+    /// Returns the names of the objects of a kind.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let state = self.state.borrow();
         state.kinds.get(kind).map(|kind| kind.keys().cloned().collect()).unwrap_or_default()
@@ -177,7 +177,7 @@
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
         self.calls.set(self.calls.get() + 1);
-        self.count(&request);
+        self.count_call(&request);
         if let Some(outage) = self.outage.get() {
             return answer_outage(outage, connection).await;
         }
@@ -193,14 +193,14 @@
                 return Ok(AfterAnswer::Close);
             }
         }
-        let body = with_unreadable_bytes(&body.to_string());
+        let body = with_invalid_utf8(&body.to_string());
         let era = era.to_string();
         let headers = [("Content-Type", "application/json"), ("Store-Era", era.as_str())];
         connection.answer(status, &headers, &body).await?;
         Ok(AfterAnswer::KeepOpen)
     }
 
-    /// Status and body of a call's answer.
+    /// Performs a call and returns status and body of the answer.
     async fn call(&self, request: &PlainRequest) -> (u16, Value) {
         let path = request.path.strip_prefix(OBJECTS).unwrap_or_default();
         let mut parts = path.trim_matches('/').split('/');
@@ -235,12 +235,12 @@
         let state = self.state.borrow();
         let empty = BTreeMap::new();
         let objects = state.kinds.get(kind).unwrap_or(&empty).iter();
-        let left: Vec<&Value> = objects
+        let remaining: Vec<&Value> = objects
             .filter(|(name, _)| after.is_none_or(|after| *name > after))
             .map(|(_, object)| object)
             .collect();
-        let page: Vec<&&Value> = left.iter().take(PAGE_SIZE).collect();
-        json!({ "items": page, "more": left.len() > PAGE_SIZE, "at": state.revision })
+        let page: Vec<&&Value> = remaining.iter().take(PAGE_SIZE).collect();
+        json!({ "items": page, "more": remaining.len() > PAGE_SIZE, "at": state.revision })
     }
 
     async fn watch(&self, kind: &str, request: &PlainRequest) -> (u16, Value) {
@@ -255,11 +255,12 @@
             if self.outage.get().is_some() || era != self.era.get() {
                 return (503, Value::Null);
             }
-            if let Some(answer) = self.state.borrow().since(kind, after) {
+            if let Some(answer) = self.state.borrow().changes_after(kind, after) {
                 return answer;
             }
             let none = json!({ "events": [], "at": self.state.borrow().revision });
-            if self.hasty_watches.get() || tokio::time::timeout_at(end, changed).await.is_err() {
+            if self.immediate_watches.get() || tokio::time::timeout_at(end, changed).await.is_err()
+            {
                 return (200, none);
             }
         }
@@ -287,8 +288,10 @@
         if status != 200 {
             return (404, Value::Null);
         }
-        let wanted = object["metadata"]["revision"].as_u64();
-        if wanted.is_some_and(|wanted| present["metadata"]["revision"].as_u64() != Some(wanted)) {
+        let expected = object["metadata"]["revision"].as_u64();
+        if expected
+            .is_some_and(|expected| present["metadata"]["revision"].as_u64() != Some(expected))
+        {
             return (409, present);
         }
         match part {
@@ -301,14 +304,14 @@
     }
 }
 
-/// What a write replaces of an object.
+/// The part of an object that a write replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ObjectPart {
     Spec,
     Status,
 }
 
-/// Fails a call in the way of an outage.
+/// Answers a call during an outage.
 async fn answer_outage(
     outage: StoreOutage,
     connection: &mut PlainConnection,
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,5 +1,5 @@
-//! A bare HTTP/1.1 server whose handlers hold the connection itself, so that faults such as a cut
-//! answer or two answers to one request can be played.
+//! A minimal HTTP/1.1 server whose handlers write to the connection directly, so that they can send interrupted
+//! answers or two answers to one request.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -16,7 +16,7 @@
 const HEAD_LIMIT: usize = 64 << 10;
 const BODY_LIMIT: usize = 64 << 20;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct PlainRequest {
     /// Method.
@@ -32,7 +32,7 @@
 }
 
 impl PlainRequest {
-    /// A header, empty where it is missing.
+    /// Returns a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -44,13 +44,13 @@
 }
 
 impl PlainConnection {
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub async fn write_raw(&mut self, bytes: &[u8]) -> Result<()> {
         self.stream.write_all(bytes).await?;
         Ok(())
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     pub async fn answer(
         &mut self,
         status: u16,
@@ -73,7 +73,7 @@
         self.answer(status, &[("Content-Type", "application/json")], &body).await
     }
 
-    /// Begins a chunked answer.
+    /// Writes the head of a chunked answer.
     pub async fn begin_chunked(&mut self, headers: &[(&str, &str)]) -> Result<()> {
         let mut head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n".to_string();
         for (name, value) in headers {
@@ -98,16 +98,16 @@
     }
 }
 
-/// What becomes of the connection after an answer.
+/// What happens to the connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterAnswer {
-    /// Further requests may follow.
+    /// The connection stays open for further requests.
     KeepOpen,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// A handler under way.
+/// Future of a running handler.
 pub type HandlerFuture<'a> = Pin<Box<dyn Future<Output = Result<AfterAnswer>> + 'a>>;
 
 /// Answers requests.
@@ -137,10 +137,10 @@
 
 pub(crate) use handle_by_route;
 
-/// Serves at a free address until the process ends, and gives the address.
+/// Starts a server at a free address and returns the address. It serves until the process exits.
 ///
 /// # Errors
-/// Where nobody listens there in time.
+/// Fails if there is no free address, or if the server does not listen in time.
 pub async fn serve_here(handler: Rc<dyn PlainHandler>) -> Result<String> {
     let address = free_address()?;
     let bound = address.clone();
@@ -149,10 +149,10 @@
     Ok(address)
 }
 
-/// Serves until the process ends.
+/// Serves until the process exits.
 ///
 /// # Errors
-/// Where the address cannot be bound.
+/// Fails if the address cannot be bound or a connection cannot be accepted.
 pub async fn serve(address: &str, handler: Rc<dyn PlainHandler>) -> Result<()> {
     let listener =
         TcpListener::bind(address).await.with_context(|| format!("stand-in: bind {address}"))?;
@@ -161,7 +161,7 @@
         stream.set_nodelay(true)?;
         let handler = Rc::clone(&handler);
         actix_rt::spawn(async move {
-            // A connection that breaks is part of the play and ends only itself.
+            // Interrupted connections are expected in tests and do not affect the others.
             let _ = serve_connection(stream, handler).await;
         });
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the outside of curlewcleat: the platform, a streaming engine, a plain service and
-//! callers, each small and with fault switches. They serve tests and the demo and are never shipped.
+//! Small stand-ins, with fault switches, of the systems around curlewcleat: the platform, a streaming engine, a
+//! plain service and callers. Tests and the demo use them; they are never shipped.
 
 pub mod address;
 pub mod callers;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load: requests start at their planned times, whatever became of earlier ones, and
-//! times count from the plan, so that a slow system cannot hide its delays.
+//! Open-loop load generator: requests start at their planned times, independently of earlier ones, and latencies count
+//! from the planned start, so that a slow system cannot hide delays (coordinated omission).
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,73 +13,73 @@
 use crate::engine::CHARS_PER_TOKEN;
 use crate::ledger::LedgerEntry;
 
-/// Longest time in milliseconds that a histogram holds.
-const LONGEST_MS: u64 = 600_000;
+/// Upper bound of the histograms in milliseconds.
+const MAX_LATENCY_MS: u64 = 600_000;
 
-/// One kind of request of a load.
+/// A kind of request in a load.
 #[derive(Clone, Debug)]
 pub struct LoadStream {
-    /// Tier, for the report.
+    /// Tier in the report.
     pub tier: String,
-    /// Path.
+    /// Path of the requests.
     pub path: String,
     /// Bearer token.
     pub token: String,
-    /// Requests a second, Poisson arrivals.
+    /// Mean rate of requests per second; arrivals are a Poisson process.
     pub rate_per_s: f64,
-    /// Prompt tokens, log-uniform; `None` for a service.
+    /// Range of the number of prompt tokens, log-uniform; `None` for a service.
     pub prompt_tokens: Option<(u64, u64)>,
-    /// Output tokens, log-uniform.
+    /// Range of the number of output tokens, log-uniform.
     pub output_tokens: (u64, u64),
-    /// Distinct prompt beginnings, 0 for none in common.
+    /// Number of distinct prompt prefixes; 0 if each request has its own.
     pub prefixes: u64,
     /// Whether requests carry an idempotency key.
     pub keyed: bool,
-    /// Time for which the caller waits.
+    /// Timeout that the caller states.
     pub timeout: Duration,
 }
 
-/// A whole load.
+/// A load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// Seed of all random choices.
     pub seed: u64,
     /// Time over which requests start.
     pub duration: Duration,
-    /// Rates are multiplied by this in the middle third.
+    /// Factor for the rates in the middle third of the duration.
     pub burst: f64,
     /// Kinds of requests.
     pub streams: Vec<LoadStream>,
 }
 
-/// What came of a tier.
+/// Results of a tier.
 #[derive(Debug)]
 pub struct TierReport {
-    /// Requests made.
+    /// Number of requests.
     pub offered: u64,
-    /// Whole answers in time.
+    /// Number of complete answers within the timeout.
     pub goodput: u64,
-    /// Times to the first byte of whole answers, in milliseconds.
+    /// Times to the first byte of complete answers, in milliseconds.
     pub first_byte_ms: Histogram<u64>,
-    /// Refusals by reason.
+    /// Number of refusals by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Broken exchanges.
+    /// Number of interrupted, timed-out or unexpected answers.
     pub broken: u64,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug)]
 pub struct LoadReport {
-    /// By tier.
+    /// Results by tier.
     pub tiers: BTreeMap<String, TierReport>,
-    /// Prompt tokens computed for answers that no caller got whole.
+    /// Number of prompt tokens computed for answers that did not reach their callers completely.
     pub wasted_prefill: u64,
-    /// Prompt tokens computed in all.
+    /// Total number of prompt tokens computed.
     pub total_prefill: u64,
 }
 
 impl LoadPlan {
-    /// The calls with their starting times, in order; the same for the same seed.
+    /// Returns the calls ordered by their start times; equal seeds give equal calls.
     pub fn schedule(&self) -> Vec<(Duration, CallerCall)> {
         let mut calls = Vec::new();
         for (index, stream) in self.streams.iter().enumerate() {
@@ -101,7 +101,7 @@
         calls
     }
 
-    /// Makes all calls, each of one of the entries in turn.
+    /// Sends all calls, distributed over the entry daemons in round-robin order.
     pub async fn run(&self, entries: &[String]) -> Vec<CallerRecord> {
         let client = Rc::new(caller_client());
         let begun = tokio::time::Instant::now();
@@ -166,7 +166,7 @@
     }
 }
 
-/// Sums records and ledgers up.
+/// Summarizes records and ledgers.
 pub fn report(plan: &LoadPlan, records: &[CallerRecord], entries: &[LedgerEntry]) -> LoadReport {
     let mut tiers: BTreeMap<String, TierReport> = BTreeMap::new();
     let mut prefill: BTreeMap<&str, u64> = BTreeMap::new();
@@ -186,7 +186,7 @@
             CallerEnd::Whole => {
                 tier.goodput += u64::from(timeout.is_none_or(|timeout| record.took <= timeout));
                 let first = record.first_byte.unwrap_or(record.took).as_millis() as u64;
-                // The histogram clamps what lies beyond its range.
+                // The histogram clamps values above its upper bound.
                 tier.first_byte_ms.saturating_record(first);
             }
             CallerEnd::Refused { reason, .. } => {
@@ -206,21 +206,21 @@
         TierReport {
             offered: 0,
             goodput: 0,
-            first_byte_ms: Histogram::new_with_bounds(1, LONGEST_MS, 3)
+            first_byte_ms: Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3)
                 .unwrap_or_else(|error| panic!("{error}")),
             refusals: BTreeMap::new(),
             broken: 0,
         }
     }
 
-    /// Whole answers in time as a share of what was offered.
+    /// Returns the share of the requests that got a complete answer within the timeout.
     pub fn share(&self) -> f64 {
         self.goodput as f64 / (self.offered.max(1)) as f64
     }
 }
 
 impl LoadReport {
-    /// Prints one line a tier.
+    /// Prints one line per tier.
     pub fn print(&self) {
         println!(
             "{:<12} {:>7} {:>7} {:>7} {:>8} {:>8}  refusals",
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: objects with versions, a late list of VMs, rate limits, and fault switches.
+//! Stand-in of the platform: objects with versions, a delayed list of VMs, rate limits, and fault switches.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,43 +11,43 @@
 
 use crate::http::{handle_by_route, AfterAnswer, PlainConnection, PlainRequest};
 
-/// Largest value.
-const VALUE_LIMIT: usize = 1_000_000;
+/// Maximum size of a value in bytes.
+const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Rates of the platform.
+/// Rate limits and delays of the platform.
 #[derive(Clone, Debug, clap::Args)]
 pub struct PlatformOptions {
     /// Address to listen on.
     #[arg(long)]
     pub address: String,
-    /// Writes a second.
+    /// Writes per second.
     #[arg(long, default_value_t = 100)]
     pub writes_per_s: u64,
-    /// Reads a second; a waiting watch is one.
+    /// Reads per second; a watch counts as one.
     #[arg(long, default_value_t = 2_000)]
     pub reads_per_s: u64,
-    /// Milliseconds for which changes of the VM list stay unseen.
+    /// Delay in milliseconds before a change of the VM list is visible.
     #[arg(long, default_value_t = 500)]
     pub list_lag_ms: u64,
 }
 
-/// Fault switches; all off by default.
+/// Fault switches, off by default.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call is cut without an answer or effect.
+    /// Closes the connection of every call, without an answer or effect.
     pub down: bool,
-    /// Each answer takes this many milliseconds longer.
+    /// Delays each answer by this many milliseconds.
     pub slow_ms: u64,
-    /// So many writes take effect and lose their answer.
+    /// Applies this many writes without answering them.
     pub lose_answers: u64,
-    /// So many answers to reads of objects are cut in the middle of their value.
+    /// Interrupts this many answers to reads of objects in the middle of the value.
     pub cut_reads: u64,
-    /// Reads show the version before the latest one.
+    /// Returns the version before the latest one to reads.
     pub old_versions: bool,
 }
 
-/// Calls so far.
+/// Number of calls.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Reads, lists and VM lists.
@@ -56,35 +56,35 @@
     pub writes: u64,
     /// Watches.
     pub watches: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by the rate limits.
     pub limited: u64,
 }
 
 #[derive(Default)]
-struct Versions {
+struct ObjectVersions {
     current: Option<(u64, Vec<u8>)>,
     previous: Option<(u64, Vec<u8>)>,
 }
 
-struct CallBucket {
+struct TokenBucket {
     rate: u64,
-    level: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl CallBucket {
-    fn new(rate: u64) -> CallBucket {
-        CallBucket { rate, level: rate as f64, filled: Instant::now() }
+impl TokenBucket {
+    fn new(rate: u64) -> TokenBucket {
+        TokenBucket { rate, tokens: rate as f64, refilled_at: Instant::now() }
     }
 
     fn take(&mut self) -> bool {
         let rate = self.rate as f64;
-        self.level = (self.level + self.filled.elapsed().as_secs_f64() * rate).min(rate);
-        self.filled = Instant::now();
-        if self.level < 1.0 {
+        self.tokens = (self.tokens + self.refilled_at.elapsed().as_secs_f64() * rate).min(rate);
+        self.refilled_at = Instant::now();
+        if self.tokens < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -94,15 +94,15 @@
     options: PlatformOptions,
     faults: RefCell<PlatformFaults>,
     counts: RefCell<CallCounts>,
-    objects: RefCell<BTreeMap<String, Versions>>,
+    objects: RefCell<BTreeMap<String, ObjectVersions>>,
     vms: RefCell<Vec<(Instant, serde_json::Value)>>,
     changed: Notify,
-    writes: RefCell<CallBucket>,
-    reads: RefCell<CallBucket>,
+    writes: RefCell<TokenBucket>,
+    reads: RefCell<TokenBucket>,
 }
 
 impl PlatformStandIn {
-    /// An empty platform.
+    /// Creates an empty platform.
     pub fn new(options: PlatformOptions) -> Rc<PlatformStandIn> {
         Rc::new(PlatformStandIn {
             faults: RefCell::default(),
@@ -113,8 +113,8 @@
                 serde_json::json!([]),
             )]),
             changed: Notify::new(),
-            writes: RefCell::new(CallBucket::new(options.writes_per_s)),
-            reads: RefCell::new(CallBucket::new(options.reads_per_s)),
+            writes: RefCell::new(TokenBucket::new(options.writes_per_s)),
+            reads: RefCell::new(TokenBucket::new(options.reads_per_s)),
             options,
         })
     }
@@ -204,14 +204,14 @@
         versions.current.clone()
     }
 
-    fn takes_cut(&self) -> bool {
+    fn use_cut_fault(&self) -> bool {
         let mut faults = self.faults.borrow_mut();
         let cut = faults.cut_reads > 0;
         faults.cut_reads = faults.cut_reads.saturating_sub(1);
         cut
     }
 
-    fn takes_loss(&self) -> bool {
+    fn use_lost_answer(&self) -> bool {
         let mut faults = self.faults.borrow_mut();
         let lost = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
@@ -222,14 +222,14 @@
         match self.visible(key) {
             Some((version, bytes)) => {
                 let tag = format!("\"{version}\"");
-                if self.takes_cut() {
+                if self.use_cut_fault() {
                     let head = format!(
                         "HTTP/1.1 200 OK\r\nETag: {tag}\r\nContent-Length: {}\r\n\r\n",
                         bytes.len()
                     );
                     connection.write_raw(head.as_bytes()).await?;
                     connection.write_raw(&bytes[..bytes.len() / 2]).await?;
-                    anyhow::bail!("stand-in: answer cut");
+                    anyhow::bail!("stand-in: answer interrupted");
                 }
                 connection.answer(200, &[("ETag", &tag)], &bytes).await
             }
@@ -268,7 +268,7 @@
         request: PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
-        if request.body.len() > VALUE_LIMIT {
+        if request.body.len() > MAX_VALUE_BYTES {
             connection.answer(413, &[], b"").await?;
             return Ok(AfterAnswer::KeepOpen);
         }
@@ -277,7 +277,7 @@
             return Ok(AfterAnswer::KeepOpen);
         };
         self.changed.notify_waiters();
-        if self.takes_loss() {
+        if self.use_lost_answer() {
             return Ok(AfterAnswer::Close);
         }
         let tag = format!("\"{version}\"");
@@ -285,16 +285,16 @@
         Ok(AfterAnswer::KeepOpen)
     }
 
-    /// Stores a value where its conditions fit, and gives its version.
+    /// Stores a value if its conditions hold, and returns the new version.
     fn store(&self, key: &str, request: PlainRequest) -> Option<u64> {
         let expected = request.header("if-match").trim_matches('"').parse::<u64>().ok();
         let absent = request.header("if-none-match") == "*";
         let mut objects = self.objects.borrow_mut();
         let versions = objects.entry(key.to_string()).or_default();
         let current = versions.current.as_ref().map(|(version, _)| *version);
-        let fits =
+        let is_allowed =
             if absent { current.is_none() } else { expected.is_none() || expected == current };
-        fits.then(|| {
+        is_allowed.then(|| {
             let version = current.unwrap_or(0) + 1;
             versions.previous = versions.current.replace((version, request.body));
             version
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay before a daemon's peer address that can be cut, so that frames to it are lost while its
-//! own frames still leave: a link that fails one way.
+//! A proxy in front of a daemon's peer address that can drop all frames to the daemon while frames from it still
+//! leave: a link that fails in one direction.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,18 +10,18 @@
 
 use crate::address::free_address;
 
-/// Bytes forwarded at a time.
+/// Size of the read buffer in bytes.
 const CHUNK: usize = 64 << 10;
 
-/// A running relay.
+/// A running proxy.
 pub struct PeerRelay {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: String,
     cut: Rc<Cell<bool>>,
 }
 
 impl PeerRelay {
-    /// Begins to forward to an address.
+    /// Starts a proxy to an address.
     pub async fn start(target: &str) -> Result<PeerRelay> {
         let address = free_address()?;
         let listener = TcpListener::bind(&address).await?;
@@ -30,8 +30,8 @@
         Ok(PeerRelay { address, cut })
     }
 
-    /// Loses all bytes from now on, or forwards again. A connection that lost bytes is closed, as
-    /// its frames no longer line up.
+    /// Drops all bytes from now on, or forwards them again. A connection that lost bytes is closed then, because its
+    /// frames are no longer aligned.
     pub fn set_cut(&self, cut: bool) {
         self.cut.set(cut);
     }
--- a/crates/standins/src/served.rs
+++ b/crates/standins/src/served.rs
@@ -1,4 +1,4 @@
-//! A stand-in that can end as a process does: its address is free and its connections are reset.
+//! Serves a stand-in that can be terminated like a process: its address becomes free and its connections close.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,19 +11,19 @@
 
 type Connections = Rc<RefCell<Vec<JoinHandle<()>>>>;
 
-/// A handler that is served at an address.
+/// A running server at an address.
 pub struct ServedHandler {
-    /// Where it is served.
+    /// Address of the server.
     pub address: String,
     listening: JoinHandle<()>,
     connections: Connections,
 }
 
 impl ServedHandler {
-    /// Begins to serve at an address.
+    /// Starts a server at an address.
     ///
     /// # Errors
-    /// Where it cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn start(address: &str, handler: Rc<dyn PlainHandler>) -> Result<ServedHandler> {
         let listener = TcpListener::bind(address)
             .await
@@ -33,7 +33,7 @@
         Ok(ServedHandler { address: address.to_string(), listening, connections })
     }
 
-    /// Ends at once, whatever is under way; then the address may be bound again.
+    /// Stops the server and all running requests at once. The address can be bound again afterwards.
     pub async fn close(self) {
         let mut tasks = self.connections.take();
         tasks.push(self.listening);
@@ -41,7 +41,7 @@
             task.abort();
         }
         for task in tasks {
-            // What was aborted gives nothing.
+            // An aborted task has no result.
             let _ = task.await;
         }
     }
@@ -49,11 +49,11 @@
 
 async fn accept(listener: TcpListener, handler: Rc<dyn PlainHandler>, connections: Connections) {
     while let Ok((stream, _)) = listener.accept().await {
-        // A connection that does not take the option is served all the same.
+        // A connection without this option is served as well.
         let _ = stream.set_nodelay(true);
         let handler = Rc::clone(&handler);
         let task = actix_rt::spawn(async move {
-            // A connection that breaks is part of the play and ends only itself.
+            // Interrupted connections are expected in tests and do not affect the others.
             let _ = serve_connection(stream, handler).await;
         });
         let mut connections = connections.borrow_mut();
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that returns records, such as the session service or the payroll service.
+//! Stand-in of a plain service that returns records, such as a session or payroll service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 }
 
 impl ServiceStandIn {
-    /// An idle service.
+    /// Creates an idle service.
     pub fn new(options: ServiceOptions) -> Rc<ServiceStandIn> {
         Rc::new(ServiceStandIn { base: TargetBase::new(options.slots), options })
     }
@@ -46,7 +46,7 @@
         request: PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<AfterAnswer> {
-        if self.base.administer(&request, connection).await? {
+        if self.base.handle_control_request(&request, connection).await? {
             return Ok(AfterAnswer::KeepOpen);
         }
         if request.method == "POST" {
@@ -66,22 +66,22 @@
             return Ok(AfterAnswer::KeepOpen);
         };
         let faults = self.base.faults();
-        if let Some(declined) = self.base.decline(&request, connection).await? {
+        if let Some(declined) = self.base.answer_declined(&request, connection).await? {
             return Ok(declined);
         }
         let _slot = self.base.slots.acquire().await?;
-        let place = self.base.begin(&body.nonce, &request, 0);
-        if self.base.strikes(|faults| &mut faults.close_after_read) {
+        let index = self.base.begin(&body.nonce, &request, 0);
+        if self.base.use_fault(|faults| &mut faults.close_after_read) {
             return Ok(AfterAnswer::Close);
         }
         let work = self.options.work_us * faults.slow_factor.max(1) + faults.delay_ms * 1_000;
         tokio::time::sleep(Duration::from_micros(work)).await;
-        if self.base.strikes(|faults| &mut faults.stalls) {
+        if self.base.use_fault(|faults| &mut faults.stalls) {
             connection.closed().await;
             return Ok(AfterAnswer::Close);
         }
         let record = expected_record(&body.nonce);
-        if self.base.strikes(|faults| &mut faults.cuts) {
+        if self.base.use_fault(|faults| &mut faults.cuts) {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", record.len());
             connection.write_raw(head.as_bytes()).await?;
             let cut = (faults.cut_bytes as usize).min(record.len() - 1);
@@ -90,10 +90,10 @@
         }
         let headers = [("Content-Type", "application/json")];
         connection.answer(200, &headers, record.as_bytes()).await?;
-        if self.base.strikes(|faults| &mut faults.doubles) {
+        if self.base.use_fault(|faults| &mut faults.doubles) {
             connection.answer(200, &headers, record.as_bytes()).await?;
         }
-        self.base.ledger.complete(place);
+        self.base.ledger.complete(index);
         Ok(AfterAnswer::KeepOpen)
     }
 }
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins of targets share: fault switches, a ledger of what ran, slots.
+//! Common part of the engine and service stand-ins: slots, fault switches, and a ledger of the requests that ran.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -10,11 +10,11 @@
 use crate::http::{AfterAnswer, PlainConnection, PlainRequest};
 use crate::ledger::{LedgerEntry, RunLedger};
 
-/// Fault switches of a target; all off by default.
+/// Fault switches of a target, off by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TargetFaults {
-    /// Times are multiplied by this, 0 counts as 1.
+    /// Factor for all processing times; 0 counts as 1.
     pub slow_factor: u64,
     /// Answers this many requests with "not started" status 503.
     pub not_started: u64,
@@ -22,43 +22,43 @@
     pub close_after_read: u64,
     /// Closes this many pooled connections under a written request without running it.
     pub close_pooled: u64,
-    /// Cuts this many answers after `cut_bytes`.
+    /// Interrupts this many answers after `cut_bytes`.
     pub cuts: u64,
-    /// Bytes after which an answer is cut.
+    /// Number of bytes after which an answer is interrupted.
     pub cut_bytes: u64,
-    /// Stalls this many answers before their first byte for as long as the connection lives.
+    /// Stalls this many answers before their first byte until the caller closes the connection.
     pub stalls: u64,
     /// Writes this many answers twice.
     pub doubles: u64,
     /// Answers this many requests with a redirect to the same path.
     pub redirects: u64,
-    /// Reports of load come this many milliseconds late.
+    /// Delays each load report by this many milliseconds.
     pub report_lag_ms: u64,
     /// Delays each answer by this many milliseconds.
     pub delay_ms: u64,
 }
 
 impl TargetFaults {
-    /// Uses one occasion of a counted fault up.
-    pub fn use_up(counter: &mut u64) -> bool {
-        let left = *counter > 0;
+    /// Decrements the counter of a fault and returns whether it was above zero.
+    pub fn decrement(counter: &mut u64) -> bool {
+        let is_positive = *counter > 0;
         *counter = counter.saturating_sub(1);
-        left
+        is_positive
     }
 }
 
-/// The common part of an engine and a service.
+/// State that engines and services have in common.
 pub struct TargetBase {
-    /// Requests that run at the same time.
+    /// Limit of the requests that run at the same time.
     pub slots: Semaphore,
-    /// What ran.
+    /// Requests that ran.
     pub ledger: RunLedger,
     faults: RefCell<TargetFaults>,
     started: Instant,
 }
 
 impl TargetBase {
-    /// A target without faults.
+    /// Creates a target without faults.
     pub fn new(slots: usize) -> TargetBase {
         TargetBase {
             slots: Semaphore::new(slots),
@@ -68,18 +68,18 @@
         }
     }
 
-    /// The switches as they are now.
+    /// Returns a copy of the fault switches.
     pub fn faults(&self) -> TargetFaults {
         self.faults.borrow().clone()
     }
 
-    /// Uses one occasion of a counted fault up, if there is one.
-    pub fn strikes(&self, counter: impl Fn(&mut TargetFaults) -> &mut u64) -> bool {
-        TargetFaults::use_up(counter(&mut self.faults.borrow_mut()))
+    /// Decrements the counter of a fault and returns whether it was above zero.
+    pub fn use_fault(&self, counter: impl Fn(&mut TargetFaults) -> &mut u64) -> bool {
+        TargetFaults::decrement(counter(&mut self.faults.borrow_mut()))
     }
 
-    /// Answers the calls of tests; `false` where the request is another one.
-    pub async fn administer(
+    /// Answers a control request of a test; returns `false` for all other requests.
+    pub async fn handle_control_request(
         &self,
         request: &PlainRequest,
         connection: &mut PlainConnection,
@@ -95,25 +95,25 @@
         Ok(true)
     }
 
-    /// Answers a request that a fault keeps from running, `None` where none does.
-    pub async fn decline(
+    /// Answers a request that a fault prevents from running; returns `None` if the request can run.
+    pub async fn answer_declined(
         &self,
         request: &PlainRequest,
         connection: &mut PlainConnection,
     ) -> Result<Option<AfterAnswer>> {
-        if self.strikes(|faults| &mut faults.not_started) {
+        if self.use_fault(|faults| &mut faults.not_started) {
             connection.answer(503, &[], b"not started").await?;
             return Ok(Some(AfterAnswer::KeepOpen));
         }
-        if self.strikes(|faults| &mut faults.redirects) {
+        if self.use_fault(|faults| &mut faults.redirects) {
             connection.answer(307, &[("Location", request.path.as_str())], b"").await?;
             return Ok(Some(AfterAnswer::KeepOpen));
         }
-        let closes = self.strikes(|faults| &mut faults.close_pooled);
-        Ok(closes.then_some(AfterAnswer::Close))
+        let should_close = self.use_fault(|faults| &mut faults.close_pooled);
+        Ok(should_close.then_some(AfterAnswer::Close))
     }
 
-    /// Notes in the ledger that a request begins to run.
+    /// Records in the ledger that a request begins to run and returns the index of its entry.
     pub fn begin(&self, nonce: &str, request: &PlainRequest, prefill: u64) -> usize {
         self.ledger.begin(LedgerEntry {
             nonce: nonce.to_string(),
--- a/crates/standins/src/verdicts.rs
+++ b/crates/standins/src/verdicts.rs
@@ -1,4 +1,4 @@
-//! The judgement of every failure test: the targets' ledgers against the callers' verdicts.
+//! Compares the targets' ledgers with the outcomes that the callers recorded.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::deployment::{get_json, Deployment};
 use crate::ledger::LedgerEntry;
 
-/// Reads the ledgers of all targets that still answer.
+/// Returns the entries of the ledgers of all reachable targets.
 pub async fn ledgers(fleet: &Deployment) -> Result<Vec<LedgerEntry>> {
     let mut entries = Vec::new();
     for target in &fleet.targets {
@@ -19,7 +19,7 @@
     Ok(entries)
 }
 
-/// Every way in which ledgers and callers disagree; empty when all is well.
+/// Returns a description of each contradiction between ledgers and callers; empty if there is none.
 pub fn disagreements(entries: &[LedgerEntry], records: &[CallerRecord]) -> Vec<String> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for entry in entries {
@@ -33,13 +33,13 @@
         let ran = runs.contains_key(record.nonce.as_str());
         match &record.end {
             CallerEnd::Whole if !ran => {
-                found.push(format!("{} has an answer and ran nowhere", record.nonce))
+                found.push(format!("{} has an answer but did not run", record.nonce))
             }
             CallerEnd::Wrong(text) => {
                 found.push(format!("{} got a wrong answer: {text}", record.nonce))
             }
             CallerEnd::Refused { may_have_run: false, reason, .. } if ran => {
-                found.push(format!("{} was told \"not run\" ({reason}) and ran", record.nonce));
+                found.push(format!("{} was refused as not run ({reason}) but ran", record.nonce));
             }
             _ => {}
         }
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under their ids, and entries of other writers in the store.
+//! Checks the fleet stand-ins: engines that restart with the same id, and list entries of other writers.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The bytes of an answer to a read that closes its connection.
+/// Returns the body of the answer to a read.
 async fn get(address: &str, path: &str) -> anyhow::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await?;
     let mut bytes = Vec::new();
-    // The stand-in keeps the connection open.
+    // The stand-in keeps the connection open, so a silence of 200 ms ends the answer.
     while tokio::time::timeout(Duration::from_millis(200), stream.read_buf(&mut bytes))
         .await
         .is_ok_and(|read| read.is_ok_and(|length| length > 0))
@@ -29,7 +29,7 @@
 }
 
 #[actix_rt::test]
-async fn engine_starts_again_under_its_id_and_knows_nothing_of_before() -> anyhow::Result<()> {
+async fn restarted_engine_keeps_its_id_and_no_state() -> anyhow::Result<()> {
     let mut fleet = FleetDeployment::start("restart").await?;
     fleet.engine("records", 3, Duration::from_millis(5)).await?;
     let (address, first) = (fleet.engine_addresses[0].clone(), born(&fleet));
@@ -44,7 +44,7 @@
     assert!(born(&fleet) > first, "{:?} after {first:?}", born(&fleet));
     assert_eq!(fleet.engines[0].runs().len(), 0);
     let mut rest = Vec::new();
-    // The end comes as a reset where bytes were left unread.
+    // The connection ends with a reset if bytes were left unread.
     let _ = open.read_to_end(&mut rest).await;
     get(&address, "/once/1").await?;
     assert_eq!(fleet.engines[0].runs().len(), 1);
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// What the store answers to a list and to a watch that was waiting.
+/// Returns the answers of the store to a list and to a watch that was waiting.
 async fn list_and_watch(entry: ForeignEntry) -> anyhow::Result<(Vec<u8>, Vec<u8>)> {
     let store = FleetStore::new();
     let address = serve_here(store.clone()).await?;
@@ -71,10 +71,10 @@
 }
 
 #[actix_rt::test]
-async fn foreign_entries_are_served_beside_the_others() -> anyhow::Result<()> {
+async fn foreign_entries_are_listed_and_watched_with_valid_ones() -> anyhow::Result<()> {
     for entry in ForeignEntry::ALL {
         let (list, watch) = list_and_watch(entry).await?;
-        let readable = entry != ForeignEntry::Bytes;
+        let readable = entry != ForeignEntry::InvalidUtf8;
         assert_eq!(serde_json::from_slice::<Value>(&list).is_ok(), readable, "{entry:?}");
         assert_eq!(std::str::from_utf8(&watch).is_ok(), readable, "{entry:?}");
         let list = String::from_utf8_lossy(&list).to_string();
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in keeps to its own page: versions, conditions, watches, counts and rates.
+//! Checks the platform stand-in: versions, conditional writes, watches, call counts and rate limits.
 
 use anyhow::Result;
 use awc::http::StatusCode;
@@ -31,7 +31,7 @@
 }
 
 #[actix_rt::test]
-async fn writes_are_conditional() -> Result<()> {
+async fn writes_respect_version_conditions() -> Result<()> {
     let address = platform().await?;
     assert_eq!(put(&address, "a", ("If-None-Match", "*")).await?, StatusCode::CREATED);
     assert_eq!(put(&address, "a", ("If-None-Match", "*")).await?, StatusCode::PRECONDITION_FAILED);
@@ -42,7 +42,7 @@
 }
 
 #[actix_rt::test]
-async fn calls_are_counted_and_limited_and_a_watch_is_one() -> Result<()> {
+async fn calls_are_counted_and_limited_and_a_watch_counts_once() -> Result<()> {
     let address = platform().await?;
     let mut limited = 0;
     for number in 0..40 {
