--- a/crates/soak/src/lethal.rs
+++ b/crates/soak/src/lethal.rs
@@ -32,7 +32,10 @@
 /// Makes an engine terminate as soon as it begins to run the lethal request.
 pub fn terminate_on_lethal(engine: &FleetEngine, ended: &TerminationFlag) {
     let ended = Rc::clone(ended);
-    engine.set_lethal(LethalBody { body: LETHAL.to_vec(), end: Box::new(move || ended.set(true)) });
+    engine.set_lethal(LethalBody {
+        body: LETHAL.to_vec(),
+        terminate: Box::new(move || ended.set(true)),
+    });
 }
 
 impl SoakFleet {
--- a/crates/standins/src/fleet/deployment.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -96,8 +96,13 @@
     }
 
     /// Starts an engine and writes its list entry.
-    pub async fn engine(&mut self, backend: &str, events: u64, pace: Duration) -> Result<()> {
-        self.start_engine(backend, None, events, pace).await
+    pub async fn engine(
+        &mut self,
+        backend: &str,
+        events: u64,
+        event_interval: Duration,
+    ) -> Result<()> {
+        self.start_engine(backend, None, events, event_interval).await
     }
 
     /// Starts an engine with a version and writes its list entry.
@@ -106,9 +111,9 @@
         backend: &str,
         version: &str,
         events: u64,
-        pace: Duration,
+        event_interval: Duration,
     ) -> Result<()> {
-        self.start_engine(backend, Some(version.to_string()), events, pace).await
+        self.start_engine(backend, Some(version.to_string()), events, event_interval).await
     }
 
     async fn start_engine(
@@ -116,9 +121,9 @@
         backend: &str,
         version: Option<String>,
         events: u64,
-        pace: Duration,
+        event_interval: Duration,
     ) -> Result<()> {
-        let engine = FleetEngine::new(&format!("i-{}", self.engines.len()), events, pace);
+        let engine = FleetEngine::new(&format!("i-{}", self.engines.len()), events, event_interval);
         let address = free_address()?;
         let served = ServedHandler::start(&address, engine.clone()).await?;
         self.write_entry(&engine, backend, version.as_deref(), &address)?;
@@ -152,7 +157,7 @@
         for (index, engine) in self.engines.iter().enumerate() {
             let (served, store) = (Rc::clone(&self.engines_served), Rc::clone(&self.store));
             let id = engine.id.clone();
-            let end = move || {
+            let terminate = move || {
                 actix_rt::spawn(async move {
                     let served = served.borrow_mut()[index].take();
                     if let Some(served) = served {
@@ -162,7 +167,7 @@
                     store.remove(SERVERS, &id);
                 });
             };
-            engine.set_lethal(LethalBody { body: body.to_vec(), end: Box::new(end) });
+            engine.set_lethal(LethalBody { body: body.to_vec(), terminate: Box::new(terminate) });
         }
     }
 
--- a/crates/standins/src/fleet/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -83,7 +83,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// Terminates the engine.
-    pub end: Box<dyn FnOnce()>,
+    pub terminate: Box<dyn FnOnce()>,
 }
 
 /// An engine in this process.
@@ -95,33 +95,33 @@
     /// Number of events in a stream.
     pub events: u64,
     /// Time between two events.
-    pub pace: Duration,
+    pub event_interval: Duration,
     steps: RefCell<VecDeque<EngineStep>>,
     default_step: Cell<EngineStep>,
     runs: RefCell<Vec<EngineRun>>,
     lethal: RefCell<Option<LethalBody>>,
-    says: RefCell<Vec<(String, String)>>,
+    notices: RefCell<Vec<(String, String)>>,
 }
 
 impl FleetEngine {
     /// Creates an engine that serves all requests.
-    pub fn new(id: &str, events: u64, pace: Duration) -> Rc<FleetEngine> {
+    pub fn new(id: &str, events: u64, event_interval: Duration) -> Rc<FleetEngine> {
         Rc::new(FleetEngine {
             id: id.to_string(),
             born: unix_ms_now(),
             events,
-            pace,
+            event_interval,
             steps: RefCell::default(),
             default_step: Cell::new(EngineStep::Serve),
             runs: RefCell::default(),
             lethal: RefCell::default(),
-            says: RefCell::default(),
+            notices: RefCell::default(),
         })
     }
 
     /// Returns a new instance of the engine with the same id and no state of the previous one.
     pub fn restarted(&self) -> Rc<FleetEngine> {
-        FleetEngine::new(&self.id, self.events, self.pace)
+        FleetEngine::new(&self.id, self.events, self.event_interval)
     }
 
     /// Queues the behaviour for one of the next requests.
@@ -137,7 +137,7 @@
     /// Sets the notice headers that all answers have from now on.
     pub fn says(&self, headers: &[(&str, &str)]) {
         let owned = |(name, value): &(&str, &str)| (name.to_string(), value.to_string());
-        *self.says.borrow_mut() = headers.iter().map(owned).collect();
+        *self.notices.borrow_mut() = headers.iter().map(owned).collect();
     }
 
     /// Makes the engine terminate when it begins to run a request with this body.
@@ -149,7 +149,7 @@
     fn terminate_if_lethal(&self, body: &[u8]) -> bool {
         let lethal = self.lethal.borrow_mut().take_if(|lethal| lethal.body == body);
         let Some(lethal) = lethal else { return false };
-        (lethal.end)();
+        (lethal.terminate)();
         true
     }
 
@@ -180,10 +180,10 @@
         let step = next.unwrap_or(self.default_step.get());
         if let Some(rest) = requested_rest(step) {
             let seconds = rest.map(|rest| rest.as_secs_f64().to_string());
-            let says = self.says.borrow().clone();
+            let notices = self.notices.borrow().clone();
             let mut headers = vec![attempt_header, (WIRE_PROFILE.not_run, "1")];
             headers.extend(seconds.iter().map(|seconds| ("retry-after", seconds.as_str())));
-            headers.extend(says.iter().map(|(name, value)| (name.as_str(), value.as_str())));
+            headers.extend(notices.iter().map(|(name, value)| (name.as_str(), value.as_str())));
             connection.answer(503, &headers, b"").await?;
             return Ok(AfterAnswer::KeepOpen);
         }
@@ -238,13 +238,13 @@
         connection: &mut PlainConnection,
     ) -> anyhow::Result<AfterAnswer> {
         if run.is_stream {
-            let left = self.events - self.after(run.run_index);
-            if !self.stream(run, left, connection).await? {
+            let remaining = self.events - self.after(run.run_index);
+            if !self.stream(run, remaining, connection).await? {
                 return Ok(AfterAnswer::Close);
             }
             connection.chunk(b"").await?;
         } else {
-            tokio::time::sleep(self.pace).await;
+            tokio::time::sleep(self.event_interval).await;
             let body = record(run.attempt);
             connection
                 .answer(200, &borrowed(&self.identity_headers(run.attempt)), body.as_bytes())
@@ -305,7 +305,7 @@
     ) -> anyhow::Result<AfterAnswer> {
         let first = self.answer_complete(run, connection).await?;
         if first == AfterAnswer::KeepOpen {
-            tokio::time::sleep(self.pace).await;
+            tokio::time::sleep(self.event_interval).await;
             connection
                 .answer(200, &borrowed(&self.identity_headers(run.attempt)), b"nobody asked")
                 .await?;
@@ -349,7 +349,7 @@
         let headers =
             [(WIRE_PROFILE.attempt_id, attempt), (SEAL, &self.id), ("keep-alive", "timeout=10")];
         let identity_headers = headers.map(|(name, value)| (name.to_string(), value.to_string()));
-        identity_headers.into_iter().chain(self.says.borrow().clone()).collect()
+        identity_headers.into_iter().chain(self.notices.borrow().clone()).collect()
     }
 
     fn after(&self, run_index: usize) -> u64 {
@@ -379,7 +379,7 @@
         connection: &mut PlainConnection,
     ) -> bool {
         for number in numbers {
-            let left = tokio::time::timeout(self.pace, connection.closed()).await.is_ok();
+            let left = tokio::time::timeout(self.event_interval, connection.closed()).await.is_ok();
             if left || connection.chunk(event(run.attempt, number).as_bytes()).await.is_err() {
                 self.runs.borrow_mut()[run.run_index].left = true;
                 return false;
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -41,7 +41,7 @@
     /// Number of calls by method, kind, and whether they were watches or allowed stale answers.
     tally: RefCell<BTreeMap<String, u64>>,
     /// Number of next writes that take effect without an answer.
-    lose_writes: Cell<u64>,
+    unanswered_writes: Cell<u64>,
     /// Whether watches without changes are answered at once.
     immediate_watches: Cell<bool>,
     /// Copy of the objects that [`FleetStore::restore_copy`] restores.
@@ -64,7 +64,7 @@
 
     /// Applies the next `count` writes without answering them.
     pub fn lose_writes(&self, count: u64) {
-        self.lose_writes.set(count);
+        self.unanswered_writes.set(count);
     }
 
     /// Sets whether watches without changes are answered at once.
@@ -188,8 +188,8 @@
         }
         if request.method != "GET" {
             self.changed.notify_waiters();
-            if self.lose_writes.get() > 0 {
-                self.lose_writes.set(self.lose_writes.get() - 1);
+            if self.unanswered_writes.get() > 0 {
+                self.unanswered_writes.set(self.unanswered_writes.get() - 1);
                 return Ok(AfterAnswer::Close);
             }
         }
