--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -349,10 +349,10 @@
             _ => None,
         })
         .collect();
-    let is_news = |message: &PeerMessage| matches!(message, PeerMessage::SuspectsPush(_));
+    let is_update = |message: &PeerMessage| matches!(message, PeerMessage::SuspectsPush(_));
     let mixed = frames.iter().filter(|frame| frame.messages.len() > 1);
-    assert!(mixed.clone().all(|frame| !frame.messages.iter().any(is_news)), "{frames:?}");
-    assert!(frames.iter().any(|frame| is_news(&frame.messages[0])), "{frames:?}");
+    assert!(mixed.clone().all(|frame| !frame.messages.iter().any(is_update)), "{frames:?}");
+    assert!(frames.iter().any(|frame| is_update(&frame.messages[0])), "{frames:?}");
 }
 
 /// Before a peer has answered once, a pull is not sent in a frame with other messages.
--- a/crates/sched/tests/notices.rs
+++ b/crates/sched/tests/notices.rs
@@ -300,17 +300,17 @@
 #[test]
 fn gate_stops_requests_that_the_notices_exclude() {
     let mut gate = TargetGate::default();
-    let heard = |notice| ReceivedNotice { sent: SECOND, notice };
+    let received = |notice| ReceivedNotice { sent: SECOND, notice };
     let rest = TargetNotice { rest: Some(SECOND * 3), ..TargetNotice::default() };
-    gate.apply_notice(SECOND, &instance("a"), &heard(rest));
+    gate.apply_notice(SECOND, &instance("a"), &received(rest));
     // A shorter rest does not end a longer one.
     let short = TargetNotice { rest: Some(SECOND), ..TargetNotice::default() };
-    gate.apply_notice(SECOND, &instance("a"), &heard(short));
+    gate.apply_notice(SECOND, &instance("a"), &received(short));
     assert_eq!(gate.pass(SECOND * 3, &instance("a")), Some(GateStop::Resting));
     assert_eq!(gate.pass(SECOND * 4, &instance("a")), None);
     let leaving = TargetNotice { leaving: true, ..TargetNotice::default() };
-    gate.apply_notice(SECOND * 4, &instance("a"), &heard(leaving));
-    gate.apply_notice(SECOND * 5, &instance("a"), &heard(TargetNotice::default()));
+    gate.apply_notice(SECOND * 4, &instance("a"), &received(leaving));
+    gate.apply_notice(SECOND * 5, &instance("a"), &received(TargetNotice::default()));
     assert_eq!(gate.pass(SECOND * 3_000, &instance("a")), Some(GateStop::Leaving));
     let later = TargetInstance { start: Some(TargetStart(2)), ..instance("a") };
     assert_eq!(gate.pass(SECOND * 5, &later), None, "a new instance has no notices");
@@ -349,8 +349,8 @@
 #[test]
 fn gate_allows_no_more_than_the_whole_limit() {
     let mut gate = TargetGate::default();
-    let heard = ReceivedNotice { sent: SECOND, notice: named(1.8) };
-    gate.apply_notice(SECOND, &instance("t"), &heard);
+    let received = ReceivedNotice { sent: SECOND, notice: named(1.8) };
+    gate.apply_notice(SECOND, &instance("t"), &received);
     let mut times = Vec::new();
     for step in 0..1_000 {
         let now = SECOND + STEP * step;
--- a/crates/sched/tests/rollout_rules.rs
+++ b/crates/sched/tests/rollout_rules.rs
@@ -96,13 +96,13 @@
 fn access_follows_the_stage_of_the_order(
     #[case] stage: RolloutStage,
     #[case] expected: [VersionAccess; 2],
-    #[case] shut: [bool; 2],
+    #[case] blocked: [bool; 2],
 ) {
     let mut versions = in_service();
     versions.merge_report(NOW, &report("v2", stage, 3));
     versions.update_reported(NOW, &shown(&[("v1", 4), ("v2", 4)]), Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), expected);
-    assert_eq!(["v1", "v2"].map(|name| versions.is_blocked(&reported(name))), shut);
+    assert_eq!(["v1", "v2"].map(|name| versions.is_blocked(&reported(name))), blocked);
 }
 
 /// Reports of peers and of the platform arrive in any order; a final stage must not be left.
