--- a/crates/core/src/message/versions.rs
+++ b/crates/core/src/message/versions.rs
@@ -1,7 +1,7 @@
 //! Target lists with the start and the software version of each target instance.
 //!
-//! The codec is positional, so [`TargetInstancesPush`] cannot gain a field and the versions are sent as a separate list.
-//! A fleet has few versions, so each is sent once and the targets refer to it by number.
+//! The codec is positional, so [`TargetInstancesPush`] cannot gain a field and the versions are sent as a separate
+//! list. A fleet has few versions, so each is sent once and the targets refer to it by number.
 //!
 //! Owns: the format of these messages. Relies on: [`TargetInstancesPush`].
 
