--- a/crates/acceptance/src/lib.rs
+++ b/crates/acceptance/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the tests of real processes share: a small configuration and a fleet that has it in force.
+//! Shared by the tests with real processes: a small configuration, and a fleet in which it is in force.
 
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead};
@@ -13,10 +13,10 @@
 /// Token of the account `depots`.
 pub const DEPOTS: &str = "depots-token";
 
-/// A configuration for a fleet's targets: `sessions` for services, `assistant` for engines. Extra
-/// lines go into the pool sections.
+/// Returns a configuration for a fleet's targets: services are in the pool `sessions`, engines in `assistant`. The
+/// extra lines are added to the sections of these pools.
 pub fn configuration(fleet: &Deployment, service_lines: &str, engine_lines: &str) -> String {
-    let hex = |token: &str| {
+    let token_hash = |token: &str| {
         hash_token(token).bytes().iter().map(|byte| format!("{byte:02x}")).collect::<String>()
     };
     let mut text = format!(
@@ -32,8 +32,8 @@
          repeatable = yes\nbody_limit = 4194304\n\n\
          [rule assistant]\norder = 30\npath = /v1/assistant/*\ntier = roadside\npool = assistant\n\
          repeatable = yes\nbody_limit = 4194304\n\n",
-        hex(DRIVERS),
-        hex(DEPOTS)
+        token_hash(DRIVERS),
+        token_hash(DEPOTS)
     );
     for (index, target) in fleet.targets.iter().enumerate() {
         let pool = if target.name.starts_with("engine") { "assistant" } else { "sessions" };
@@ -46,7 +46,7 @@
     text
 }
 
-/// A fleet with engines, services and daemons that has the small configuration in force.
+/// Starts a fleet of engines, services and daemons, and waits until the small configuration is in force.
 pub async fn ready_fleet(
     name: &str,
     engines: usize,
@@ -68,10 +68,11 @@
     Ok(fleet)
 }
 
-/// Head of a request to a daemon of a fleet, with the key of the account `drivers` and three seconds left.
+/// Returns the head of a request to a daemon of a fleet, with the key of the account `drivers` and a timeout of three
+/// seconds.
 ///
 /// # Errors
-/// Where the path or the name of the try is no header text.
+/// Fails if the path is not a valid URI or `attempt` is not valid as a header value.
 pub fn fleet_head(path: &str, attempt: &str) -> Result<RequestHead> {
     let mut head = RequestHead::default();
     head.method = Method::POST;
--- a/crates/acceptance/tests/births.rs
+++ b/crates/acceptance/tests/births.rs
@@ -1,4 +1,4 @@
-//! What a daemon of a fleet calls the platform's store for when it begins.
+//! Calls of a starting daemon to the platform's store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,10 +8,12 @@
 use curlewcleat_standins::deployment::{get_text, wait_until};
 use curlewcleat_standins::fleet::FleetDeployment;
 
-const PACE: Duration = Duration::from_millis(10);
-/// Daemons: two read for the others, one does not.
-const COUNT: usize = 3;
+/// Time that the engine takes for an event of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of daemons: two read from the store for the others, one does not.
+const DAEMON_COUNT: usize = 3;
 
+/// Waits until all daemons are ready.
 async fn ready(fleet: &FleetDeployment) -> Result<()> {
     for daemon in &fleet.daemons {
         wait_until("readiness", || async {
@@ -22,31 +24,31 @@
     Ok(())
 }
 
-/// Calls that came since an earlier tally.
-fn since(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, call: &str) -> u64 {
+/// Returns the number of calls of this kind between two tallies.
+fn calls_between(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, call: &str) -> u64 {
     let count = |tally: &BTreeMap<String, u64>| tally.get(call).copied().unwrap_or_default();
     count(after) - count(before)
 }
 
-/// Each of 295 daemons that began again wrote its record anew, listed all daemons and all targets as of now and
-/// watched the targets until it knew that others did: fifteen calls each (4,495 of 295 daemons until 14 s of traffic,
-/// counted by the store).
+/// Guards against daemons that load the store when many restart. Each of 295 restarted daemons wrote its record again,
+/// requested current lists of all daemons and targets, and watched the targets until it knew that others did: fifteen
+/// calls each (the store counted 4,495 calls of 295 daemons within 14 s of traffic).
 #[actix_rt::test]
-async fn daemon_that_begins_again_asks_for_old_lists_and_writes_nothing() -> Result<()> {
+async fn restarted_daemon_reads_old_lists_and_writes_nothing() -> Result<()> {
     let mut fleet = FleetDeployment::start("births").await?;
     fleet.store_config()?;
-    fleet.engine("lists", 1, PACE).await?;
-    fleet.daemons(COUNT, "config_age_limit = 1500ms").await?;
+    fleet.engine("lists", 1, EVENT_INTERVAL).await?;
+    fleet.daemons(DAEMON_COUNT, "config_age_limit = 1500ms").await?;
     ready(&fleet).await?;
     let first = fleet.store.tally();
-    assert_eq!(first.get(&format!("POST {DAEMONS}")), Some(&(COUNT as u64)), "{first:?}");
-    // Those that start after the others are there; the first ones schedule and read.
+    assert_eq!(first.get(&format!("POST {DAEMONS}")), Some(&(DAEMON_COUNT as u64)), "{first:?}");
+    // The restarted daemon is the last one, since the first ones schedule and read from the store.
     actix_rt::time::sleep(Duration::from_secs(1)).await;
     let before = fleet.store.tally();
-    fleet.restart(COUNT - 1).await?;
+    fleet.restart(DAEMON_COUNT - 1).await?;
     ready(&fleet).await?;
     let after = fleet.store.tally();
-    let calls = |call: String| since(&before, &after, &call);
+    let calls = |call: String| calls_between(&before, &after, &call);
     assert_eq!(calls(format!("GET {DAEMONS} old")), 1, "{after:?}");
     assert_eq!(calls(format!("GET {DAEMONS}")), 0, "{after:?}");
     assert_eq!(calls(format!("POST {DAEMONS}")), 0, "{after:?}");
@@ -57,20 +59,20 @@
 }
 
 #[actix_rt::test]
-async fn daemon_that_moved_writes_its_record_anew() -> Result<()> {
+async fn restarted_daemon_with_another_capacity_writes_its_record_again() -> Result<()> {
     let mut fleet = FleetDeployment::start("births-moved").await?;
     fleet.store_config()?;
-    fleet.engine("lists", 1, PACE).await?;
+    fleet.engine("lists", 1, EVENT_INTERVAL).await?;
     fleet.daemons(1, "config_age_limit = 1500ms").await?;
     ready(&fleet).await?;
     let settings = std::fs::read_to_string(&fleet.daemons[0].settings)?;
-    let stronger = settings.replace("[callers]", "core_share = 0.5\n[callers]");
-    std::fs::write(&fleet.daemons[0].settings, stronger)?;
+    let changed = settings.replace("[callers]", "core_share = 0.5\n[callers]");
+    std::fs::write(&fleet.daemons[0].settings, changed)?;
     let before = fleet.store.tally();
     fleet.restart(0).await?;
     ready(&fleet).await?;
     wait_until("the record", || async {
-        since(&before, &fleet.store.tally(), &format!("PUT {DAEMONS}")) == 1
+        calls_between(&before, &fleet.store.tally(), &format!("PUT {DAEMONS}")) == 1
     })
     .await
 }
--- a/crates/acceptance/tests/callers.rs
+++ b/crates/acceptance/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they are told: limits, bad input, departures, slow readers.
+//! Callers that send bad or too large requests, disconnect, or read slowly.
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
@@ -9,14 +9,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Writes bytes to an entry and reads until it closes or 300 bytes have come.
-async fn raw(entry: &str, bytes: &[u8]) -> Result<String> {
+/// Sends bytes to a daemon and reads the answer until the connection closes or 300 bytes have arrived.
+async fn send_raw(entry: &str, bytes: &[u8]) -> Result<String> {
     let mut stream = TcpStream::connect(entry).await?;
     stream.write_all(bytes).await?;
     let mut answer = vec![0u8; 300];
     let mut length = 0;
     while length < answer.len() {
-        // A reset after an answer is as good as a close.
+        // A reset after an answer is treated as a close.
         match stream.read(&mut answer[length..]).await {
             Ok(0) | Err(_) => break,
             Ok(read) => length += read,
@@ -25,12 +25,14 @@
     Ok(String::from_utf8_lossy(&answer[..length]).to_string())
 }
 
+/// Checks that the daemon still serves requests.
 async fn still_serves(fleet: &Deployment) -> Result<()> {
     let call = CallerCall::service("/v1/sessions/unlock", DRIVERS, "still");
     assert_eq!(call.send(&caller_client(), &fleet.daemons[0].callers).await.end, CallerEnd::Whole);
     Ok(())
 }
 
+/// Returns status, reason and "may have run" of a refusal.
 fn reason(end: &CallerEnd) -> (u16, String, bool) {
     match end {
         CallerEnd::Refused { status, reason, may_have_run, .. } => {
@@ -59,12 +61,12 @@
 #[actix_rt::test]
 async fn preference_sets_the_deadline() -> Result<()> {
     let fleet = ready_fleet("preference", 1, 0, 1).await?;
-    // 2,000 tokens at 2 ms cannot be done within a second.
+    // 2,000 tokens at 2 ms each take longer than a second.
     let call =
         CallerCall::engine("/v1/assistant/ask", DEPOTS, "n", "x", 2_000).header("Prefer", "wait=1");
     let record = call.send(&caller_client(), &fleet.daemons[0].callers).await;
     assert_eq!(reason(&record.end), (503, "deadline_unreachable".to_string(), false));
-    assert!(ledgers(&fleet).await?.is_empty(), "no prefill is spent on it");
+    assert!(ledgers(&fleet).await?.is_empty(), "the engine does not process its prompt");
     Ok(())
 }
 
@@ -75,7 +77,8 @@
     let head = format!(
         "POST /v1/sessions/unlock HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {DRIVERS}\r\n"
     );
-    let announced = raw(entry, format!("{head}Content-Length: 2000000\r\n\r\n").as_bytes()).await?;
+    let announced =
+        send_raw(entry, format!("{head}Content-Length: 2000000\r\n\r\n").as_bytes()).await?;
     assert!(announced.starts_with("HTTP/1.1 413"), "{announced}");
     assert!(announced.contains("body_too_large"), "{announced}");
     let mut chunked = format!("{head}Transfer-Encoding: chunked\r\n\r\n").into_bytes();
@@ -85,7 +88,7 @@
         chunked.extend_from_slice(b"\r\n");
     }
     let mut stream = TcpStream::connect(entry).await?;
-    // The entry may close before it has read everything.
+    // The daemon may close the connection before it has read everything.
     let _ = stream.write_all(&chunked).await;
     wait_until("the refusal is counted", || async {
         let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await.unwrap_or_default();
@@ -106,35 +109,35 @@
 )]
 #[case::long_headers([b"GET / HTTP/1.1\r\nX: ".to_vec(), vec![b'a'; 300_000], b"\r\n\r\n".to_vec()].concat())]
 #[actix_rt::test]
-async fn malformed_requests_end_only_their_connection(#[case] bytes: Vec<u8>) -> Result<()> {
+async fn malformed_request_closes_only_its_connection(#[case] bytes: Vec<u8>) -> Result<()> {
     let fleet = ready_fleet("malformed", 0, 1, 1).await?;
-    let answer = raw(&fleet.daemons[0].callers, &bytes).await?;
+    let answer = send_raw(&fleet.daemons[0].callers, &bytes).await?;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     still_serves(&fleet).await
 }
 
 #[actix_rt::test]
-async fn slow_heads_are_cut_off() -> Result<()> {
+async fn slow_request_head_times_out() -> Result<()> {
     let fleet = ready_fleet("slow-head", 0, 1, 1).await?;
     let answer =
-        raw(&fleet.daemons[0].callers, b"POST /v1/sessions/unlock HTTP/1.1\r\nHost:").await?;
+        send_raw(&fleet.daemons[0].callers, b"POST /v1/sessions/unlock HTTP/1.1\r\nHost:").await?;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 408"), "{answer}");
     still_serves(&fleet).await
 }
 
 #[actix_rt::test]
-async fn caller_that_leaves_frees_its_place() -> Result<()> {
+async fn caller_that_disconnects_frees_its_slot() -> Result<()> {
     let fleet = ready_fleet("leaves", 1, 1, 2).await?;
     let entry = fleet.daemons[0].callers.clone();
     let mut tasks = Vec::new();
-    // Four stream, four wait.
+    // Four requests stream, four wait.
     for index in 0..8 {
         let entry = entry.clone();
         let call =
             CallerCall::engine("/v1/assistant/ask", DEPOTS, &format!("n{index}"), "x", 3_000);
         tasks.push(actix_rt::spawn(async move { call.send(&caller_client(), &entry).await }));
     }
-    wait_until("four run", || async {
+    wait_until("four requests run", || async {
         ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 4)
     })
     .await?;
@@ -156,7 +159,7 @@
 }
 
 #[actix_rt::test]
-async fn large_uploads_stream_through_whole() -> Result<()> {
+async fn large_upload_reaches_the_engine_whole() -> Result<()> {
     let fleet = ready_fleet("upload", 1, 0, 1).await?;
     let prompt = "contract ".repeat(200_000);
     let call = CallerCall::engine("/v1/assistant/ask", DEPOTS, "n", &prompt, 5)
@@ -198,7 +201,7 @@
         &configuration(&fleet, "", "prompt_token_us = 1\n").replace("prompt_token_us = 20\n", ""),
     )?;
     let entry = &fleet.daemons[0].callers;
-    // Some ten megabytes, far more than the buffers on the way hold.
+    // The answer has some ten megabytes, far more than the buffers between engine and caller hold.
     let body = "{\"prompt\":\"x\",\"max_tokens\":400000,\"nonce\":\"stalled\"}";
     let head = format!(
         "POST /v1/assistant/ask HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {DEPOTS}\r\n\
@@ -207,18 +210,18 @@
     );
     let mut stream = TcpStream::connect(entry).await?;
     stream.write_all(head.as_bytes()).await?;
-    wait_until("it runs", || async {
+    wait_until("the request runs", || async {
         ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
     })
     .await?;
-    wait_until("the caller is given up", || async {
+    wait_until("the stalled caller is counted", || async {
         let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await.unwrap_or_default();
         metrics.contains("curlewcleat_callers_stalled_total 1")
     })
     .await?;
     wait_status(&fleet.daemons[0].operators, "no requests", |status| status["requests"] == 0)
         .await?;
-    // What was sent ends without the last chunk, so the caller cannot take it for whole.
+    // The answer ends without the last chunk, so that the caller cannot mistake it for complete.
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
     assert!(!rest.ends_with(b"0\r\n\r\n"));
@@ -239,7 +242,7 @@
     stream.write_all(head.as_bytes()).await?;
     let mut answer = Vec::new();
     let mut part = [0u8; 64];
-    // Small reads; the engine is far ahead of them.
+    // Reads in small parts, so that the engine is far ahead.
     while let Ok(length) = stream.read(&mut part).await {
         if length == 0 {
             break;
--- a/crates/acceptance/tests/lives.rs
+++ b/crates/acceptance/tests/lives.rs
@@ -1,5 +1,5 @@
-//! An engine that starts again under its id: what a real daemon sends to it, and what it says of requests
-//! that were on their way to the earlier life.
+//! An engine that restarts under the same id: what a real daemon sends to it, and how the daemon answers requests that
+//! were in flight to the earlier instance.
 
 use std::time::Duration;
 
@@ -14,14 +14,16 @@
 use curlewcleat_targets::{collect, ConnectionPool};
 use serde_json::json;
 
-const PACE: Duration = Duration::from_millis(10);
-const ID: &str = "i-0";
-/// Starts of two lives.
-const FIRST: u64 = 1_764_720_000_000;
-const SECOND: u64 = FIRST + 5_000;
-/// Time in which a watched entry is in use at a daemon.
-const SEEN: Duration = Duration::from_millis(400);
+/// Time that the engine takes for a record.
+const RECORD_TIME: Duration = Duration::from_millis(10);
+const ENGINE_ID: &str = "i-0";
+/// Start times of two instances of the engine, in milliseconds since 1970.
+const FIRST_START_MS: u64 = 1_764_720_000_000;
+const SECOND_START_MS: u64 = FIRST_START_MS + 5_000;
+/// Time within which a daemon applies a watched list entry.
+const APPLY_TIME: Duration = Duration::from_millis(400);
 
+/// Sends one request on a new connection and returns the status of the answer.
 async fn send(daemon: &str, path: &str, attempt: &str) -> Result<u16> {
     let mut head = RequestHead::default();
     head.method = Method::POST;
@@ -42,19 +44,19 @@
     Ok(status)
 }
 
-/// The engine writes its entry.
+/// Writes the list entry of the engine.
 fn announce(fleet: &FleetDeployment, start: u64, address: &str, state: &str) {
     let entry = json!({"backend": "records", "address": address, "zone": "here", "slots": 4,
         "state": state, "sequence": 1, START: start});
-    fleet.store.put(SERVERS, ID, entry);
+    fleet.store.put(SERVERS, ENGINE_ID, entry);
 }
 
-/// Daemons that are ready, and one engine in its first life.
+/// Starts daemons and one engine in its first instance, and waits until the daemons serve records.
 async fn ready(name: &str, daemons: usize) -> Result<FleetDeployment> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
-    fleet.engine("records", 0, PACE).await?;
-    announce(&fleet, FIRST, &fleet.engine_addresses[0], "ready");
+    fleet.engine("records", 0, RECORD_TIME).await?;
+    announce(&fleet, FIRST_START_MS, &fleet.engine_addresses[0], "ready");
     fleet.daemons(daemons, "config_age_limit = 1500ms").await?;
     for daemon in &fleet.daemons {
         wait_until("readiness", || async {
@@ -69,38 +71,39 @@
     Ok(fleet)
 }
 
-/// An engine that had stated `draining` and started again under its id was sent nothing until its daemon
-/// ended, since a target that leaves never stays after all.
+/// Guards against an engine that reported `draining` and restarted under its id, and received no request until the
+/// daemon restarted, because a leaving target never becomes usable again.
 #[actix_rt::test]
-async fn engine_that_left_is_used_once_it_has_started_again() -> Result<()> {
-    // The third daemon learns of engines by way of the others.
+async fn engine_that_left_is_used_after_it_restarted() -> Result<()> {
+    // The third daemon receives the list of engines from the others.
     let fleet = ready("lives-left", 3).await?;
     let address = fleet.engine_addresses[0].clone();
-    announce(&fleet, FIRST, &address, "draining");
-    tokio::time::sleep(SEEN * 3).await;
+    announce(&fleet, FIRST_START_MS, &address, "draining");
+    tokio::time::sleep(APPLY_TIME * 3).await;
     for daemon in &fleet.daemons {
         assert_eq!(send(&daemon.callers, "/once/a", "left").await?, 503);
     }
-    announce(&fleet, SECOND, &address, "ready");
+    announce(&fleet, SECOND_START_MS, &address, "ready");
     for daemon in &fleet.daemons {
-        wait_until("the later life is used", || async {
+        wait_until("the later instance is used", || async {
             send(&daemon.callers, "/again/x", "anew").await.is_ok_and(|status| status == 200)
         })
         .await?;
     }
-    // The earlier life writes its entry late.
-    announce(&fleet, FIRST, "127.0.0.1:1", "draining");
-    tokio::time::sleep(SEEN * 3).await;
+    // A late write of the list entry by the earlier instance.
+    announce(&fleet, FIRST_START_MS, "127.0.0.1:1", "draining");
+    tokio::time::sleep(APPLY_TIME * 3).await;
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         assert_eq!(send(&daemon.callers, "/once/a", &format!("late-{index}")).await?, 200);
     }
     Ok(())
 }
 
-/// The request reached the earlier life, which ran it and ended without an answer; the later life at the
-/// same address declines whatever comes. That is no promise about the request.
+/// The request reached the earlier instance, which ran it and ended without an answer; the later instance at the same
+/// address declines all requests. This does not prove that the request did not run.
 #[actix_rt::test]
-async fn request_to_the_earlier_life_is_not_proved_not_run_by_the_later_one() -> Result<()> {
+async fn later_instance_that_declines_does_not_prove_that_the_earlier_one_ran_nothing() -> Result<()>
+{
     let fleet = ready("lives-once", 1).await?;
     let entry = fleet.daemons[0].callers.clone();
     let engine = fleet.engines[0].clone();
@@ -111,7 +114,7 @@
     })
     .await?;
     engine.always(EngineStep::Decline);
-    announce(&fleet, SECOND, &fleet.engine_addresses[0], "ready");
+    announce(&fleet, SECOND_START_MS, &fleet.engine_addresses[0], "ready");
     let status = sent.await??;
     assert!(matches!(status, 502 | 504), "{status}");
     let runs = engine.runs();
--- a/crates/acceptance/tests/operators.rs
+++ b/crates/acceptance/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: the tool, its exit codes, checked settings, status and metrics.
+//! The interfaces for operators: the tool and its exit codes, the check of settings, status and metrics.
 
 use std::ffi::OsStr;
 use std::os::unix::ffi::OsStrExt;
@@ -14,7 +14,7 @@
                       \n[rule r]\npath = v1\ntier = none\npool = p\nspeed = 3\n\n[cluster c]\nx = 1\n";
 
 #[actix_rt::test]
-async fn check_names_every_fault_at_once() -> Result<()> {
+async fn check_reports_every_fault_at_once() -> Result<()> {
     let fleet = Deployment::start("check").await?;
     let path = fleet.write_file("faulty.ini", FAULTY)?;
     let (code, output) = fleet.tool(&["check", &path])?;
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// Files are known by their names, so that one without a readable name cannot be put in force.
+/// A configuration file is identified by its name, so a file whose name is not UTF-8 cannot be applied.
 #[actix_rt::test]
 async fn file_without_a_readable_name_is_refused() -> Result<()> {
     let fleet = Deployment::start("unreadable-name").await?;
@@ -63,7 +63,7 @@
 #[actix_rt::test]
 async fn faulty_files_are_never_applied() -> Result<()> {
     let fleet = ready_fleet("never-applied", 0, 1, 1).await?;
-    // Right in itself, and wrong together with what is in force.
+    // The file is valid by itself, but not together with the configuration in force.
     let path =
         fleet.write_file("more.ini", "[rule more]\npath = /x\ntier = none\npool = sessions\n")?;
     let (code, output) = fleet.tool(&["apply", &path])?;
@@ -74,7 +74,7 @@
 }
 
 #[actix_rt::test]
-async fn diff_and_show_tell_what_is_in_force() -> Result<()> {
+async fn diff_and_show_print_what_is_in_force() -> Result<()> {
     let fleet = ready_fleet("show", 1, 1, 2).await?;
     let text = configuration(&fleet, "", "");
     let path = fleet.write_file("all.ini", &text)?;
@@ -103,7 +103,7 @@
 }
 
 #[actix_rt::test]
-async fn wait_names_the_daemons_that_are_behind() -> Result<()> {
+async fn wait_lists_the_daemons_that_are_behind() -> Result<()> {
     let fleet = ready_fleet("behind", 0, 1, 2).await?;
     fleet.daemons[1].process.signal("STOP")?;
     let path = fleet.write_file("more.ini", "[tier more]\nrank = 9\n")?;
@@ -116,7 +116,7 @@
 }
 
 #[actix_rt::test]
-async fn platform_out_of_reach_has_its_own_exit_code() -> Result<()> {
+async fn unreachable_platform_has_its_own_exit_code() -> Result<()> {
     let mut fleet = Deployment::start("out-of-reach").await?;
     fleet.platform.kill();
     let path = fleet.write_file("more.ini", "[tier more]\nrank = 9\n")?;
@@ -192,7 +192,7 @@
 }
 
 #[actix_rt::test]
-async fn nothing_is_applied_that_cannot_be_waited_for() -> Result<()> {
+async fn apply_with_wait_and_no_daemons_applies_nothing() -> Result<()> {
     let fleet = Deployment::start("no-daemons").await?;
     let path = fleet.write_file("a.ini", "[tier a]\nrank = 0\n")?;
     let (code, output) = fleet.tool(&["apply", &path, "--wait"])?;
--- a/crates/acceptance/tests/pairs.rs
+++ b/crates/acceptance/tests/pairs.rs
@@ -1,4 +1,4 @@
-//! Overload and faults that come together, on real processes under an open-loop load.
+//! Overload and faults at the same time, on real processes under an open-loop load.
 
 use std::time::Duration;
 
@@ -13,8 +13,9 @@
 /// Seed of the loads; printed with each failure.
 const SEED: u64 = 7;
 
-/// Unlocks, roadside and review requests; `rate` scales the two that share the engines. Eight slots
-/// at 2 ms a token, 3.2 ms with the timer's grain, do about 48 requests of 52 tokens a second.
+/// Returns a load of unlock, roadside and review requests; `rate` is the sum of the rates of the two streams that
+/// share the engines. Eight slots at 2 ms a token, 3.2 ms with the timer's granularity, run about 48 requests of 52
+/// tokens a second.
 fn plan(rate: f64) -> LoadPlan {
     let stream =
         |tier: &str, path: &str, token: &str, rate_per_s: f64, timeout_s: u64| LoadStream {
@@ -41,7 +42,8 @@
     }
 }
 
-async fn judged(
+/// Checks the answers of the callers against the records of the targets, and prints a report.
+async fn check_and_report(
     fleet: &Deployment,
     plan: &LoadPlan,
     records: &[CallerRecord],
@@ -68,7 +70,7 @@
     let fleet = ready_fleet("burst", 2, 1, 3).await?;
     let plan = plan(145.0);
     let records = plan.run(&entries(&fleet)).await;
-    let report = judged(&fleet, &plan, &records).await?;
+    let report = check_and_report(&fleet, &plan, &records).await?;
     for tier in ["start-stop", "roadside"] {
         assert_eq!(
             report.tiers[tier].refusals.len(),
@@ -78,12 +80,12 @@
         );
     }
     let review: u64 = report.tiers["review"].refusals.values().sum();
-    assert!(review > 0, "an overload sheds the lowest tier");
+    assert!(review > 0, "the overload sheds requests of the lowest tier");
     Ok(())
 }
 
 #[actix_rt::test]
-async fn entry_dies_in_a_platform_outage_under_load() -> Result<()> {
+async fn entry_daemon_killed_in_a_platform_outage_under_load_stops_no_other_daemon() -> Result<()> {
     let mut fleet = ready_fleet("outage-and-death", 2, 1, 3).await?;
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
     let plan = plan(45.0);
@@ -94,9 +96,9 @@
     .await?;
     fleet.daemons[0].process.kill();
     let records = load.await?;
-    judged(&fleet, &plan, &records).await?;
-    // Calls go to the entries in turn. Whatever needed no key of the dead daemon was served by the
-    // living ones, although the platform was down all the time.
+    check_and_report(&fleet, &plan, &records).await?;
+    // Calls go to the daemons in turn. The two running daemons served every request that needed no key of the killed
+    // one, although the platform was down all the time.
     for (index, record) in records.iter().enumerate().filter(|(index, _)| index % 3 != 0) {
         let served = record.end == CallerEnd::Whole;
         assert!(served || record.tier == "start-stop", "{index} {record:?}, seed {SEED}");
@@ -105,7 +107,7 @@
 }
 
 #[actix_rt::test]
-async fn scheduler_freezes_while_targets_cut_and_refuse() -> Result<()> {
+async fn suspended_scheduler_and_faulty_targets_cause_no_false_verdict() -> Result<()> {
     let fleet = ready_fleet("freeze-and-cut", 2, 2, 3).await?;
     let plan = plan(45.0);
     let load = begin(&plan, &fleet);
@@ -125,6 +127,6 @@
     .await?;
     fleet.daemons[1].process.signal("CONT")?;
     let records = load.await?;
-    judged(&fleet, &plan, &records).await?;
+    check_and_report(&fleet, &plan, &records).await?;
     Ok(())
 }
--- a/crates/acceptance/tests/path.rs
+++ b/crates/acceptance/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: files applied by the tool reach two daemons, and requests pass through each.
+//! The whole path: configuration files applied by the tool reach two daemons, and requests pass through each of them.
 
 use anyhow::Result;
 use curlewcleat_acceptance::{ready_fleet, DEPOTS, DRIVERS};
@@ -6,7 +6,7 @@
 use curlewcleat_standins::verdicts::{disagreements, ledgers};
 
 #[actix_rt::test]
-async fn stream_and_unlock_pass_through_each_daemon() -> Result<()> {
+async fn each_daemon_serves_a_stream_and_an_unlock() -> Result<()> {
     let fleet = ready_fleet("path", 2, 1, 2).await?;
     let client = caller_client();
     let mut records = Vec::new();
@@ -32,21 +32,21 @@
 }
 
 #[actix_rt::test]
-async fn unknown_token_and_path_are_refused_with_reason() -> Result<()> {
+async fn unknown_token_and_path_are_refused_with_their_reason() -> Result<()> {
     let fleet = ready_fleet("refused", 0, 1, 1).await?;
     let client = caller_client();
     let entry = &fleet.daemons[0].callers;
-    let stranger =
+    let unknown_token =
         CallerCall::service("/v1/sessions/unlock", "nobody", "n1").send(&client, entry).await;
-    let lost = CallerCall::service("/v1/nowhere", DRIVERS, "n2").send(&client, entry).await;
+    let unknown_path = CallerCall::service("/v1/nowhere", DRIVERS, "n2").send(&client, entry).await;
     let refused = |record: &curlewcleat_standins::callers::CallerRecord| match &record.end {
         CallerEnd::Refused { status, reason, may_have_run, .. } => {
             (*status, reason.clone(), *may_have_run)
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(refused(&stranger), (401, "unauthorized".to_string(), false));
-    assert_eq!(refused(&lost), (404, "no_rule".to_string(), false));
+    assert_eq!(refused(&unknown_token), (401, "unauthorized".to_string(), false));
+    assert_eq!(refused(&unknown_path), (404, "no_rule".to_string(), false));
     assert!(ledgers(&fleet).await?.is_empty());
     Ok(())
 }
--- a/crates/acceptance/tests/platform.rs
+++ b/crates/acceptance/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform down, slow, forgetful or old, operators who race, lists that lag.
+//! A platform that is down or slow, loses answers or returns old versions, concurrent operators, and lists that lag.
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
@@ -12,14 +12,14 @@
     CallerCall::engine("/v1/assistant/ask", DEPOTS, nonce, "how much", 5)
 }
 
-/// Two files that are in force together: everything, and one account more.
+/// Returns the text of a second configuration file with one more account.
 fn extra_account(name: &str) -> String {
     let digit = name.len() % 10;
     format!("[account {name}]\ntoken_sha256 = {}\n", digit.to_string().repeat(64))
 }
 
 #[actix_rt::test]
-async fn daemon_without_configuration_refuses_and_starts_when_the_platform_returns() -> Result<()> {
+async fn daemon_without_configuration_refuses_until_the_platform_is_back() -> Result<()> {
     let mut fleet = Deployment::start("started-in-outage").await?;
     fleet.target("engine", &[]).await?;
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
@@ -42,27 +42,28 @@
 }
 
 #[actix_rt::test]
-async fn daemon_born_in_an_outage_gets_configuration_and_keys_from_its_peers() -> Result<()> {
+async fn daemon_started_in_an_outage_receives_configuration_and_key_table_from_peers() -> Result<()>
+{
     let mut fleet = ready_fleet("from-peers", 1, 1, 2).await?;
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
     fleet.daemons(1).await?;
-    let newborn = &fleet.daemons[2];
-    wait_status(&newborn.operators, "the configuration", |status| status["generation"] == 1)
+    let started = &fleet.daemons[2];
+    wait_status(&started.operators, "the configuration", |status| status["generation"] == 1)
         .await?;
-    wait_status(&newborn.operators, "the key table", |status| status["key_table"] == 1).await?;
-    assert_eq!(ask("n").send(&caller_client(), &newborn.callers).await.end, CallerEnd::Whole);
+    wait_status(&started.operators, "the key table", |status| status["key_table"] == 1).await?;
+    assert_eq!(ask("n").send(&caller_client(), &started.callers).await.end, CallerEnd::Whole);
     let unlock =
         CallerCall::service("/v1/sessions/unlock", DRIVERS, "u").header("Idempotency-Key", "k");
-    assert_eq!(unlock.send(&caller_client(), &newborn.callers).await.end, CallerEnd::Whole);
+    assert_eq!(unlock.send(&caller_client(), &started.callers).await.end, CallerEnd::Whole);
     Ok(())
 }
 
 #[actix_rt::test]
-async fn old_version_moves_nobody_back() -> Result<()> {
+async fn old_version_sets_no_daemon_back() -> Result<()> {
     let mut fleet = ready_fleet("old-version", 1, 1, 2).await?;
     fleet.apply("extra.ini", &extra_account("one"))?;
     fleet.fault(&fleet.platform.address, json!({"old_versions": true})).await?;
-    // A daemon that starts again reads the old version first, then hears the newer one from its peer.
+    // The restarted daemon reads the old version first, then receives the newer one from its peer.
     fleet.restart(0).await?;
     wait_status(&fleet.daemons[0].operators, "generation 2", |status| status["generation"] == 2)
         .await?;
@@ -73,9 +74,9 @@
 }
 
 #[actix_rt::test]
-async fn lost_answer_of_an_apply_is_cleared_up() -> Result<()> {
+async fn apply_with_lost_answers_takes_effect_once() -> Result<()> {
     let fleet = ready_fleet("lost-answer", 1, 1, 1).await?;
-    // The content's answer is lost, then the manifest's.
+    // The answer to the write of the content is lost, then the one to the write of the manifest.
     fleet.fault(&fleet.platform.address, json!({"lose_answers": 2})).await?;
     fleet.apply("extra.ini", &extra_account("one"))?;
     let (_, history) = fleet.tool(&["history", "--json"])?;
@@ -85,7 +86,7 @@
 }
 
 #[actix_rt::test]
-async fn slow_platform_delays_configuration_and_not_requests() -> Result<()> {
+async fn slow_platform_does_not_delay_requests() -> Result<()> {
     let fleet = ready_fleet("slow", 1, 1, 2).await?;
     fleet.fault(&fleet.platform.address, json!({"slow_ms": 700})).await?;
     assert_eq!(
@@ -97,17 +98,17 @@
 }
 
 #[actix_rt::test]
-async fn operators_race_on_one_file_and_on_two() -> Result<()> {
+async fn concurrent_applies_conflict_on_one_file_only() -> Result<()> {
     let fleet = ready_fleet("race", 1, 1, 1).await?;
-    let ours = fleet.write_file("extra.ini", &extra_account("one"))?;
-    // Somebody who read generation 1 finds that extra.ini has changed since.
+    let path = fleet.write_file("extra.ini", &extra_account("one"))?;
+    // An operator who read generation 1 is told that extra.ini has changed since then.
     fleet.apply("extra.ini", &extra_account("three"))?;
-    std::fs::write(&ours, extra_account("one"))?;
+    std::fs::write(&path, extra_account("one"))?;
     let (code, output) =
-        fleet.tool(&["apply", &ours, "--expect-generation", "1", "--operator", "late"])?;
+        fleet.tool(&["apply", &path, "--expect-generation", "1", "--operator", "late"])?;
     assert_eq!(code, 3, "{output}");
     assert!(output.contains("conflict: extra.ini was changed by"), "{output}");
-    // Many at once, each with a file of its own: all take effect.
+    // Six operators at the same time, each with a different file: all changes take effect.
     let mut children = Vec::new();
     for index in 0..6 {
         let name = format!("account{}", "x".repeat(index));
@@ -124,14 +125,14 @@
 }
 
 #[actix_rt::test]
-async fn leaving_target_gets_no_new_work_under_load() -> Result<()> {
+async fn leaving_target_receives_no_new_requests_under_load() -> Result<()> {
     let fleet = ready_fleet("leaving", 2, 1, 2).await?;
     fleet.list_vms(&["entry-0", "entry-1", "target-0", "target-1", "target-2"], &[]).await?;
     let long = CallerCall::engine("/v1/assistant/ask", DEPOTS, "long", "x", 600);
     let entry = fleet.daemons[0].callers.clone();
     let long = actix_rt::spawn(async move { long.send(&caller_client(), &entry).await });
     wait_until("the long stream runs", || async {
-        ledgers(&fleet).await.is_ok_and(|l| l.len() == 1)
+        ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
     })
     .await?;
     let mut leaver = 0;
@@ -160,7 +161,7 @@
     }
     let after =
         get_json(&fleet.targets[leaver].address, "/_ledger").await?.as_array().map_or(0, Vec::len);
-    assert_eq!(before, after, "the leaving target got new work");
+    assert_eq!(before, after, "the leaving target received new requests");
     assert_eq!(long.await?.end, CallerEnd::Whole, "the stream in progress finishes");
     Ok(())
 }
@@ -173,7 +174,7 @@
 #[actix_rt::test]
 async fn cut_reads_of_the_platform_are_read_again(#[case] cuts: u64) -> Result<()> {
     let mut fleet = ready_fleet("cut-reads", 1, 1, 1).await?;
-    // A file that is right in each of its halves, so that only its length or hash tells of a cut.
+    // Each half of the file is valid by itself, so that only its length or hash reveals that it was cut.
     let text: String = (3..13).map(|rank| format!("[tier x{rank}]\nrank = {rank}\n\n")).collect();
     fleet.apply("more.ini", &text)?;
     fleet.fault(&fleet.platform.address, json!({"cut_reads": cuts})).await?;
--- a/crates/acceptance/tests/reserved_headers.rs
+++ b/crates/acceptance/tests/reserved_headers.rs
@@ -1,8 +1,9 @@
-//! Headers with which only a daemon orders a target about. A caller that set them took a slot and memory of
-//! a target before all that waited, made targets copy memory to an address of its choice, and had sound
-//! targets refuse: 649 of 3,093 requests that arrived at targets in 34 s were refused there, and the log
-//! showed `attempt_failed` with `target_not_started` for each. Cause: every header that the daemon did not
-//! set itself was passed on.
+//! Reserved headers, with which only a daemon may control a target.
+//!
+//! Guards against a daemon that forwards every header that it doesn't set itself. A caller that set reserved headers
+//! took a slot and memory of a target ahead of all waiting requests, made targets copy memory to an address of its
+//! choice, and made working targets decline requests: 649 of 3,093 requests that received_by_target at targets in 34 s
+//! were declined there, and the log showed `attempt_failed` with `target_not_started` for each.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends a request with further header lines as they are written, and reads until its connection closes.
+/// Sends a request with additional header lines, which are not changed, and reads the first part of the answer.
 async fn call(entry: &str, attempt: &str, lines: &str) -> Result<String> {
     let request = format!(
         "POST /once/a HTTP/1.1\r\nHost: {HOST}\r\n{}: {attempt}\r\n{}: 4000\r\n\
@@ -29,8 +30,8 @@
     Ok(String::from_utf8_lossy(&answer[..length]).to_string())
 }
 
-/// What the target got of a request with these header lines.
-async fn arrived(name: &str, lines: &str) -> Result<EngineRun> {
+/// Returns the request that the target received for a request with these header lines.
+async fn received_by_target(name: &str, lines: &str) -> Result<EngineRun> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     fleet.engine("records", 0, Duration::from_millis(1)).await?;
@@ -43,7 +44,7 @@
     let answer = call(&entry, "t", lines).await?;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let runs = fleet.engines[0].runs();
-    Ok(runs.into_iter().rfind(|run| run.attempt == "t").expect("the request arrived"))
+    Ok(runs.into_iter().rfind(|run| run.attempt == "t").expect("the target received the request"))
 }
 
 #[rstest]
@@ -56,19 +57,19 @@
 #[case::lower_case("x-hold: h-1\r\n", "x-hold")]
 #[case::upper_case("X-KV-BACKUP: 10.0.0.1:80\r\n", "x-kv-backup")]
 #[case::repeated("X-Hold: h-1\r\nX-Hold: h-2\r\n", "x-hold")]
-#[case::named_as_an_option_of_the_connection("Connection: x-hold\r\nX-Hold: h-1\r\n", "x-hold")]
+#[case::connection_option("Connection: x-hold\r\nX-Hold: h-1\r\n", "x-hold")]
 #[actix_rt::test]
-async fn reserved_header_of_a_caller_ends_at_the_daemon(
+async fn reserved_header_of_a_caller_is_not_forwarded(
     #[case] lines: &str,
     #[case] header: &str,
 ) -> Result<()> {
     let name = format!("reserved-{}-{}", header, lines.len());
-    let run = arrived(&name, lines).await?;
+    let run = received_by_target(&name, lines).await?;
     assert!(!run.headers.contains_key(header), "{:?}", run.headers);
     Ok(())
 }
 
-/// What the daemon sets itself is its own, whatever a caller writes.
+/// Headers that the daemon sets replace those of the caller.
 #[rstest]
 #[case::instance("X-Expect-Instance: i-9\r\n", WIRE_PROFILE.instance, "i-0")]
 #[case::account("X-Tenant: depots\r\n", WIRE_PROFILE.account, "drivers")]
@@ -76,12 +77,12 @@
 #[case::attempt("Connection: close, X-Attempt-Id\r\n", WIRE_PROFILE.attempt_id, "t")]
 #[case::other_header("X-Color: blue\r\n", "x-color", "blue")]
 #[actix_rt::test]
-async fn header_of_the_daemon_is_what_the_target_gets(
+async fn header_set_by_the_daemon_reaches_the_target(
     #[case] lines: &str,
     #[case] header: &str,
     #[case] expected: &str,
 ) -> Result<()> {
-    let run = arrived(&format!("set-{}-{}", header, lines.len()), lines).await?;
+    let run = received_by_target(&format!("set-{}-{}", header, lines.len()), lines).await?;
     assert_eq!(run.headers.get(header).map(String::as_str), Some(expected));
     Ok(())
 }
--- a/crates/acceptance/tests/silent_targets.rs
+++ b/crates/acceptance/tests/silent_targets.rs
@@ -1,12 +1,15 @@
-//! A stream was cut in the middle of its answer, though its target was at work and its caller had seven seconds left.
-//! The daemon had been told to stop a second before the stream came. The stream's first target paused for longer
-//! than twice the latency objective; the daemon left it and took the stream up at a second target. That one had it in
-//! its queue and said nothing for as long again, so the daemon left it too. The rule allowed two attempts: there was
-//! nothing to turn to, and an answer that has begun can then only be cut.
+//! Targets that pause or begin late.
 //!
-//! What settled it: the second target was left 601 ms after the request had reached it, for an objective of 300 ms, and
-//! the caller's connection closed with it, which leaves no time to ask a scheduler on another VM. The log of the first
-//! case below, before the repair:
+//! Guards against a daemon that abandons a target although no other one can take the request. A stream was cut in the
+//! middle of its answer while its target was working and seven seconds of its timeout remained; the planned stop of
+//! the daemon had begun a second before the request arrived. The first target paused for longer than twice the latency
+//! objective, and the daemon resumed the stream at a second target. That one had the request in its queue and sent
+//! nothing for the same time, so the daemon abandoned it too. The rule allowed two attempts, so no target remained,
+//! and an answer that has begun can then only be cut.
+//!
+//! The second target was abandoned 601 ms after the request had reached it, with an objective of 300 ms, and the
+//! caller's connection was closed at the same time, which is too early to request a permit from a scheduler on another
+//! VM. The log of the first case below was:
 //!
 //! ```text
 //! attempt_failed  target=i-0 reason=stream_resumed cause=part_timeout silent_ms=1001 parts=3 answer_begun=true
@@ -16,7 +19,8 @@
 //! answer_cut      target=i-1 offset=51 reason=connect_failed
 //! ```
 //!
-//! The same limit cut streams whose only target paused, and where the retry budget was spent (`bound=budget`).
+//! The same limit cut streams whose only target paused, and streams for which the retry budget was used up
+//! (`bound=budget`).
 
 use std::time::Duration;
 
@@ -31,19 +35,20 @@
 use futures_util::StreamExt;
 use rstest::rstest;
 
-const PACE: Duration = Duration::from_millis(5);
+/// Time that an engine takes for an event of a stream or for a record.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 const EVENTS: u64 = 8;
-/// Events before a target pauses.
-const BEFORE: u64 = 3;
-/// Longer than twice the objective of 500 ms, shorter than what the callers here have left.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Longer than any caller here waits.
-const FOR_GOOD: Duration = Duration::from_secs(60);
-/// Room for retries, and none.
-const ROOM: &str = "retry_saved = 100\nretry_ratio = 0.5";
-const NO_ROOM: &str = "retry_saved = 0\nretry_ratio = 0";
+/// Events that a target sends before it pauses.
+const EVENTS_BEFORE: u64 = 3;
+/// Longer than twice the objective of 500 ms, shorter than the timeout of the requests here.
+const LONG_PAUSE: Duration = Duration::from_millis(1_500);
+/// Longer than the timeout of any request here.
+const ENDLESS_PAUSE: Duration = Duration::from_secs(60);
+/// Retry budgets that allow retries, and none.
+const RETRIES: &str = "retry_saved = 100\nretry_ratio = 0.5";
+const NO_RETRIES: &str = "retry_saved = 0\nretry_ratio = 0";
 
-/// Status of an answer, its text, and whether it ended as whole.
+/// Sends one request; returns the status of the answer, its text, and whether it was complete.
 async fn call(entry: &str, path: &str, attempt: &str) -> Result<(u16, String, bool)> {
     let mut head = actix_http::RequestHead::default();
     head.method = actix_http::Method::POST;
@@ -70,12 +75,12 @@
     Ok((answer.head.status.as_u16(), String::from_utf8_lossy(&bytes).to_string(), whole))
 }
 
-/// One daemon before so many targets, which serve.
+/// Starts one daemon and its targets, and waits until each target has served a request.
 async fn ready(name: &str, pool: &str, targets: usize, bounds: &str) -> Result<FleetDeployment> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..targets {
-        fleet.engine(pool, EVENTS, PACE).await?;
+        fleet.engine(pool, EVENTS, EVENT_INTERVAL).await?;
     }
     fleet.daemons(1, bounds).await?;
     let daemon = &fleet.daemons[0];
@@ -92,82 +97,92 @@
     Ok(fleet)
 }
 
-/// Waits until the attempt runs, then sets what each target does with further requests.
-async fn then_always(fleet: &FleetDeployment, attempt: &str, step: EngineStep) -> Result<()> {
+/// Waits until the attempt runs, then sets how all targets handle further requests.
+async fn set_steps_when_running(
+    fleet: &FleetDeployment,
+    attempt: &str,
+    step: EngineStep,
+) -> Result<()> {
     let runs = || fleet.engines.iter().flat_map(|engine| engine.runs());
     wait_until("the attempt runs", || async { runs().any(|run| run.attempt == attempt) }).await?;
     fleet.engines.iter().for_each(|engine| engine.always(step));
     Ok(())
 }
 
-/// The first target pauses for good. The second one is the last that the rule allows: it takes long to begin, or
-/// pauses after it began; the daemon serves, or was told to stop.
+/// The first target pauses and never continues. The second attempt is the last that the rule allows: its target begins
+/// late, or pauses after it began. In one case a planned stop of the daemon begins meanwhile.
 #[rstest]
-#[case::late("late", EngineStep::Late(SILENCE), false)]
-#[case::late_at_a_planned_stop("late-stop", EngineStep::Late(SILENCE), true)]
-#[case::paused("paused", EngineStep::Pause(BEFORE, SILENCE), false)]
+#[case::late("late", EngineStep::Late(LONG_PAUSE), false)]
+#[case::late_at_a_planned_stop("late-stop", EngineStep::Late(LONG_PAUSE), true)]
+#[case::paused("paused", EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE), false)]
 #[actix_rt::test]
-async fn last_target_that_may_be_asked_is_waited_for(
+async fn target_of_the_last_allowed_attempt_is_waited_for(
     #[case] name: &str,
     #[case] step: EngineStep,
     #[case] stops: bool,
 ) -> Result<()> {
-    let fleet = ready(&format!("last-{name}"), "engines", 2, ROOM).await?;
+    let fleet = ready(&format!("last-{name}"), "engines", 2, RETRIES).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Pause(BEFORE, FOR_GOOD)));
-    let began = async {
-        then_always(&fleet, "t", step).await?;
+    fleet
+        .engines
+        .iter()
+        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE)));
+    let changed = async {
+        set_steps_when_running(&fleet, "t", step).await?;
         if stops {
             fleet.daemons[0].process.signal("TERM")?;
         }
         anyhow::Ok(())
     };
-    let (answer, began) = tokio::join!(call(entry, "/resumed/stream/a", "t"), began);
-    began?;
+    let (answer, changed) = tokio::join!(call(entry, "/resumed/stream/a", "t"), changed);
+    changed?;
     assert_eq!(answer?, (200, FleetEngine::expected_stream("t", EVENTS), true));
     Ok(())
 }
 
-/// A target pauses in its answer and there is no other one, or no room in the retry budget.
+/// A target pauses within its answer, and there is no other target, or the retry budget allows no attempt.
 #[rstest]
-#[case::no_other_target("alone", 1, ROOM)]
-#[case::no_room_for_retries("budget", 2, NO_ROOM)]
+#[case::no_other_target("alone", 1, RETRIES)]
+#[case::no_retry_budget("budget", 2, NO_RETRIES)]
 #[actix_rt::test]
-async fn target_that_pauses_is_not_left_where_no_other_takes_its_stream(
+async fn paused_target_is_not_abandoned_where_no_other_can_resume(
     #[case] name: &str,
     #[case] targets: usize,
     #[case] bounds: &str,
 ) -> Result<()> {
     let fleet = ready(&format!("paused-{name}"), "engines", targets, bounds).await?;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Pause(BEFORE, SILENCE)));
+    fleet
+        .engines
+        .iter()
+        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE)));
     let answer = call(&fleet.daemons[0].callers, "/resumed/stream/a", "t").await?;
     assert_eq!(answer, (200, FleetEngine::expected_stream("t", EVENTS), true));
     Ok(())
 }
 
-/// The same before an answer begins: a record that takes long at the only target that there is.
+/// The only target begins its answer late.
 #[actix_rt::test]
 async fn late_record_of_the_only_target_is_delivered() -> Result<()> {
-    let fleet = ready("late-record", "records", 1, ROOM).await?;
-    fleet.engines[0].always(EngineStep::Late(SILENCE));
+    let fleet = ready("late-record", "records", 1, RETRIES).await?;
+    fleet.engines[0].always(EngineStep::Late(LONG_PAUSE));
     let (status, _, whole) = call(&fleet.daemons[0].callers, "/again/a", "t").await?;
     assert_eq!((status, whole), (200, true));
     Ok(())
 }
 
-/// The only target breaks a stream off once and would serve the rest. A refusal could only cut the answer, so it is
-/// asked again.
+/// The only target closes the connection within a stream once, and would serve the rest. Without another attempt the
+/// answer could only be cut, so the stream is resumed at the same target.
 #[actix_rt::test]
-async fn only_target_that_breaks_off_once_serves_the_rest() -> Result<()> {
-    let fleet = ready("off-once", "engines", 1, ROOM).await?;
-    fleet.engines[0].next(EngineStep::Break(BEFORE));
+async fn stream_interrupted_by_its_only_target_is_resumed_there() -> Result<()> {
+    let fleet = ready("off-once", "engines", 1, RETRIES).await?;
+    fleet.engines[0].next(EngineStep::Break(EVENTS_BEFORE));
     let answer = call(&fleet.daemons[0].callers, "/resumed/stream/a", "t").await?;
     assert_eq!(answer, (200, FleetEngine::expected_stream("t", EVENTS), true));
     Ok(())
 }
 
-/// The other target is granted and takes no connection. The silent one was left before that was known, and the answer
-/// was cut a millisecond later:
+/// Guards against abandoning a paused target before the connection to the other granted target is established. That
+/// target accepted no connection, and the answer was cut a millisecond later:
 ///
 /// ```text
 /// attempt_failed target=i-0 reason=stream_resumed cause=part_timeout silent_ms=1002 parts=3 answer_begun=true
@@ -176,13 +191,14 @@
 /// answer_cut     target=i-dead offset=51 reason=connect_failed
 /// ```
 #[actix_rt::test]
-async fn silent_target_is_not_left_for_one_that_takes_no_connection() -> Result<()> {
-    let fleet = ready("no-connection", "engines", 1, ROOM).await?;
-    fleet.engines[0].next(EngineStep::Pause(BEFORE, SILENCE));
+async fn paused_target_is_not_abandoned_for_one_that_accepts_no_connection() -> Result<()> {
+    let fleet = ready("no-connection", "engines", 1, RETRIES).await?;
+    fleet.engines[0].next(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE));
     let unused = free_address()?;
     let announced = async {
         let runs = || fleet.engines[0].runs();
-        wait_until("it runs", || async { runs().iter().any(|run| run.attempt == "t") }).await?;
+        wait_until("the request runs", || async { runs().iter().any(|run| run.attempt == "t") })
+            .await?;
         fleet.announce("i-dead", "engines", &unused, READY)
     };
     let entry = &fleet.daemons[0].callers;
@@ -192,17 +208,20 @@
     Ok(())
 }
 
-/// What has to stay: a target that says nothing any more is left while another one takes the stream.
+/// A target that never continues is abandoned while another one resumes the stream.
 #[actix_rt::test]
-async fn target_that_is_silent_for_good_is_left_for_another_one() -> Result<()> {
-    let fleet = ready("for-good", "engines", 2, ROOM).await?;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Pause(BEFORE, FOR_GOOD)));
-    let served = then_always(&fleet, "t", EngineStep::Serve);
-    let begun = std::time::Instant::now();
+async fn target_that_never_continues_is_abandoned_for_another_one() -> Result<()> {
+    let fleet = ready("for-good", "engines", 2, RETRIES).await?;
+    fleet
+        .engines
+        .iter()
+        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE)));
+    let served = set_steps_when_running(&fleet, "t", EngineStep::Serve);
+    let started = std::time::Instant::now();
     let entry = &fleet.daemons[0].callers;
     let (answer, served) = tokio::join!(call(entry, "/resumed/stream/a", "t"), served);
     served?;
     assert_eq!(answer?, (200, FleetEngine::expected_stream("t", EVENTS), true));
-    assert!(begun.elapsed() < Duration::from_millis(2_500), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(2_500), "{:?}", started.elapsed());
     Ok(())
 }
--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -1,4 +1,4 @@
-//! Daemons whose platform comes back from an older copy, in which its revisions are given out again.
+//! The platform is restored from an older copy of its store, so that it assigns revisions a second time.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,16 +22,17 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Bounds of a daemon that has to prove its configuration.
-const PROVED: &str = "config_age_limit = 1500ms";
-/// Time within which all daemons are to know that a target leaves.
+/// Bounds that require a daemon to prove the age of its configuration.
+const BOUNDS: &str = "config_age_limit = 1500ms";
+/// Time within which all daemons must know that a target is leaving.
 const LEAVE_LIMIT: Duration = Duration::from_millis(2_000);
-/// Time within which an entry that is missing after an outage may come back, and its engine is used.
-const COME_BACK: Duration = Duration::from_millis(2_000);
-/// How long the platform is away before it comes back from its copy.
-const AWAY: Duration = Duration::from_millis(300);
+/// Time within which a list entry that is missing after an outage may reappear while its engine is still used.
+const REAPPEAR_LIMIT: Duration = Duration::from_millis(2_000);
+/// Duration of the outage before the platform is restored from its copy.
+const OUTAGE: Duration = Duration::from_millis(300);
 const ENGINES: usize = 3;
 
+/// Sends one request on a new connection and returns the status of the answer.
 async fn send(daemon: &str, attempt: &str) -> Result<u16> {
     let mut head = RequestHead::default();
     head.method = Method::POST;
@@ -51,19 +52,20 @@
     Ok(answer.head.status.as_u16())
 }
 
-/// Daemons with three engines for records. The platform has a copy from before `lost` further changes.
+/// Starts daemons and three engines for records. The platform holds a copy from before the last `lost` changes, which
+/// a restore loses.
 async fn with_copy(name: &str, daemons: usize, lost: usize) -> Result<FleetDeployment> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..ENGINES {
         fleet.engine("records", 1, Duration::ZERO).await?;
     }
-    fleet.daemons(daemons, PROVED).await?;
+    fleet.daemons(daemons, BOUNDS).await?;
     fleet.peers_known().await?;
     fleet.store.take_copy();
     for change in 0..lost {
         fleet.store.put("others", "noted", json!({ "change": change }));
-        // A list is at the latest revision, a watch follows on changes of targets.
+        // A list has the latest revision; a watch advances only with changes of targets.
         fleet.announce("i-9", "records", &format!("127.0.0.1:{}", change + 1), "draining")?;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -73,15 +75,15 @@
     Ok(fleet)
 }
 
-/// The platform is away for a moment and comes back from its copy.
-async fn drill(fleet: &FleetDeployment) {
+/// Stops the platform for a moment and restores it from its copy.
+async fn restore_from_copy(fleet: &FleetDeployment) {
     fleet.store.set_outage(Some(StoreOutage::Closed));
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     fleet.store.restore_copy();
     fleet.store.set_outage(None);
 }
 
-/// Sends twenty requests to each daemon, whose attempts begin so.
+/// Sends twenty requests to each daemon, with attempt ids that begin with `name`.
 async fn send_all(fleet: &FleetDeployment, name: &str) -> Result<()> {
     for number in 0..20 {
         for daemon in &fleet.daemons {
@@ -91,25 +93,25 @@
     Ok(())
 }
 
-/// Requests that an engine ran whose attempt begins so.
+/// Returns the number of requests at an engine whose attempt ids begin with `name`.
 fn runs(fleet: &FleetDeployment, index: usize, name: &str) -> usize {
-    let begins = format!("{name}-");
-    fleet.engines[index].runs().iter().filter(|run| run.attempt.starts_with(&begins)).count()
+    let prefix = format!("{name}-");
+    fleet.engines[index].runs().iter().filter(|run| run.attempt.starts_with(&prefix)).count()
 }
 
-/// Lists of the platform that came back were taken for old ones, and a watch from a revision that it had reached again missed
-/// what had been written below.
+/// Guards against comparing revisions across a restore: lists of the restored platform were taken for older ones, and
+/// a watch from a revision that the platform had reached again missed the changes written below it.
 #[rstest]
 #[case::below_the_known_revision("below", 20, 0)]
-#[case::at_a_revision_given_out_again("again", 3, 10)]
+#[case::at_a_revision_assigned_again("again", 3, 10)]
 #[actix_rt::test]
-async fn engine_that_leaves_after_the_platform_came_back_from_a_copy_gets_nothing(
+async fn engine_that_leaves_after_a_restore_receives_no_requests(
     #[case] name: &str,
     #[case] lost: usize,
     #[case] written: usize,
 ) -> Result<()> {
     let fleet = with_copy(&format!("era-{name}"), 2, lost).await?;
-    drill(&fleet).await;
+    restore_from_copy(&fleet).await;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     fleet.store.remove(SERVERS, "i-1");
     for change in 0..written {
@@ -118,20 +120,20 @@
     tokio::time::sleep(LEAVE_LIMIT).await;
     send_all(&fleet, "late").await?;
     assert_eq!(runs(&fleet, 0, "late"), 0);
-    tokio::time::sleep(COME_BACK).await;
+    tokio::time::sleep(REAPPEAR_LIMIT).await;
     send_all(&fleet, "later").await?;
     let all: Vec<usize> = (0..ENGINES).map(|index| runs(&fleet, index, "later")).collect();
     assert_eq!(all, [0, 0, 40]);
     Ok(())
 }
 
-/// The second of two drills comes at once.
+/// A second restore follows immediately.
 #[actix_rt::test]
-async fn engine_that_leaves_after_two_drills_gets_nothing() -> Result<()> {
+async fn engine_that_leaves_after_two_restores_receives_no_requests() -> Result<()> {
     let fleet = with_copy("era-twice", 2, 12).await?;
-    drill(&fleet).await;
-    tokio::time::sleep(AWAY).await;
-    drill(&fleet).await;
+    restore_from_copy(&fleet).await;
+    tokio::time::sleep(OUTAGE).await;
+    restore_from_copy(&fleet).await;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     tokio::time::sleep(LEAVE_LIMIT).await;
     send_all(&fleet, "late").await?;
@@ -139,26 +141,26 @@
     Ok(())
 }
 
-/// The copy shows an engine as it was before it said that it leaves.
+/// The copy holds the entry of the engine from before it announced that it is leaving.
 #[actix_rt::test]
-async fn engine_that_said_before_a_drill_that_it_leaves_gets_nothing() -> Result<()> {
+async fn engine_that_announced_leaving_before_a_restore_receives_no_requests() -> Result<()> {
     let fleet = with_copy("era-forward", 2, 2).await?;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     tokio::time::sleep(LEAVE_LIMIT).await;
-    drill(&fleet).await;
+    restore_from_copy(&fleet).await;
     tokio::time::sleep(LEAVE_LIMIT).await;
     send_all(&fleet, "late").await?;
     assert_eq!(runs(&fleet, 0, "late"), 0);
     Ok(())
 }
 
-/// A client of the platform's store whose answers have this era header.
+/// Returns a client of a store whose answers carry these eras in their headers.
 async fn client_of(eras: &'static [&'static str]) -> Result<FleetClient> {
     let address = serve_here(Rc::new(EraStore { eras, calls: Cell::new(0) })).await?;
     Ok(FleetClient::new(&address, Duration::from_secs(1)))
 }
 
-/// Answers lists with nothing in them, the first call with the first era, the last one with all further calls.
+/// Answers with empty lists: the first call with the first era, and so on; the last era holds for all further calls.
 struct EraStore {
     eras: &'static [&'static str],
     calls: Cell<usize>,
@@ -191,19 +193,19 @@
 #[case::negative(&["-1"], None)]
 #[case::too_large(&["70000"], None)]
 #[actix_rt::test]
-async fn list_is_at_the_era_of_its_answer(
+async fn list_has_the_era_of_its_answer(
     #[case] eras: &'static [&'static str],
     #[case] expected: Option<(u16, u64)>,
 ) -> Result<()> {
     let list = client_of(eras).await?.list_targets(ListAge::Newest).await;
-    let place = list.ok().map(|list| StorePlace::of(list.revision));
-    assert_eq!(place.map(|place| (place.era, place.revision)), expected);
+    let position = list.ok().map(|list| StorePlace::of(list.revision));
+    assert_eq!(position.map(|position| (position.era, position.revision)), expected);
     Ok(())
 }
 
-/// An answer that was on its way when the platform came back says nothing.
+/// An answer sent before the restore and received after it is rejected.
 #[actix_rt::test]
-async fn answer_of_an_earlier_era_is_none() -> Result<()> {
+async fn answer_of_an_earlier_era_is_rejected() -> Result<()> {
     let client = client_of(&["2", "1", "2"]).await?;
     client.list_targets(ListAge::Newest).await?;
     assert!(matches!(client.list_targets(ListAge::Newest).await, Err(Error::Protocol(_))));
@@ -212,9 +214,9 @@
     Ok(())
 }
 
-/// A list that may be seconds old may be one of the era before: a watch does not begin at its revision.
+/// A list that may be seconds old may belong to the previous era, so a watch does not begin at its revision.
 #[actix_rt::test]
-async fn old_list_is_at_the_era_before() -> Result<()> {
+async fn old_list_has_the_previous_era() -> Result<()> {
     let client = client_of(&["2"]).await?;
     let list = client.list_targets(ListAge::Seconds).await?;
     assert_eq!(StorePlace::of(list.revision).era, 1);
--- a/crates/acceptance/tests/suspended.rs
+++ b/crates/acceptance/tests/suspended.rs
@@ -1,9 +1,11 @@
-//! A machine was suspended for seconds under a daemon. The clock by which the daemon counted ages does not count such
-//! time, so that it took its proof that its configuration was the newest for as young as before, and went on to accept
-//! keys that had been taken away meanwhile; requests were held for as long again beyond their callers' time.
+//! A machine is suspended for seconds while a daemon runs on it.
 //!
-//! The daemon runs in this process, on a clock that jumps while the runtime's timers do not. On the clock that does
-//! not count a suspension the first case was served (200) in place of refused, and the second one held for 3 s.
+//! Guards against ages measured on a clock that stops during a suspension. The proof that the configuration is the
+//! newest then seems as young as before, and the daemon accepts keys that have been removed meanwhile; requests are
+//! held beyond their deadline for the time of the suspension. On such a clock the first case was served (200) instead
+//! of refused, and the second one was held for 3 s.
+//!
+//! The daemon runs in this process, on a clock that jumps while the timers of the runtime do not.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -23,10 +25,10 @@
 /// Time for which the machine was suspended, in milliseconds.
 static SUSPENDED: AtomicU64 = AtomicU64::new(0);
 const AGE_LIMIT: &str = "config_age_limit = 1500ms";
-/// A turn of the daemon's loop, and the way there and back.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// Time of one iteration of the daemon's loop and of the transfer to the daemon and back.
+const ANSWER_LIMIT: Duration = Duration::from_millis(500);
 
-/// The kernel's clock with the suspensions of a test.
+/// The kernel's clock plus the suspensions simulated by a test.
 struct JumpingClock;
 
 impl AgeClock for JumpingClock {
@@ -35,14 +37,15 @@
     }
 }
 
+/// Simulates a suspension of the machine.
 fn suspend(time: Duration) {
     SUSPENDED.fetch_add(time.as_millis() as u64, Ordering::SeqCst);
 }
 
-/// Status and problem reason or body.
+/// Sends a request on a new connection; returns the status and the body.
 async fn call(entry: &str, path: &str, attempt: &str) -> Result<(u16, String)> {
     let head = fleet_head(path, attempt)?;
-    // A connection of its own, on which nothing rests.
+    // No other request has used the connection.
     let connection = ConnectionPool::default().connect(entry, Duration::from_secs(2)).await?;
     let answer = connection.exchange(head, Bytes::from_static(b"b")).await?;
     let status = answer.head.status.as_u16();
@@ -50,7 +53,7 @@
     Ok((status, String::from_utf8_lossy(&text).to_string()))
 }
 
-/// Runs a daemon in a thread of this process.
+/// Starts a daemon in a thread of this process.
 fn run_here(place: &DaemonPlace) -> Result<()> {
     let path = place.settings.clone();
     let text = std::fs::read_to_string(&path)?;
@@ -64,10 +67,10 @@
     Ok(())
 }
 
-/// One test for all, since the clock is the process's.
+/// Runs both cases in one test, because the clock holds for the whole process.
 #[actix_rt::test]
-async fn suspended_time_counts() -> Result<()> {
-    install(Box::new(JumpingClock)).expect("the first clock");
+async fn suspended_time_counts_towards_ages_and_deadlines() -> Result<()> {
+    install(Box::new(JumpingClock)).expect("no other clock is installed");
     let mut fleet = FleetDeployment::start("suspended").await?;
     fleet.store_config()?;
     fleet.engine("records", 0, Duration::from_millis(5)).await?;
@@ -78,12 +81,12 @@
         call(&place.callers, "/again/1", "warm").await.is_ok_and(|(status, _)| status == 200)
     })
     .await?;
-    keys_are_not_accepted_on_an_old_proof(&fleet, &place).await?;
-    request_gets_its_answer_as_the_machine_wakes(&fleet, &place).await
+    key_is_refused_when_the_proof_is_too_old(&fleet, &place).await?;
+    expired_request_is_answered_when_the_machine_resumes(&fleet, &place).await
 }
 
-/// The store fails as the machine is suspended, so that nothing is proved anew.
-async fn keys_are_not_accepted_on_an_old_proof(
+/// The store stops answering before the suspension, so that the configuration cannot be proved again.
+async fn key_is_refused_when_the_proof_is_too_old(
     fleet: &FleetDeployment,
     place: &DaemonPlace,
 ) -> Result<()> {
@@ -99,24 +102,24 @@
     .await
 }
 
-/// Its engine says nothing, and its caller's time passes while the machine is suspended.
-async fn request_gets_its_answer_as_the_machine_wakes(
+/// The engine does not answer, and the deadline of the request passes while the machine is suspended.
+async fn expired_request_is_answered_when_the_machine_resumes(
     fleet: &FleetDeployment,
     place: &DaemonPlace,
 ) -> Result<()> {
     fleet.engines[0].next(EngineStep::Silent);
     let entry = place.callers.clone();
     let held = actix_rt::spawn(async move { call(&entry, "/once/1", "held").await });
-    wait_until("it runs", || async {
+    wait_until("the request runs", || async {
         fleet.engines[0].runs().iter().any(|run| run.attempt == "held" && run.ran)
     })
     .await?;
-    let woken = Instant::now();
+    let resumed = Instant::now();
     suspend(Duration::from_secs(4));
     let (status, text) = held.await??;
     assert!(matches!(status, 502 | 504), "{status} {text}");
-    assert!(woken.elapsed() < AT_ONCE, "{:?} {status} {text}", woken.elapsed());
-    let left = fleet.engines[0].runs().into_iter().filter(|run| run.attempt == "held");
-    assert_eq!(left.count(), 1, "it ran once");
+    assert!(resumed.elapsed() < ANSWER_LIMIT, "{:?} {status} {text}", resumed.elapsed());
+    let runs = fleet.engines[0].runs().into_iter().filter(|run| run.attempt == "held");
+    assert_eq!(runs.count(), 1, "the request ran once");
     Ok(())
 }
--- a/crates/acceptance/tests/target_leaving.rs
+++ b/crates/acceptance/tests/target_leaving.rs
@@ -1,10 +1,10 @@
-//! Engines said in all their answers that they leave, or asked a daemon for rest when they turned its request away, and got requests
-//! all the same. The platform's store was silent then, so that the list of engines stood still: one engine got requests 12.8
-//! seconds after its answers had told the daemon that it leaves. Another one had asked for three seconds of rest and got six
-//! requests from that daemon in them: a success at it in between wiped its failures out, and an engine that turns requests
-//! away is idle, which placement likes.
+//! Engines that report in their answers that they are leaving, or that request a rest when they decline a request.
 //!
-//! What settled it, once heads were logged:
+//! Guards against daemons that ignore these reports. While the platform's store did not answer, the list of engines
+//! did not change, and an engine still received requests 12.8 seconds after its answers had reported that it was
+//! leaving. Another engine had requested three seconds of rest and received six requests from the same daemon in this
+//! time: a success in between cleared its failures, and placement prefers idle engines, which an engine that declines
+//! requests is. The log then showed:
 //!
 //! ```text
 //! target_said    target=i-0 leaving=true rest_ms=-1 limit_per_s=-1
@@ -26,49 +26,51 @@
 
 use support::{call, entries, load, wait_served, OBJECTIVE};
 
-const PACE: Duration = Duration::from_millis(5);
+/// Time that an engine takes for an event of a stream or for a record.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 const DAEMONS: usize = 3;
-/// Asks for no account, so that it is served while the store is silent.
-const OPEN: &str = "/once/open/a";
-const STREAM: &str = "/plain/stream/a";
-/// Time after which a daemon that was told sends no more to an engine that leaves: the users' bound.
-const DRAIN: Duration = Duration::from_secs(2);
-/// Rest that an engine asks for.
+/// Needs no account, so that requests to it are served while the store does not answer.
+const OPEN_PATH: &str = "/once/open/a";
+const STREAM_PATH: &str = "/plain/stream/a";
+/// Time after which a daemon that received the report sends no more requests to a leaving engine: the required bound.
+const LEAVE_LIMIT: Duration = Duration::from_secs(2);
+/// Rest that an engine requests.
 const REST: Duration = Duration::from_secs(3);
-/// Time of the rest in which requests may be on their way, and those that may come after it: the users' bounds.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
+/// Time from the beginning of a rest in which requests may still be on their way: the required bound.
+const IN_FLIGHT_LIMIT: Duration = Duration::from_millis(500);
+/// Requests that may reach the engine in the remaining rest: the required bound.
 const ALLOWED: usize = 2;
-/// Turns in which an engine turns one request away and serves the next.
-const TURNS: usize = 200;
-/// Part by which returns may be spread beyond the time that is told.
-const SPREAD: f64 = 1.25;
+/// Times that an engine declines one request and serves the next.
+const ROUNDS: usize = 200;
+/// Factor by which `Retry-After` may exceed the remaining rest, because retries are spread.
+const RETRY_SPREAD: f64 = 1.25;
 
 async fn ready(name: &str, pool: &str, path: &str, engines: usize) -> Result<FleetDeployment> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..engines {
-        fleet.engine(pool, 3, PACE).await?;
+        fleet.engine(pool, 3, EVENT_INTERVAL).await?;
     }
     fleet.daemons(DAEMONS, "retry_saved = 100\nretry_ratio = 0.5").await?;
     wait_served(&fleet, path).await?;
     Ok(fleet)
 }
 
-/// When requests of a daemon reached an engine.
+/// Returns the times at which requests of a daemon reached an engine.
 fn arrived(engine: &FleetEngine, daemon: usize) -> Vec<Instant> {
     let prefix = format!("{daemon}-");
     let runs = engine.runs().into_iter().filter(|run| run.attempt.starts_with(&prefix));
     runs.filter_map(|run| run.begun).collect()
 }
 
-/// The store is silent, so that the answers alone tell that the engine leaves.
+/// The store does not answer, so that only the answers report that the engine is leaving.
 #[rstest]
-#[case::records("records", OPEN, EngineStep::Serve)]
-#[case::answers_that_break_off("records", OPEN, EngineStep::Twice)]
-#[case::refusals("records", OPEN, EngineStep::Decline)]
-#[case::failures("records", OPEN, EngineStep::Fail(500))]
+#[case::records("records", OPEN_PATH, EngineStep::Serve)]
+#[case::answered_twice("records", OPEN_PATH, EngineStep::Twice)]
+#[case::refusals("records", OPEN_PATH, EngineStep::Decline)]
+#[case::failures("records", OPEN_PATH, EngineStep::Fail(500))]
 #[actix_rt::test]
-async fn engine_that_says_that_it_leaves_gets_no_more(
+async fn engine_whose_answers_report_leaving_receives_no_more_requests(
     #[case] pool: &str,
     #[case] path: &'static str,
     #[case] step: EngineStep,
@@ -78,44 +80,45 @@
     let engine = &fleet.engines[0];
     engine.always(step);
     engine.says(&[(WIRE_PROFILE.leaving, "1")]);
-    load(entries(&fleet), path, DRAIN).await;
+    load(entries(&fleet), path, LEAVE_LIMIT).await;
     let since = Instant::now();
     let results = load(entries(&fleet), path, Duration::from_secs(3)).await;
     for daemon in 0..DAEMONS {
-        let told = arrived(engine, daemon).first().copied();
+        let reported = arrived(engine, daemon).first().copied();
         let late = arrived(engine, daemon).into_iter().filter(|at| *at >= since).count();
-        assert!(told.is_none() || late == 0, "{late} from daemon {daemon}");
+        assert!(reported.is_none() || late == 0, "{late} requests from daemon {daemon}");
     }
-    let unserved = results.iter().filter(|got| got.status != 200).count();
+    let unserved = results.iter().filter(|result| result.status != 200).count();
     assert_eq!(unserved, 0, "of {}: the other engine serves all", results.len());
     Ok(())
 }
 
-/// Most requests that a daemon sent to an engine within a rest that it was asked for; each refusal asks for one.
+/// Returns the highest number of requests that a daemon sent to an engine during a rest. Each declined request begins
+/// one.
 fn most_in_rest(engine: &FleetEngine, daemon: usize) -> usize {
     let prefix = format!("{daemon}-");
     let runs = engine.runs().into_iter().filter(|run| !run.ran && run.attempt.starts_with(&prefix));
-    let refused: Vec<Instant> = runs.filter_map(|run| run.begun).collect();
+    let declined: Vec<Instant> = runs.filter_map(|run| run.begun).collect();
     let arrived = arrived(engine, daemon);
     let within = |from: &Instant| {
-        let rest = *from + ON_THEIR_WAY..*from + REST;
+        let rest = *from + IN_FLIGHT_LIMIT..*from + REST;
         arrived.iter().filter(|at| rest.contains(at)).count()
     };
-    refused.iter().map(within).max().unwrap_or(0)
+    declined.iter().map(within).max().unwrap_or(0)
 }
 
-/// Each engine turns every second request away.
+/// Each engine declines every second request.
 #[rstest]
 #[case::records("records", "/again/a")]
-#[case::streams("engines", STREAM)]
+#[case::streams("engines", STREAM_PATH)]
 #[actix_rt::test]
-async fn engine_that_asks_for_rest_gets_it(
+async fn engine_that_requests_a_rest_receives_few_requests(
     #[case] pool: &str,
     #[case] path: &'static str,
 ) -> Result<()> {
     let fleet = ready(&format!("rest-{pool}"), pool, path, 2).await?;
     for engine in &fleet.engines {
-        for _ in 0..TURNS {
+        for _ in 0..ROUNDS {
             engine.next(EngineStep::Rest(REST));
             engine.next(EngineStep::Serve);
         }
@@ -124,35 +127,35 @@
     for engine in &fleet.engines {
         for daemon in 0..DAEMONS {
             let most = most_in_rest(engine, daemon);
-            assert!(most <= ALLOWED, "{most} from daemon {daemon}");
+            assert!(most <= ALLOWED, "{most} requests from daemon {daemon}");
         }
     }
     Ok(())
 }
 
-/// All engines rest: callers hear when one is back, and are served once it is.
+/// All engines rest: callers are told when to retry, and are served when the rest is over.
 #[actix_rt::test]
-async fn callers_hear_when_all_engines_rest() -> Result<()> {
+async fn callers_learn_when_to_retry_where_all_engines_rest() -> Result<()> {
     let path = "/again/a";
     let fleet = ready("rest-all", "records", path, 2).await?;
     fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Rest(REST)));
-    let results = load(entries(&fleet), path, REST - ON_THEIR_WAY).await;
-    for got in &results {
-        assert_eq!(got.status, 503, "{got:?}");
-        assert!(got.took < OBJECTIVE, "held: {got:?}");
-        let wait = got.retry_after.unwrap_or_default();
-        assert!(wait > 0.0 && wait <= REST.as_secs_f64() * SPREAD, "{got:?}");
+    let results = load(entries(&fleet), path, REST - IN_FLIGHT_LIMIT).await;
+    for result in &results {
+        assert_eq!(result.status, 503, "{result:?}");
+        assert!(result.elapsed < OBJECTIVE, "held: {result:?}");
+        let wait = result.retry_after.unwrap_or_default();
+        assert!(wait > 0.0 && wait <= REST.as_secs_f64() * RETRY_SPREAD, "{result:?}");
     }
     for engine in &fleet.engines {
         for daemon in 0..DAEMONS {
             let most = most_in_rest(engine, daemon);
-            assert!(most <= ALLOWED, "{most} from daemon {daemon}");
+            assert!(most <= ALLOWED, "{most} requests from daemon {daemon}");
         }
         engine.always(EngineStep::Serve);
     }
     for daemon in &fleet.daemons {
         wait_until("served again", || async {
-            call(&daemon.callers, path, "again").await.is_ok_and(|got| got.status == 200)
+            call(&daemon.callers, path, "again").await.is_ok_and(|result| result.status == 200)
         })
         .await?;
     }
--- a/crates/acceptance/tests/targets.rs
+++ b/crates/acceptance/tests/targets.rs
@@ -1,5 +1,4 @@
-//! Targets that fail in every way that the stand-ins can play: what callers are told is true, and
-//! nothing runs twice.
+//! Targets with every fault that the stand-ins can simulate: callers receive true verdicts, and no request runs twice.
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
@@ -17,6 +16,7 @@
     CallerCall::engine("/v1/assistant/ask", DEPOTS, nonce, "how much", 20)
 }
 
+/// Returns the reason of a refusal and whether the request may have run.
 fn refusal(record: &CallerRecord) -> (String, bool) {
     match &record.end {
         CallerEnd::Refused { reason, may_have_run, .. } => (reason.clone(), *may_have_run),
@@ -24,11 +24,13 @@
     }
 }
 
+/// Returns the number of requests that ran at the targets.
 async fn runs(fleet: &Deployment) -> Result<usize> {
     Ok(ledgers(fleet).await?.len())
 }
 
-async fn agree(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
+/// Checks that the answers of the callers agree with the records of the targets.
+async fn check_agreement(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
     assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
@@ -36,7 +38,7 @@
 #[rstest]
 #[case::stalled(json!({"stalls": 1}), "first_byte_timeout", 1)]
 #[case::closed_after_the_run(json!({"close_after_read": 1}), "target_closed", 1)]
-#[case::closed_under_a_written_request(json!({"close_pooled": 1}), "target_closed", 0)]
+#[case::closed_after_the_request_was_written(json!({"close_pooled": 1}), "target_closed", 0)]
 #[actix_rt::test]
 async fn unanswered_service_call_may_have_run_and_is_not_sent_again(
     #[case] faults: Value,
@@ -59,28 +61,31 @@
     assert_eq!(refusal(&record), (reason.to_string(), true));
     let victims = ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
     assert_eq!(victims, expected_runs);
-    // The same key again, while the switches of the other target are still set.
+    // The same key again, while the fault of the other target is still set.
     let again = unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
     assert_eq!(refusal(&again), ("key_may_have_run".to_string(), true));
-    agree(&fleet, &[record, again]).await
+    check_agreement(&fleet, &[record, again]).await
 }
 
 #[actix_rt::test]
-async fn cut_service_answer_is_cut_for_the_caller_too() -> Result<()> {
+async fn cut_service_answer_is_not_complete_for_the_caller() -> Result<()> {
     let fleet = ready_fleet("cut-service", 0, 1, 1).await?;
     let client = caller_client();
     fleet.fault(&fleet.targets[0].address, json!({"cuts": 1, "cut_bytes": 10})).await?;
     let record = unlock("cut").send(&client, &fleet.daemons[0].callers).await;
     assert_eq!(record.end, CallerEnd::Broken);
     assert_eq!(runs(&fleet).await?, 1);
-    agree(&fleet, &[record]).await
+    check_agreement(&fleet, &[record]).await
 }
 
 #[rstest]
 #[case::resumed("", CallerEnd::Whole)]
 #[case::not_resumable("resumable = no", CallerEnd::Broken)]
 #[actix_rt::test]
-async fn cut_stream_is_resumed_or_cut(#[case] lines: &str, #[case] end: CallerEnd) -> Result<()> {
+async fn cut_stream_is_resumed_where_allowed(
+    #[case] lines: &str,
+    #[case] end: CallerEnd,
+) -> Result<()> {
     let fleet = ready_fleet("cut-stream", 1, 1, 1).await?;
     if !lines.is_empty() {
         let text = configuration(&fleet, "", "").replace("resumable = yes", lines);
@@ -90,12 +95,12 @@
     fleet.fault(&fleet.targets[0].address, json!({"cuts": 1, "cut_bytes": 100})).await?;
     let record = ask("cut").send(&client, &fleet.daemons[0].callers).await;
     assert_eq!(record.end, end);
-    assert_eq!(runs(&fleet).await?, 1, "a resumption runs nothing again");
-    agree(&fleet, &[record]).await
+    assert_eq!(runs(&fleet).await?, 1, "a resumed stream does not run again");
+    check_agreement(&fleet, &[record]).await
 }
 
 #[actix_rt::test]
-async fn stream_without_its_end_event_is_not_whole() -> Result<()> {
+async fn stream_without_its_end_event_is_not_complete() -> Result<()> {
     let fleet = ready_fleet("end-event", 1, 1, 1).await?;
     let text =
         configuration(&fleet, "", "").replace("end_event = [DONE]", "end_event = [FINISHED]");
@@ -120,11 +125,11 @@
     let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await?;
     assert!(metrics.contains("curlewcleat_retries_total{reason=\"connect_failed\"}"));
     assert!(!metrics.contains("curlewcleat_retries_total{reason=\"connect_failed\"} 0\n"));
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn no_target_left_is_refused_as_not_run() -> Result<()> {
+async fn request_without_a_reachable_target_is_refused_as_not_run() -> Result<()> {
     let mut fleet = ready_fleet("no-target", 0, 1, 1).await?;
     fleet.targets[0].kill();
     let client = caller_client();
@@ -144,16 +149,16 @@
     fleet.fault(&fleet.targets[1].address, json!({"not_started": 1})).await?;
     let record = unlock("n").send(&caller_client(), &fleet.daemons[0].callers).await;
     let (reason, may_have_run) = match &record.end {
-        CallerEnd::Whole => return agree(&fleet, &[record]).await,
+        CallerEnd::Whole => return check_agreement(&fleet, &[record]).await,
         _ => refusal(&record),
     };
-    // Both targets said that they did not start it, and both are avoided from then on.
+    // Both targets reported that they did not start it, so both are avoided by further attempts.
     assert_eq!((reason.as_str(), may_have_run), ("target_not_started", false));
-    agree(&fleet, &[record]).await
+    check_agreement(&fleet, &[record]).await
 }
 
 #[actix_rt::test]
-async fn second_answer_on_a_connection_reaches_nobody() -> Result<()> {
+async fn second_answer_on_a_connection_reaches_no_caller() -> Result<()> {
     let fleet = ready_fleet("doubles", 0, 1, 1).await?;
     fleet.fault(&fleet.targets[0].address, json!({"doubles": 3})).await?;
     let client = caller_client();
@@ -163,11 +168,11 @@
     }
     let wrong = records.iter().filter(|record| matches!(record.end, CallerEnd::Wrong(_))).count();
     assert_eq!(wrong, 0);
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn redirect_is_passed_on_and_not_followed() -> Result<()> {
+async fn redirect_is_forwarded_and_not_followed() -> Result<()> {
     let fleet = ready_fleet("redirects", 0, 1, 1).await?;
     fleet.fault(&fleet.targets[0].address, json!({"redirects": 1})).await?;
     let record = unlock("n").send(&caller_client(), &fleet.daemons[0].callers).await;
@@ -187,14 +192,14 @@
     for record in &records {
         assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
     }
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[rstest]
 #[case::in_time(json!({}), "taken")]
 #[case::too_late(json!({"report_lag_ms": 60_000}), "failed")]
 #[actix_rt::test]
-async fn reports_are_read_and_missing_ones_hold_nothing_up(
+async fn reports_are_read_and_late_ones_delay_no_request(
     #[case] faults: Value,
     #[case] result: &str,
 ) -> Result<()> {
--- a/crates/acceptance/tests/words.rs
+++ b/crates/acceptance/tests/words.rs
@@ -1,8 +1,8 @@
-//! The users' platform is known in its folder alone.
+//! Names of the users' platform occur in no product crate, only in the folder `platform`.
 
 use std::path::{Path, PathBuf};
 
-/// Words of the platform that stand in its folder, in tests and in the files of the deployment only.
+/// Names of the platform that may occur only in its folder, in tests and in the files of the deployment.
 const WORDS: [&str; 25] = [
     "x-attempt-id",
     "x-server-seal",
@@ -31,12 +31,13 @@
     "plain_tokens",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Collects the Rust files below a folder; folders of tests are left out.
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     let entries = std::fs::read_dir(folder).expect("a folder of the repository");
     for entry in entries.flatten() {
         let path = entry.path();
         if path.is_dir() && !path.ends_with("tests") {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -44,14 +45,14 @@
 }
 
 #[test]
-fn product_crates_name_nothing_of_the_platform() {
+fn product_crates_contain_no_name_of_the_platform() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the folder of the crates");
     let mut files = Vec::new();
-    sources(crates, &mut files);
+    collect_sources(crates, &mut files);
     assert!(files.len() > 100, "{} files", files.len());
     for file in files {
         let text = std::fs::read_to_string(&file).expect("a source").to_ascii_lowercase();
-        let named: Vec<&&str> = WORDS.iter().filter(|word| text.contains(**word)).collect();
-        assert!(named.is_empty(), "{} names {named:?}", file.display());
+        let found: Vec<&&str> = WORDS.iter().filter(|word| text.contains(**word)).collect();
+        assert!(found.is_empty(), "{} contains {found:?}", file.display());
     }
 }
