--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -1,7 +1,7 @@
-//! What users, operators and other daemons rely on, compared with files in `golden/`.
+//! Interfaces that users, operators and other daemons rely on, compared with files in `golden/`.
 //!
-//! A difference is either a mistake or a change of a public form. `UPDATE_GOLDEN=1` writes the files
-//! anew; the commit that does so says who is affected and how they migrate.
+//! A difference is either a mistake or a change of a public interface. `UPDATE_GOLDEN=1` rewrites the files; the
+//! commit that does so says who is affected and how they migrate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -29,7 +29,7 @@
 use serde_json::Value;
 use uuid::Uuid;
 
-/// Crates whose sources hold names that operators rely on.
+/// Crates whose sources contain names that operators rely on.
 const PRODUCT: [&str; 11] = [
     "crates/core",
     "crates/config",
@@ -44,11 +44,12 @@
     "platform",
 ];
 
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Compares a text with its golden file.
+/// Checks that a text equals its golden file, which is rewritten first if `UPDATE_GOLDEN` is set.
 fn assert_golden(name: &str, text: &str) -> Result<()> {
     let path = root().join("crates/acceptance/tests/golden").join(name);
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
@@ -108,7 +109,7 @@
     }
 }
 
-fn question() -> FreshnessQuery {
+fn freshness_query() -> FreshnessQuery {
     FreshnessQuery { incarnation: 7, sent: Duration::from_millis(42) }
 }
 
@@ -132,7 +133,7 @@
     ArchiveId { generation: 4, length: 600, checksum: 7 }
 }
 
-/// A peer message and what the golden file calls it.
+/// A peer message and its label in the golden file.
 type NamedMessage = (&'static str, PeerMessage);
 
 fn refusal(verdict: Verdict) -> Refusal {
@@ -143,7 +144,7 @@
     }
 }
 
-/// At least one message of each kind, and each variant of what messages carry.
+/// Returns at least one message of each kind, and each variant of the types within messages.
 fn messages() -> Vec<NamedMessage> {
     [
         state_messages(),
@@ -198,11 +199,11 @@
 
 fn freshness_messages() -> Vec<NamedMessage> {
     vec![
-        ("freshness question", PeerMessage::FreshnessQuery(question())),
+        ("freshness question", PeerMessage::FreshnessQuery(freshness_query())),
         (
             "freshness answer",
             PeerMessage::FreshnessAnswer(FreshnessAnswer {
-                query: question(),
+                query: freshness_query(),
                 age: Some(Duration::from_millis(70)),
                 generation: 4,
                 targets_at: 9,
@@ -226,7 +227,7 @@
     ]
 }
 
-/// Targets with the starts of their lives; one of them tells none.
+/// Returns messages about target instances, one with a start time and one without.
 fn target_life_messages() -> Vec<NamedMessage> {
     let mut started = target();
     started.entry.start = Some(TargetStart(1_764_720_000_123));
@@ -356,10 +357,10 @@
     ]
 }
 
-/// Each kind of break, and what does not count.
+/// Returns messages about suspected requests with each kind of interruption, counted and cleared, and a target notice.
 fn suspect_messages() -> Vec<NamedMessage> {
     let life = |id: &str| TargetLife { id: id.to_string(), start: Some(TargetStart(9)) };
-    let told = |id, kind, begun, ended| BreakReport {
+    let interruption = |id, kind, begun, ended| BreakReport {
         broke: RequestBreak { life: life(id), kind, begun },
         ended,
         age: Duration::from_millis(1_500),
@@ -367,8 +368,8 @@
     let report = SuspectReport {
         digest: RequestDigest::new([7; 32]),
         breaks: vec![
-            told("e-1", BreakKind::Closed, false, true),
-            told("e-2", BreakKind::Stalled, true, false),
+            interruption("e-1", BreakKind::Closed, false, true),
+            interruption("e-2", BreakKind::Stalled, true, false),
         ],
         cleared: vec![life("e-3")],
         stored: true,
@@ -398,7 +399,7 @@
         version: "v2".to_string(),
         time: Some(Duration::from_secs(12)),
     };
-    let news = RolloutNews {
+    let report = RolloutNews {
         name: "engines".to_string(),
         order,
         stage: RolloutStage::Move,
@@ -427,7 +428,7 @@
     vec![
         ("target versions pull", PeerMessage::TargetVersionsPull(9)),
         ("target versions", PeerMessage::TargetVersionsPush(versions)),
-        ("rollout news", PeerMessage::RolloutNews(news)),
+        ("rollout news", PeerMessage::RolloutNews(report)),
         ("rollout answers", PeerMessage::RolloutAnswers(answers)),
     ]
 }
@@ -442,7 +443,7 @@
         writeln!(text, "{name}: {hex}")?;
         assert_eq!(postcard::from_bytes::<PeerFrame>(&bytes)?, frame, "{name}");
     }
-    // The codes travel as numbers: their order is part of the form.
+    // Codes are encoded as numbers, so their order is part of the format.
     for reason in RefusalReason::ALL {
         writeln!(text, "refusal {}: {:?}", reason.code(), postcard::to_allocvec(reason)?)?;
     }
@@ -453,7 +454,7 @@
 }
 
 #[test]
-fn stored_objects_keep_their_form() -> Result<()> {
+fn stored_objects_keep_their_format() -> Result<()> {
     let manifest = ConfigManifest {
         generation: 2,
         files: BTreeMap::from([("a.ini".to_string(), "hash".to_string())]),
@@ -479,19 +480,21 @@
             targets: targets.to_vec(),
         },
     };
-    let strong = Object { spec: Daemon { capacity: 50, ..record.spec.clone() }, ..record.clone() };
+    let with_capacity =
+        Object { spec: Daemon { capacity: 50, ..record.spec.clone() }, ..record.clone() };
     let text = format!(
         "{MANIFEST_KEY}: {}\n{TABLE_KEY}: {}\nrecord of a daemon: {}\nwith its processor: {}\n\
          refused request: {}\n",
         serde_json::to_string(&manifest)?,
         serde_json::to_string(&table)?,
         serde_json::to_string(&record)?,
-        serde_json::to_string(&strong)?,
+        serde_json::to_string(&with_capacity)?,
         serde_json::to_string(&refused)?
     );
-    // The records of earlier versions do not tell the processor.
-    let earlier: Daemon = serde_json::from_str(r#"{"address":"10.0.0.2:8201","incarnation":7}"#)?;
-    assert_eq!(earlier.capacity, 0);
+    // Records of earlier versions do not contain the capacity.
+    let without_capacity: Daemon =
+        serde_json::from_str(r#"{"address":"10.0.0.2:8201","incarnation":7}"#)?;
+    assert_eq!(without_capacity.capacity, 0);
     assert_golden("stored-objects.txt", &text)
 }
 
@@ -507,11 +510,11 @@
 #[actix_rt::test]
 async fn checked_settings_keep_their_keys_and_defaults(
     #[case] kind: &str,
-    #[case] more: &str,
+    #[case] extra_settings: &str,
 ) -> Result<()> {
     let text = format!(
         "[vm]\nname = a\ndata_centre = d\n\n[callers]\naddress = 127.0.0.1:1\n\n[operators]\n\
-         address = 127.0.0.1:2\n\n[peers]\naddress = 127.0.0.1:3\n\n[platform]\naddress = 127.0.0.1:4\n{more}"
+         address = 127.0.0.1:2\n\n[peers]\naddress = 127.0.0.1:3\n\n[platform]\naddress = 127.0.0.1:4\n{extra_settings}"
     );
     let fleet = Deployment::start(&format!("golden-settings-{kind}")).await?;
     let path = fleet.write_file("daemon.ini", &text)?;
@@ -520,7 +523,7 @@
     assert_golden(&format!("settings-{kind}.txt"), &output)
 }
 
-/// Paths of all keys of a value, with `[]` for the members of a list.
+/// Collects the paths of all keys of a value, with `[]` for the members of a list.
 fn key_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -543,12 +546,12 @@
 async fn json_outputs_keep_their_keys() -> Result<()> {
     let fleet = ready_fleet("golden-json", 1, 1, 2).await?;
     let mut paths = BTreeSet::new();
-    // The targets of a pool stand in the status of the daemon that schedules it.
+    // Only the status of the daemon that schedules a pool contains its targets.
     for daemon in &fleet.daemons {
         key_paths(&get_json(&daemon.operators, "/status").await?, "/status", &mut paths);
     }
     fleet.list_vms(&["vm-1"], &["vm-2"]).await?;
-    // The platform shows a changed list only after a moment.
+    // The platform returns a changed list only after a moment.
     wait_until("the list of VMs", || async {
         fleet.tool(&["show", "vms", "--json"]).is_ok_and(|(_, output)| output.contains("vm-2"))
     })
@@ -575,16 +578,16 @@
         let arguments: Vec<&str> = command.split_whitespace().chain(["--help"]).collect();
         let (code, output) = fleet.tool(&arguments)?;
         writeln!(text, "curlewcleat {command}: exit {code}")?;
-        flags(&output, &mut text)?;
+        write_flags(&output, &mut text)?;
     }
     let (code, output) = fleet.daemon_program(&["--help"])?;
     writeln!(text, "curlewcleatd: exit {code}")?;
-    flags(&output, &mut text)?;
+    write_flags(&output, &mut text)?;
     assert_golden("flags.txt", &text)
 }
 
-/// Flags, arguments and commands of a help text: the lines that are indented by two spaces or six.
-fn flags(help: &str, text: &mut String) -> Result<()> {
+/// Writes the flags, arguments and commands of a help text, which are in lines indented by two or six spaces.
+fn write_flags(help: &str, text: &mut String) -> Result<()> {
     for line in help.lines() {
         let Some(name) = line.strip_prefix("  ") else { continue };
         let name = name.trim_start().split("  ").next().unwrap_or_default();
@@ -596,11 +599,12 @@
     Ok(())
 }
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
+/// Collects the Rust files below a folder.
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
         if path.is_dir() {
-            sources(&path, found)?;
+            collect_sources(&path, found)?;
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -608,7 +612,7 @@
     Ok(())
 }
 
-/// Names of the fields of a `kv: { ... }` list, up to its closing brace.
+/// Returns the names of the fields of a `kv: { ... }` list, up to its closing brace.
 fn field_names(list: &str) -> BTreeSet<String> {
     let mut fields = BTreeSet::new();
     let (mut depth, mut start) = (0, 0);
@@ -631,11 +635,11 @@
     fields
 }
 
-/// Log events with the fields that any place gives them.
+/// Returns all log events, each with all fields that it has anywhere in the sources.
 fn log_events() -> Result<BTreeMap<String, BTreeSet<String>>> {
     let mut files = Vec::new();
     for folder in PRODUCT {
-        sources(&root().join(folder).join("src"), &mut files)?;
+        collect_sources(&root().join(folder).join("src"), &mut files)?;
     }
     let mut events: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for file in files {
@@ -667,7 +671,7 @@
 #[test]
 fn metrics_keep_their_names() -> Result<()> {
     let mut paths = vec![root().join("crates/daemon/src/metrics.rs")];
-    sources(&root().join("crates/daemon/src/metrics"), &mut paths)?;
+    collect_sources(&root().join("crates/daemon/src/metrics"), &mut paths)?;
     let mut text = String::new();
     for path in paths {
         text += &std::fs::read_to_string(path)?;
@@ -682,7 +686,7 @@
 }
 
 #[test]
-fn deploy_files_and_examples_stay() -> Result<()> {
+fn deploy_files_and_examples_keep_their_content() -> Result<()> {
     let mut text = String::new();
     for folder in ["deploy", "examples/atlas", "examples/by-hand", "examples/sahel-volt"] {
         let mut paths: Vec<PathBuf> = std::fs::read_dir(root().join(folder))?
@@ -691,7 +695,7 @@
         paths.sort();
         for path in paths {
             if path.is_dir() {
-                // Day files; platform/tests/days.rs reads them all.
+                // platform/tests/days.rs reads all files in this folder.
                 assert_eq!(path, root().join("deploy/days"), "a folder that no test reads");
                 continue;
             }
--- a/crates/acceptance/tests/daemons.rs
+++ b/crates/acceptance/tests/daemons.rs
@@ -1,5 +1,5 @@
-//! Daemons that are killed, frozen, cut off or stopped: nothing runs twice, every verdict is true,
-//! and the rest of the fleet goes on.
+//! Daemons that are killed, suspended, disconnected from their peers or stopped: no request runs twice, every verdict
+//! is true, and the other daemons continue to serve.
 
 use std::time::Duration;
 
@@ -20,12 +20,13 @@
     CallerCall::engine("/v1/assistant/ask", DEPOTS, nonce, "how much", tokens)
 }
 
-async fn agree(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
+/// Checks that the answers of the callers agree with the records of the targets.
+async fn check_agreement(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
     assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
 
-/// Index of the daemon that schedules a pool.
+/// Returns the index of the daemon that schedules a pool.
 async fn scheduler_of(fleet: &Deployment, pool: &str) -> Result<usize> {
     let status = status(&fleet.daemons[0].operators).await?;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
@@ -34,15 +35,15 @@
     index.ok_or_else(|| anyhow::anyhow!("no scheduler of {pool}"))
 }
 
-/// Waits until the ledgers hold a nonce.
-async fn started(fleet: &Deployment, nonce: &str) -> Result<()> {
+/// Waits until the records of the targets contain a nonce.
+async fn wait_running(fleet: &Deployment, nonce: &str) -> Result<()> {
     wait_until(&format!("{nonce} runs"), || async {
         ledgers(fleet).await.is_ok_and(|entries| entries.iter().any(|entry| entry.nonce == nonce))
     })
     .await
 }
 
-/// Starts calls at an entry without waiting for them.
+/// Starts calls at a daemon without waiting for them.
 fn begin(calls: Vec<CallerCall>, entry: &str) -> Vec<actix_rt::task::JoinHandle<CallerRecord>> {
     let entry = entry.to_string();
     let start = |call: CallerCall| {
@@ -52,6 +53,7 @@
     calls.into_iter().map(start).collect()
 }
 
+/// Waits for all calls.
 async fn finish(tasks: Vec<actix_rt::task::JoinHandle<CallerRecord>>) -> Result<Vec<CallerRecord>> {
     let mut records = Vec::new();
     for task in tasks {
@@ -61,21 +63,21 @@
 }
 
 #[actix_rt::test]
-async fn entry_killed_with_requests_queued_and_streaming() -> Result<()> {
+async fn entry_daemon_killed_with_queued_and_streaming_requests_frees_its_permits() -> Result<()> {
     let mut fleet = ready_fleet("entry-killed", 1, 1, 3).await?;
-    let victim = (scheduler_of(&fleet, "assistant").await? + 1) % 3;
-    let other = (victim + 1) % 3;
-    // Four slots: some stream, the rest wait.
+    let killed = (scheduler_of(&fleet, "assistant").await? + 1) % 3;
+    let other = (killed + 1) % 3;
+    // There are four slots: four requests stream, the others wait.
     let calls: Vec<CallerCall> = (0..10).map(|index| ask(&format!("lost-{index}"), 200)).collect();
-    let tasks = begin(calls, &fleet.daemons[victim].callers);
-    wait_until("four run", || async {
+    let tasks = begin(calls, &fleet.daemons[killed].callers);
+    wait_until("four requests run", || async {
         ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
     })
     .await?;
-    fleet.daemons[victim].process.kill();
+    fleet.daemons[killed].process.kill();
     let mut records = finish(tasks).await?;
     assert!(records.iter().all(|record| record.end == CallerEnd::Broken));
-    // The permits of the dead entry come back, so later requests find the slots free.
+    // The permits of the killed daemon are released, so that the slots are free for later requests.
     for index in 0..4 {
         let record = ask(&format!("later-{index}"), 5)
             .send(&caller_client(), &fleet.daemons[other].callers)
@@ -83,20 +85,20 @@
         assert_eq!(record.end, CallerEnd::Whole);
         records.push(record);
     }
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[rstest]
 #[case::killed("KILL")]
-#[case::frozen("STOP")]
+#[case::suspended("STOP")]
 #[actix_rt::test]
-async fn requests_outlive_their_scheduler(#[case] signal: &str) -> Result<()> {
+async fn requests_are_served_when_their_scheduler_fails(#[case] signal: &str) -> Result<()> {
     let fleet = ready_fleet("scheduler", 1, 1, 3).await?;
     let scheduler = scheduler_of(&fleet, "assistant").await?;
     let entry = (scheduler + 1) % 3;
     let calls: Vec<CallerCall> = (0..8).map(|index| ask(&format!("q-{index}"), 100)).collect();
     let tasks = begin(calls, &fleet.daemons[entry].callers);
-    wait_until("four run", || async {
+    wait_until("four requests run", || async {
         ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
     })
     .await?;
@@ -106,7 +108,7 @@
         assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
     }
     if signal == "STOP" {
-        // The woken scheduler still believes in its old permits; nothing may come of that.
+        // The resumed scheduler still holds its old permits, which must have no effect.
         fleet.daemons[scheduler].process.signal("CONT")?;
         wait_status(&fleet.daemons[scheduler].operators, "its peers", |status| {
             status["peers"]
@@ -121,17 +123,17 @@
             records.push(record);
         }
     }
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn frozen_entry_wakes_after_its_caller_came_back_elsewhere() -> Result<()> {
+async fn entry_daemon_resumes_after_its_caller_retried_at_other_daemons() -> Result<()> {
     let fleet = ready_fleet("frozen-entry", 0, 1, 3).await?;
     let entry = 0;
-    // The service is slow, so that the request is under way when the entry freezes.
+    // The service is slow, so that the request is running when the entry daemon is suspended.
     fleet.fault(&fleet.targets[0].address, json!({"delay_ms": 600})).await?;
     let tasks = begin(vec![unlock("n", "the-key")], &fleet.daemons[entry].callers);
-    started(&fleet, "n").await?;
+    wait_running(&fleet, "n").await?;
     fleet.daemons[entry].process.signal("STOP")?;
     let mut records = Vec::new();
     for other in [1, 2] {
@@ -145,18 +147,18 @@
     }
     fleet.daemons[entry].process.signal("CONT")?;
     records.extend(finish(tasks).await?);
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn woken_entry_does_not_dispatch_what_has_expired() -> Result<()> {
+async fn resumed_entry_daemon_does_not_dispatch_an_expired_request() -> Result<()> {
     let fleet = ready_fleet("woken-entry", 0, 1, 2).await?;
-    // All slots are busy, so that the request waits for its permit when its entry freezes.
+    // All slots are busy, so that the request waits for its permit when its entry daemon is suspended.
     fleet.fault(&fleet.targets[0].address, json!({"delay_ms": 1500})).await?;
     let busy: Vec<CallerCall> =
         (0..8).map(|index| unlock(&format!("busy-{index}"), &format!("b{index}"))).collect();
     let busy = begin(busy, &fleet.daemons[1].callers);
-    wait_until("eight run", || async {
+    wait_until("eight requests run", || async {
         ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 8)
     })
     .await?;
@@ -166,9 +168,11 @@
         .await?;
     fleet.daemons[0].process.signal("STOP")?;
     let mut records = finish(busy).await?;
-    let begun = std::time::Instant::now();
-    wait_until("the deadline passes", || async { begun.elapsed() > Duration::from_millis(2_200) })
-        .await?;
+    let started = std::time::Instant::now();
+    wait_until("the deadline passes", || async {
+        started.elapsed() > Duration::from_millis(2_200)
+    })
+    .await?;
     fleet.daemons[0].process.signal("CONT")?;
     let late = finish(late).await?;
     let CallerEnd::Refused { reason, may_have_run, .. } = &late[0].end else {
@@ -177,35 +181,37 @@
     assert!(["deadline_passed", "deadline_unreachable"].contains(&reason.as_str()), "{reason}");
     assert!(!may_have_run);
     records.extend(late);
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn planned_stop_finishes_streams_and_hands_keys_over() -> Result<()> {
+async fn planned_stop_completes_streams_and_hands_keys_over() -> Result<()> {
     let mut fleet = ready_fleet("planned-stop", 1, 1, 3).await?;
-    let leaver = scheduler_of(&fleet, "assistant").await?;
-    let other = (leaver + 1) % 3;
+    let draining = scheduler_of(&fleet, "assistant").await?;
+    let other = (draining + 1) % 3;
     let client = caller_client();
     let mut records = Vec::new();
     for index in 0..12 {
         let call = unlock(&format!("u-{index}"), &format!("k-{index}"));
-        let record = call.send(&client, &fleet.daemons[leaver].callers);
+        let record = call.send(&client, &fleet.daemons[draining].callers);
         records.push(record.await);
     }
-    let long = begin(vec![ask("long", 1_500)], &fleet.daemons[leaver].callers);
-    started(&fleet, "long").await?;
-    let (code, output) = fleet.tool(&["drain", &fleet.daemons[leaver].operators])?;
+    let long = begin(vec![ask("long", 1_500)], &fleet.daemons[draining].callers);
+    wait_running(&fleet, "long").await?;
+    let (code, output) = fleet.tool(&["drain", &fleet.daemons[draining].operators])?;
     assert_eq!(code, 0, "{output}");
-    wait_status(&fleet.daemons[leaver].operators, "closing", |status| status["drain"] == "closing")
-        .await?;
-    let refused = ask("too-late", 5).send(&client, &fleet.daemons[leaver].callers).await;
+    wait_status(&fleet.daemons[draining].operators, "closing", |status| {
+        status["drain"] == "closing"
+    })
+    .await?;
+    let refused = ask("too-late", 5).send(&client, &fleet.daemons[draining].callers).await;
     assert!(
         matches!(&refused.end, CallerEnd::Refused { reason, may_have_run: false, .. } if reason == "draining")
     );
     let long = finish(long).await?;
     assert_eq!(long[0].end, CallerEnd::Whole);
-    wait_until_ended(&mut fleet, leaver).await?;
-    // Each key is still known, and its small answer with it.
+    wait_until_ended(&mut fleet, draining).await?;
+    // Each key and its small answer are still known.
     wait_status(&fleet.daemons[other].operators, "a newer key table", |status| {
         status["key_table"].as_u64() > Some(1)
     })
@@ -218,25 +224,26 @@
     }
     records.extend(long);
     records.push(refused);
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
+/// Waits until the process of a drained daemon exits with status 0.
 async fn wait_until_ended(fleet: &mut Deployment, index: usize) -> Result<()> {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     loop {
         if let Some(code) = fleet.daemons[index].process.ended() {
             assert_eq!(code, 0);
             return Ok(());
         }
         anyhow::ensure!(
-            begun.elapsed() < Duration::from_secs(30),
-            "the drained daemon does not end"
+            started.elapsed() < Duration::from_secs(30),
+            "the drained daemon does not exit"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Sends twelve requests with a key each to an entry; the same ones every time.
+/// Sends twelve requests, each with its own key, to a daemon; every call sends the same requests.
 async fn unlock_twelve(client: &ConnectionPool, entry: &str) -> Vec<CallerRecord> {
     let mut records = Vec::new();
     for index in 0..12 {
@@ -246,7 +253,7 @@
     records
 }
 
-/// Reason of each refusal, and whether the request may have run.
+/// Returns the reason of each refusal and whether the request may have run.
 fn refusals(records: &[CallerRecord]) -> Vec<(&str, bool)> {
     let refusals = records.iter().filter_map(|record| match &record.end {
         CallerEnd::Refused { reason, may_have_run, .. } => Some((reason.as_str(), *may_have_run)),
@@ -255,8 +262,8 @@
     refusals.collect()
 }
 
-/// A time six seconds from now: more than clocks may differ, so that a key minted then counts as newer
-/// than what has happened so far.
+/// Returns the time six seconds from now. This is more than clocks may differ, so that a key minted at this time
+/// counts as newer than everything that has happened so far.
 fn time_beyond_skew() -> uuid::Timestamp {
     let later = Duration::from_secs(6);
     let now = uuid::Uuid::now_v7();
@@ -265,21 +272,21 @@
 }
 
 #[actix_rt::test]
-async fn keys_of_a_dead_home_are_never_run_again() -> Result<()> {
+async fn keys_of_a_killed_holder_are_never_run_again() -> Result<()> {
     let mut fleet = ready_fleet("dead-home", 0, 1, 3).await?;
     fleet.list_vms(&["entry-0", "entry-1", "entry-2"], &[]).await?;
     let client = caller_client();
     let mut records = unlock_twelve(&client, &fleet.daemons[0].callers).await;
     fleet.daemons[2].process.kill();
-    // While the home is dead and nobody has said that its VM is gone, its keys are refused.
+    // While the holder does not run and its VM is still in the list, its keys are refused.
     let repeated = unlock_twelve(&client, &fleet.daemons[1].callers).await;
     for refusal in refusals(&repeated) {
         assert_eq!(refusal, ("key_home_unreachable", true));
     }
-    assert!(!refusals(&repeated).is_empty(), "the dead daemon held some of the keys");
+    assert!(!refusals(&repeated).is_empty(), "the killed daemon held some of the keys");
     records.extend(repeated);
     fleet.list_vms(&["entry-0", "entry-1"], &[]).await?;
-    wait_status(&fleet.daemons[1].operators, "the slots of the dead home", |status| {
+    wait_status(&fleet.daemons[1].operators, "the slots of the killed holder", |status| {
         status["key_table"].as_u64() > Some(1)
     })
     .await?;
@@ -298,11 +305,11 @@
         assert_eq!(record.end, CallerEnd::Whole);
         records.push(record);
     }
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[actix_rt::test]
-async fn first_attempt_passes_while_the_home_is_dead() -> Result<()> {
+async fn first_attempt_is_served_while_the_holder_is_unreachable() -> Result<()> {
     let mut fleet = ready_fleet("first-attempt", 0, 1, 2).await?;
     fleet.daemons[1].process.kill();
     let client = caller_client();
@@ -317,14 +324,14 @@
             unlock(&format!("n-{index}"), &format!("k-{index}")).header("Idempotency-Attempt", "2");
         records.push(call.send(&client, &fleet.daemons[0].callers).await);
     }
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
 
 #[rstest]
 #[case::one_way(vec![0])]
 #[case::both_ways(vec![0, 1])]
 #[actix_rt::test]
-async fn cut_links_delay_and_double_nothing(#[case] cut: Vec<usize>) -> Result<()> {
+async fn cut_links_between_daemons_cause_no_second_run(#[case] cut: Vec<usize>) -> Result<()> {
     let mut fleet = Deployment::start("cut-links").await?;
     fleet.relayed();
     fleet.target("engine", &["--slots", "4"]).await?;
@@ -345,12 +352,12 @@
         records.push(record);
         let call = unlock(&format!("u-{index}"), &format!("k-{index}"));
         records.push(call.send(&caller_client(), at).await);
-        // The same key through another entry.
+        // The same key at another daemon.
         let at = &fleet.daemons[(index + 1) % 3].callers;
         let call = unlock(&format!("u-{index}"), &format!("k-{index}"));
         records.push(call.send(&caller_client(), at).await);
     }
-    assert_eq!(served, 12, "engine requests go on through any entry");
+    assert_eq!(served, 12, "requests to engines are served by every daemon");
     for index in &cut {
         fleet.relays[*index].set_cut(false);
     }
@@ -359,5 +366,5 @@
         unlock("healed", "healed-key").send(&caller_client(), &fleet.daemons[0].callers).await;
     assert_eq!(record.end, CallerEnd::Whole);
     records.push(record);
-    agree(&fleet, &records).await
+    check_agreement(&fleet, &records).await
 }
--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Daemons on a platform that keeps the configuration: routes, answers, failures of engines and of the
-//! store, and the planned stop. The verdict always compares what engines ran with what callers got.
+//! Daemons that read their configuration from the platform's store: routes, answers, failures of engines and of the
+//! store, and the planned stop. The tests compare what engines ran with the answers that callers received.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -24,12 +24,14 @@
 use rstest::rstest;
 use serde_json::json;
 
-const PACE: Duration = Duration::from_millis(10);
+/// Time that an engine takes for an event of a stream or for a record.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
+/// Events of a stream.
 const EVENTS: u64 = 8;
-/// Bounds of a daemon that has to prove its configuration.
-const PROVED: &str = "config_age_limit = 1500ms\nretry_saved = 100\nretry_ratio = 0.5";
+/// Bounds that require a daemon to prove the age of its configuration, and allow retries.
+const BOUNDS: &str = "config_age_limit = 1500ms\nretry_saved = 100\nretry_ratio = 0.5";
 
-/// What a caller sends.
+/// A request of a caller.
 struct Call<'a> {
     method: Method,
     path: &'a str,
@@ -113,7 +115,7 @@
     }
 }
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Debug)]
 struct Answer {
     status: u16,
@@ -124,7 +126,7 @@
     retry_after: Option<f64>,
 }
 
-/// A fleet of daemons that are ready, with engines for records and for streams.
+/// Starts engines for records and for streams, and daemons; waits until the daemons are ready and records are served.
 async fn ready(
     name: &str,
     daemons: usize,
@@ -134,17 +136,17 @@
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..records {
-        fleet.engine("records", 0, PACE).await?;
+        fleet.engine("records", 0, EVENT_INTERVAL).await?;
     }
     for _ in 0..engines {
-        fleet.engine("engines", EVENTS, PACE).await?;
+        fleet.engine("engines", EVENTS, EVENT_INTERVAL).await?;
     }
-    fleet.daemons(daemons, PROVED).await?;
+    fleet.daemons(daemons, BOUNDS).await?;
     for daemon in &fleet.daemons {
         let operators = daemon.operators.clone();
         wait_ready(&operators, true).await?;
     }
-    // The list of targets is read beside the configuration.
+    // The list of targets is read independently of the configuration.
     let entry = fleet.daemons[0].callers.clone();
     wait_until("records are served", || {
         let entry = entry.clone();
@@ -157,6 +159,7 @@
     Ok(fleet)
 }
 
+/// Waits until the daemon reports that it is ready, or that it is not.
 async fn wait_ready(operators: &str, wanted: bool) -> Result<()> {
     wait_until("readiness", || async move {
         let text = get_text(operators, "/readyz").await.unwrap_or_default();
@@ -165,7 +168,7 @@
     .await
 }
 
-/// Runs of a try over all engines.
+/// Returns the number of runs of an attempt at all engines.
 fn runs(fleet: &FleetDeployment, attempt: &str) -> usize {
     let engines = fleet.engines.iter();
     engines.flat_map(|engine| engine.runs()).filter(|run| run.attempt == attempt && run.ran).count()
@@ -202,14 +205,14 @@
 }
 
 #[rstest]
-#[case::broken_within_an_event("broken", EngineStep::Break(3))]
-#[case::broken_at_its_begin("begin", EngineStep::Break(0))]
+#[case::closed_within_an_event("broken", EngineStep::Break(3))]
+#[case::closed_before_the_first_event("begin", EngineStep::Break(0))]
 #[case::closed_without_an_answer("closed", EngineStep::Close)]
 #[case::silent("silent", EngineStep::Silent)]
 #[case::failed("failed", EngineStep::Fail(500))]
 #[case::declined("declined", EngineStep::Decline)]
 #[actix_rt::test]
-async fn stream_is_taken_up_at_another_engine_in_one_answer(
+async fn stream_is_resumed_at_another_engine_within_one_answer(
     #[case] name: &str,
     #[case] step: EngineStep,
 ) -> Result<()> {
@@ -221,7 +224,7 @@
     })
     .await?;
     fleet.engines.iter().for_each(|engine| engine.next(step));
-    // Both fail once; the try that is watched meets one failure at least and may need the other.
+    // Both engines fail once; the observed attempt meets at least one failure and may need the other engine.
     let _ = Call::new("/resumed/stream/a", "first").send(&entry).await?;
     fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Serve));
     fleet.engines[0].next(step);
@@ -232,10 +235,10 @@
 }
 
 #[rstest]
-#[case::broken("broken", EngineStep::Break(3))]
-#[case::closed("closed", EngineStep::Close)]
+#[case::closed_within_an_event("broken", EngineStep::Break(3))]
+#[case::closed_without_an_answer("closed", EngineStep::Close)]
 #[actix_rt::test]
-async fn stream_that_may_not_be_taken_up_runs_once_and_looks_broken(
+async fn stream_that_may_not_be_resumed_runs_once_and_is_interrupted(
     #[case] name: &str,
     #[case] step: EngineStep,
 ) -> Result<()> {
@@ -268,19 +271,19 @@
     let answer = call.send(entry).await?;
     assert_eq!(answer.status, status);
     assert!(answer.text.contains(text), "{}", answer.text);
-    assert_eq!(answer.retry_after, None, "a promise that nothing ran");
+    assert_eq!(answer.retry_after, None, "Retry-After would state that the request did not run");
     assert!(begun.elapsed() < Duration::from_millis(1_500));
     assert_eq!(runs(&fleet, "t"), 1);
     Ok(())
 }
 
-/// The wait for the first byte ends with the request's deadline here, and both limits pass at once.
+/// The timeout for the first byte ends at the deadline of the request here, so both limits pass at the same time.
 #[actix_rt::test]
-async fn silent_target_is_the_reason_however_long_it_took_to_connect() -> Result<()> {
+async fn timeout_of_the_first_byte_at_the_deadline_is_the_reason_of_the_refusal() -> Result<()> {
     let fleet = ready("silent-together", 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
     fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Silent));
-    // More failures than these would eject the targets.
+    // With more failures, the targets would be ejected.
     let attempts: Vec<String> = (0..8).map(|number| format!("t{number}")).collect();
     let calls = attempts.iter().map(|attempt| async move {
         Call::new("/once/a", attempt).header(WIRE_PROFILE.time_left, "300").send(entry).await
@@ -293,7 +296,7 @@
 }
 
 #[actix_rt::test]
-async fn declined_record_runs_at_another_engine_and_says_so_if_none_takes_it() -> Result<()> {
+async fn declined_record_runs_at_another_engine_or_is_refused_as_not_run() -> Result<()> {
     let fleet = ready("declined", 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
     fleet.engines.iter().for_each(|engine| engine.next(EngineStep::Decline));
@@ -322,7 +325,7 @@
         let answer = Call::new("/again/a", &attempt).send(entry).await?;
         assert_eq!(answer.text, format!("record of {attempt}"), "{answer:?}");
         if number % 3 == 0 {
-            tokio::time::sleep(PACE).await;
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
     }
     Ok(())
@@ -334,7 +337,7 @@
 #[case::silent("silent", StoreOutage::Silent)]
 #[case::closed("closed", StoreOutage::Closed)]
 #[actix_rt::test]
-async fn requests_with_a_key_are_refused_where_the_configuration_cannot_be_proved(
+async fn requests_with_a_key_are_refused_when_the_configuration_cannot_be_proved(
     #[case] name: &str,
     #[case] outage: StoreOutage,
 ) -> Result<()> {
@@ -345,7 +348,7 @@
     let stale = Call::new("/once/a", "t1").send(&daemon.callers).await?;
     assert_eq!(stale.status, 503, "{stale:?}");
     assert!(stale.retry_after.is_some());
-    // What is unknown here may have been added since.
+    // A route that the daemon doesn't know may have been added since.
     assert_eq!(Call::new("/nowhere/a", "t2").send(&daemon.callers).await?.status, 503);
     let open = Call::new("/once/open/a", "t3").key(None).send(&daemon.callers).await?;
     assert_eq!(open.status, 200);
@@ -357,7 +360,7 @@
 }
 
 #[actix_rt::test]
-async fn configuration_is_in_force_within_its_bound_and_a_lost_key_is_refused() -> Result<()> {
+async fn removed_key_and_route_are_refused_within_the_apply_limit() -> Result<()> {
     let mut fleet = ready("config", 2, 1, 0).await?;
     fleet.config.tenants.retain(|tenant| tenant.name != "depots");
     fleet.config.routes.retain(|route| route.name != "open");
@@ -366,7 +369,7 @@
     for daemon in &fleet.daemons {
         let lost = Call::new("/once/a", "t1").key(Some(DEPOTS_KEY)).send(&daemon.callers).await?;
         assert_eq!(lost.status, 401);
-        // The shorter path takes what the longer one had, and asks for a key.
+        // The route with the shorter path now matches, and it requires a key.
         let closed = Call::new("/once/open/a", "t2").key(None).send(&daemon.callers).await?;
         assert_eq!(closed.status, 401);
     }
@@ -378,7 +381,7 @@
 #[case::watched("watched", false)]
 #[case::history_gone("gone", true)]
 #[actix_rt::test]
-async fn leaving_and_vanished_engines_get_nothing(
+async fn leaving_and_removed_engines_receive_no_requests(
     #[case] name: &str,
     #[case] forgets: bool,
 ) -> Result<()> {
@@ -401,8 +404,8 @@
     Ok(())
 }
 
-/// The entry of an engine that another writer overwrites: its engine was used on as it was before, since an
-/// entry that could not be read was left out of the changes of a watch.
+/// Guards against an unreadable list entry that is left out of the changes of a watch: when another writer had
+/// overwritten the entry of an engine, the engine was still used as before.
 #[rstest]
 #[case::fields("fields", json!({"backend": 7}))]
 #[case::state("state", json!({"backend": "records", "address": "127.0.0.1:1", "zone": "z", "slots": 4,
@@ -412,7 +415,7 @@
 #[case::service("service", json!({"backend": "else", "address": "127.0.0.1:1", "zone": "z", "slots": 4,
     "state": "ready"}))]
 #[actix_rt::test]
-async fn entry_that_names_no_target_is_not_used(
+async fn engine_with_an_unusable_list_entry_is_not_used(
     #[case] reason: &str,
     #[case] spec: serde_json::Value,
 ) -> Result<()> {
@@ -424,7 +427,7 @@
     let counted =
         format!("curlewcleat_unusable_entries_total{{kind=\"target\",reason=\"{reason}\"}} 1\n");
     fleet.store.put(SERVERS, "i-0", spec);
-    wait_until("the entry is noted", || async {
+    wait_until("the unusable entry is counted", || async {
         get_text(&daemon.operators, "/metrics").await.is_ok_and(|text| text.contains(&counted))
     })
     .await?;
@@ -441,10 +444,10 @@
 }
 
 #[actix_rt::test]
-async fn address_that_is_used_again_runs_nothing_that_is_meant_for_another() -> Result<()> {
+async fn engine_at_a_reused_address_runs_no_request_for_another_engine() -> Result<()> {
     let fleet = ready("reused", 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
-    // The entry names an engine that is no longer the one at its address.
+    // The list entry names an engine, but another one listens at its address.
     let address = fleet.engine_addresses[1].clone();
     fleet.store.remove(SERVERS, "i-1");
     fleet.announce("i-9", "records", &address, "ready")?;
@@ -459,9 +462,9 @@
 }
 
 #[actix_rt::test]
-async fn work_ends_when_its_caller_leaves() -> Result<()> {
+async fn request_is_cancelled_when_its_caller_disconnects() -> Result<()> {
     let mut fleet = ready("left", 1, 1, 0).await?;
-    fleet.engine("engines", 1_000, PACE).await?;
+    fleet.engine("engines", 1_000, EVENT_INTERVAL).await?;
     let entry = fleet.daemons[0].callers.clone();
     wait_until("streams begin", || async {
         let call = Call::new("/plain/stream/a", "t1").begin(&entry).await;
@@ -472,7 +475,7 @@
     wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.left) }).await?;
     engine.next(EngineStep::Silent);
     let waiting = Call::new("/plain/stream/a", "t2");
-    assert!(tokio::time::timeout(PACE * 20, waiting.begin(&entry)).await.is_err());
+    assert!(tokio::time::timeout(EVENT_INTERVAL * 20, waiting.begin(&entry)).await.is_err());
     let begun = Instant::now();
     wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.left) }).await?;
     assert!(begun.elapsed() < Duration::from_millis(500));
@@ -480,7 +483,7 @@
 }
 
 #[actix_rt::test]
-async fn rate_of_an_account_holds_over_all_daemons() -> Result<()> {
+async fn rate_of_an_account_holds_for_all_daemons_together() -> Result<()> {
     let fleet = ready("rate", 3, 1, 0).await?;
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let mut admitted = 0;
@@ -498,15 +501,15 @@
             }
         }
     }
-    // Ten requests are the burst, and ten a second the rate.
+    // The burst is ten requests, the rate ten requests a second.
     assert!((10..=40).contains(&admitted) && refused > 0, "{admitted} admitted");
     Ok(())
 }
 
 #[actix_rt::test]
-async fn planned_stop_finishes_streams_and_settings_are_reloaded() -> Result<()> {
+async fn planned_stop_completes_streams_and_reload_stops_nothing() -> Result<()> {
     let mut fleet = ready("stop", 1, 1, 0).await?;
-    fleet.engine("engines", 60, PACE).await?;
+    fleet.engine("engines", 60, EVENT_INTERVAL).await?;
     let entry = fleet.daemons[0].callers.clone();
     fleet.daemons[0].process.signal("HUP")?;
     wait_until("streams begin", || async {
@@ -518,7 +521,7 @@
     let call = Call::new("/plain/stream/a", "t");
     let stream = call.send(&entry);
     let stop = async {
-        tokio::time::sleep(PACE * 10).await;
+        tokio::time::sleep(EVENT_INTERVAL * 10).await;
         fleet.daemons[0].process.signal("TERM")
     };
     let (answer, stopped) = tokio::join!(stream, stop);
@@ -529,16 +532,17 @@
     let process = &mut fleet.daemons[0].process;
     let end = Instant::now() + Duration::from_secs(5);
     while process.ended().is_none() && Instant::now() < end {
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
     }
     assert_eq!(process.ended(), Some(0));
     Ok(())
 }
 
 #[actix_rt::test]
-async fn daemon_without_a_configuration_refuses_with_503_and_calls_seldom() -> Result<()> {
+async fn daemon_without_a_configuration_refuses_with_503_and_limits_its_store_calls() -> Result<()>
+{
     let mut fleet = FleetDeployment::start("absent").await?;
-    fleet.daemons(1, PROVED).await?;
+    fleet.daemons(1, BOUNDS).await?;
     let entry = &fleet.daemons[0].callers;
     assert_eq!(Call::new("/once/a", "t").send(entry).await?.status, 503);
     fleet.store.set_hasty_watches(true);
@@ -550,12 +554,12 @@
 }
 
 #[actix_rt::test]
-async fn daemons_find_each_other_and_lost_answers_do_no_harm() -> Result<()> {
+async fn daemons_find_each_other_although_answers_of_the_store_are_lost() -> Result<()> {
     let mut fleet = FleetDeployment::start("peers").await?;
     fleet.store.lose_writes(2);
     fleet.store_config()?;
-    fleet.engine("records", 0, PACE).await?;
-    fleet.daemons(3, PROVED).await?;
+    fleet.engine("records", 0, EVENT_INTERVAL).await?;
+    fleet.daemons(3, BOUNDS).await?;
     for daemon in &fleet.daemons {
         let operators = daemon.operators.as_str();
         wait_until("two live peers", || async move {
@@ -569,9 +573,9 @@
 }
 
 #[actix_rt::test]
-async fn configuration_that_cannot_be_taken_over_proves_nothing() -> Result<()> {
+async fn invalid_configuration_does_not_prove_the_one_in_force() -> Result<()> {
     let mut fleet = ready("invalid", 1, 1, 0).await?;
-    // It takes a key away, and one of its routes leads to a service that it does not have.
+    // The new configuration removes a key, and one of its routes names a backend that does not exist.
     fleet.config.tenants.retain(|tenant| tenant.name != "depots");
     fleet.config.routes[0].backend = Some("missing".to_string());
     fleet.store_config()?;
@@ -604,9 +608,9 @@
     }
 }
 
-/// Taken as version 0 it would count as read before, and prove what was never read.
+/// As version 0 it would count as already read, and prove a configuration that was never read.
 #[actix_rt::test]
-async fn configuration_without_a_revision_is_no_answer() -> Result<()> {
+async fn configuration_without_a_revision_is_rejected() -> Result<()> {
     let address = serve_here(Rc::new(UnversionedStore)).await?;
     let client = FleetClient::new(&address, Duration::from_secs(2));
     for known in [0, 7] {
--- a/crates/bench/src/lethal.rs
+++ b/crates/bench/src/lethal.rs
@@ -1,4 +1,4 @@
-//! What it costs to name requests, and to know those under which targets end.
+//! Costs of computing request digests, and of tracking the requests that terminate targets.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -10,15 +10,16 @@
 
 use crate::support::{resident, time_each};
 
-/// Targets that the platform shows.
+/// Number of targets in the list of the platform.
 const TARGETS: usize = 10_000;
 
 fn digest(body: &[u8]) -> RequestDigest {
     RequestIdentity { method: "POST", host: "h.example", path: "/p", caller: "a", body }.digest()
 }
 
-/// Digest by length of the body; verdict, break and review by the number of suspects.
-pub fn lethal() {
+/// Measures the digest by length of the body, and verdict, interruption and review by the number of suspected
+/// requests.
+pub fn measure_lethal_requests() {
     println!("body bytes | digest (us)");
     for length in [100, 1_000, 10_000, 100_000] {
         let body = vec![7; length];
@@ -27,20 +28,21 @@
         });
         println!("{length:>10} | {:>8.2}", each.as_secs_f64() * 1e6);
     }
-    println!("suspects | verdict (us) | break (us) | review (us) | resident bytes");
+    println!("suspects | verdict (us) | interruption (us) | review (us) | resident bytes");
     for suspects in [0u32, 100, 512] {
         let before = resident();
         let mut requests = LethalRequests::new(LethalOptions::default());
         let now = Duration::from_secs(10);
         for number in 0..suspects {
-            broken_off(&mut requests, now, number);
+            record_interruption(&mut requests, now, number);
         }
         let bytes = resident().saturating_sub(before);
-        let asked = digest(b"asked");
+        let other = digest(b"asked");
         let verdict = time_each(10_000, |_| {
-            black_box(requests.verdict(now, &asked));
+            black_box(requests.verdict(now, &other));
         });
-        let added = time_each(50, |number| broken_off(&mut requests, now, suspects + number));
+        let added =
+            time_each(50, |number| record_interruption(&mut requests, now, suspects + number));
         let review = time_each(100, |_| {
             black_box(requests.review(now, TARGETS, &|_| LifeSight::Shown));
         });
@@ -54,12 +56,13 @@
     }
 }
 
-fn broken_off(requests: &mut LethalRequests, now: Duration, number: u32) {
-    // Eight requests run at a target.
+/// Records the interruption of a request, a different one for each number.
+fn record_interruption(requests: &mut LethalRequests, now: Duration, number: u32) {
+    // Eight requests run at each target.
     let life = TargetLife {
         id: format!("target-{}", number / 8),
         start: Some(TargetStart(1_764_720_000_000)),
     };
-    let broke = RequestBreak { life, kind: BreakKind::Closed, begun: false };
-    requests.broken_off(now, digest(&number.to_be_bytes()), broke);
+    let interruption = RequestBreak { life, kind: BreakKind::Closed, begun: false };
+    requests.broken_off(now, digest(&number.to_be_bytes()), interruption);
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Measures what one more target, waiting request, peer, account, key and configuration byte costs,
-//! and what real daemons cost on this machine. docs/CAPACITY.md works from these figures.
+//! Measures the cost of each additional target, waiting request, peer, account, key and configuration byte, and the
+//! cost of real daemons on this machine. docs/CAPACITY.md uses these figures.
 //!
-//! Owns: nothing but its printed tables. Relies on: the state machines of the product as they are.
+//! Owns: only its printed tables. Relies on: the state machines of the product without changes.
 
 mod lethal;
 mod peers;
@@ -13,13 +13,13 @@
 use anyhow::Result;
 use clap::Parser;
 
-/// Measures slopes; build with `--release`.
+/// Measures costs per additional item; build with `--release`.
 #[derive(Parser)]
 struct Arguments {
     /// Also start real daemons and measure them.
     #[arg(long)]
     processes: bool,
-    /// Only requests through real daemons.
+    /// Measure only requests through real daemons.
     #[arg(long)]
     load: bool,
 }
@@ -27,19 +27,19 @@
 fn main() -> Result<()> {
     let arguments = Arguments::parse();
     if arguments.load {
-        return actix_rt::System::new().block_on(processes::requests());
+        return actix_rt::System::new().block_on(processes::measure_requests());
     }
-    scheduler::targets();
-    scheduler::waiting();
-    peers::heartbeats();
-    peers::sparse_heartbeats();
-    state::accounts()?;
-    state::changes()?;
-    state::keys();
-    lethal::lethal();
-    peers::codec();
+    scheduler::measure_targets();
+    scheduler::measure_waiting();
+    peers::measure_heartbeats();
+    peers::measure_sparse_heartbeats();
+    state::measure_accounts()?;
+    state::measure_changes()?;
+    state::measure_keys();
+    lethal::measure_lethal_requests();
+    peers::measure_codec();
     if arguments.processes {
-        actix_rt::System::new().block_on(processes::daemons())?;
+        actix_rt::System::new().block_on(processes::measure_daemons())?;
     }
     Ok(())
 }
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -7,18 +7,19 @@
 use curlewcleat_node::NodeEvent;
 use curlewcleat_peers::{decode_frame, encode_frame};
 
-use crate::support::{ask, daemon, node, node_in, time_each};
+use crate::support::{daemon, node, node_in, permit_request, time_each};
 
-/// Daemons up to which each sends every heartbeat to all others, as on a fleet.
+/// Number of daemons up to which each one sends all heartbeats to all others.
 const MESH_LIMIT: usize = 12;
 
-fn beat_of(index: usize, known: usize) -> PeerFrame {
-    beat_with(index, known, 100)
+/// Returns a heartbeat of a daemon that lists `known` other daemons.
+fn heartbeat_of(index: usize, known: usize) -> PeerFrame {
+    heartbeat_with(index, known, 100)
 }
 
-fn beat_with(index: usize, known: usize, capacity: u32) -> PeerFrame {
+fn heartbeat_with(index: usize, known: usize, capacity: u32) -> PeerFrame {
     let address = |index: usize| format!("10.1.{}.{}:7100", index / 250, index % 250 + 1);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         stale: false,
         capacity,
         started: 0,
@@ -30,26 +31,27 @@
         draining: false,
         known: (0..known).map(address).collect(),
     };
-    PeerFrame { from: daemon(index), messages: vec![PeerMessage::Heartbeat(beat)] }
+    PeerFrame { from: daemon(index), messages: vec![PeerMessage::Heartbeat(heartbeat)] }
 }
 
-pub fn heartbeats() {
-    println!("peers | one heartbeat taken (ns) | one beat made for all (us) | bytes of one frame | bytes/s out | tick (us)");
+/// Measures the heartbeats of a daemon by the number of its peers.
+pub fn measure_heartbeats() {
+    println!("peers | one heartbeat received (ns) | one heartbeat sent to all (us) | bytes of one frame | bytes/s out | tick (us)");
     for count in [6usize, 50, 200, 1_100] {
         let mut node = node(0);
         let wall = Duration::from_secs(1);
         let mut now = Duration::from_millis(1);
         for index in 1..=count {
-            node.handle(now, wall, NodeEvent::Peer(beat_of(index, 4)));
+            node.handle(now, wall, NodeEvent::Peer(heartbeat_of(index, 4)));
         }
-        let taken = time_each(200, |number| {
-            let frame = beat_of(1 + number as usize % count, 4);
+        let received = time_each(200, |number| {
+            let frame = heartbeat_of(1 + number as usize % count, 4);
             black_box(node.handle(now, wall, NodeEvent::Peer(frame)));
         });
         now += Duration::from_millis(500);
         let begun = Instant::now();
         let actions = node.handle(now, wall, NodeEvent::Tick);
-        let made = begun.elapsed();
+        let sent = begun.elapsed();
         let frames: Vec<usize> = actions
             .iter()
             .filter_map(|action| match action {
@@ -63,8 +65,8 @@
         });
         println!(
             "{count:>5} | {:>8} | {:>8} | {:>6} | {:>9} | {:>6}",
-            taken.as_nanos(),
-            made.as_micros(),
+            received.as_nanos(),
+            sent.as_micros(),
             frames.first().copied().unwrap_or(0),
             bytes * 2,
             tick.as_micros()
@@ -72,43 +74,47 @@
     }
 }
 
+/// Returns the bytes of a frame.
 fn encoded(frame: &PeerFrame) -> Vec<u8> {
     encode_frame(frame).expect("a frame encodes")
 }
 
-/// Heartbeats of a daemon that is no candidate, as they are sent on a fleet, where all others are heard.
-pub fn sparse_heartbeats() {
-    println!("peers | heartbeats out a second | bytes out a second | the same of a candidate");
+/// Measures the heartbeats of a daemon that is no candidate for scheduling, in a fleet whose other daemons are all
+/// live.
+pub fn measure_sparse_heartbeats() {
+    println!(
+        "peers | heartbeats out a second | bytes out a second | heartbeats a second of a candidate"
+    );
     for count in [6usize, 62, 200, 1_100] {
         let (frames, bytes) = sent_each_second(count, 200);
-        let (candidate, _) = sent_each_second(count, 50);
-        println!("{count:>5} | {frames:>8.1} | {bytes:>9.0} | {candidate:>8.1}");
+        let (candidate_frames, _) = sent_each_second(count, 50);
+        println!("{count:>5} | {frames:>8.1} | {bytes:>9.0} | {candidate_frames:>8.1}");
     }
 }
 
-/// Processor of the measured daemon, in percent of a core.
+/// Capacity of the measured daemon, in percent of a core.
 const OWN_CAPACITY: u32 = 100;
 
-/// Frames and bytes that a daemon with 100 % of a core sends each second to peers with `capacity`.
+/// Returns the frames and bytes that a daemon with 100 % of a core sends each second to peers with `capacity`.
 fn sent_each_second(count: usize, capacity: u32) -> (f64, f64) {
-    const SETTLED: u64 = 5;
-    const MEASURED: u64 = 20;
+    const WARM_UP_SECONDS: u64 = 5;
+    const MEASURED_SECONDS: u64 = 20;
     let mut node = node_in(0, MESH_LIMIT);
     let wall = Duration::from_secs(1);
     let (mut frames, mut bytes) = (0usize, 0usize);
-    for step in 1..=(SETTLED + MEASURED) * 2 {
+    for step in 1..=(WARM_UP_SECONDS + MEASURED_SECONDS) * 2 {
         let now = Duration::from_millis(step * 500);
         for index in 1..=count {
-            let mut frame = beat_with(index, 4, capacity);
-            // Whoever takes this daemon for a candidate wants its answers.
+            let mut frame = heartbeat_with(index, 4, capacity);
+            // A peer that regards this daemon as a candidate requests its answers.
             for message in &mut frame.messages {
-                let PeerMessage::Heartbeat(beat) = message else { continue };
-                beat.answer_wanted = capacity < OWN_CAPACITY;
+                let PeerMessage::Heartbeat(heartbeat) = message else { continue };
+                heartbeat.answer_wanted = capacity < OWN_CAPACITY;
             }
             node.handle(now, wall, NodeEvent::Peer(frame));
         }
         let actions = node.handle(now, wall, NodeEvent::Tick);
-        if step <= SETTLED * 2 {
+        if step <= WARM_UP_SECONDS * 2 {
             continue;
         }
         for action in actions {
@@ -118,11 +124,12 @@
             }
         }
     }
-    (frames as f64 / MEASURED as f64, bytes as f64 / MEASURED as f64)
+    (frames as f64 / MEASURED_SECONDS as f64, bytes as f64 / MEASURED_SECONDS as f64)
 }
 
-pub fn codec() {
-    let message = PeerMessage::PermitRequest(ask(1, 1));
+/// Measures encoding and decoding of frames with several permit requests.
+pub fn measure_codec() {
+    let message = PeerMessage::PermitRequest(permit_request(1, 1));
     for count in [1usize, 8, 64] {
         let frame = PeerFrame { from: daemon(1), messages: vec![message.clone(); count] };
         let bytes = encoded(&frame);
@@ -131,7 +138,7 @@
             black_box(decode_frame(&bytes)).ok();
         });
         println!(
-            "frame with {count} asks: {} bytes, encoded and decoded in {} ns",
+            "frame with {count} permit requests: {} bytes, encoded and decoded in {} ns",
             bytes.len(),
             each.as_nanos()
         );
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,4 +1,4 @@
-//! What real daemons cost: idle, under requests, and with streams held open.
+//! Costs of real daemons: idle, under requests, and with open streams.
 
 use std::time::{Duration, Instant};
 
@@ -9,30 +9,32 @@
 use curlewcleat_standins::deployment::{get_text, Deployment};
 
 /// Requests that each caller sends on each path.
-const REQUESTS_EACH: usize = 300;
+const REQUESTS_PER_CALLER: usize = 300;
 
-/// What a process has cost so far.
+/// Processor time, memory and threads of a process.
 struct ProcessCost {
     cpu_ms: u64,
     resident_bytes: u64,
     threads: u64,
 }
 
-/// Callers whose streams are held open, or whose requests wait.
+/// A load of callers whose streams are open or whose requests wait.
 #[derive(Clone, Copy)]
 struct HeldLoad {
     pool: &'static str,
     count: usize,
-    /// Tokens of each stream.
+    /// Tokens of each answer.
     tokens: u64,
 }
 
+/// Reads the cost of a process from `/proc`.
 fn process_cost(id: u32) -> Result<ProcessCost> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let field =
         |index: usize| fields.get(index).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-    // Fields 14 and 15 of the whole line, in ticks of 10 ms; 20 is the threads, 24 the pages.
+    // In the whole line, fields 14 and 15 are the processor time in ticks of 10 ms, 20 the threads, 24 the resident
+    // pages.
     Ok(ProcessCost {
         cpu_ms: (field(11) + field(12)) * 10,
         resident_bytes: field(21) * 4_096,
@@ -40,7 +42,8 @@
     })
 }
 
-pub async fn daemons() -> Result<()> {
+/// Measures idle daemons by their number, then requests and streams.
+pub async fn measure_daemons() -> Result<()> {
     println!("daemons | idle CPU of one (% of a core) | resident MB | threads | peer bytes/s out");
     for count in [2usize, 4, 8, 16] {
         let mut fleet = Deployment::start(&format!("slopes-{count}")).await?;
@@ -64,15 +67,16 @@
             sent / 4
         );
     }
-    requests().await
+    measure_requests().await
 }
 
-/// Requests and streams through real daemons.
-pub async fn requests() -> Result<()> {
-    load().await?;
-    streams().await
+/// Measures requests and streams through real daemons.
+pub async fn measure_requests() -> Result<()> {
+    measure_load().await?;
+    measure_streams().await
 }
 
+/// Returns the bytes that the first daemon has sent to its peers.
 async fn sent_bytes(fleet: &Deployment) -> Result<u64> {
     let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await?;
     let line = metrics.lines().find(|line| line.contains("peer_frames{kind=\"sent_bytes\"}"));
@@ -82,8 +86,8 @@
         .unwrap_or(0))
 }
 
-/// Requests through one of two daemons against direct calls to the same service.
-async fn load() -> Result<()> {
+/// Measures requests through each of two daemons, and direct calls to the same service.
+async fn measure_load() -> Result<()> {
     let mut fleet = Deployment::start("slopes-load").await?;
     fleet.target("service", &["--work-us", "1000", "--slots", "256"]).await?;
     fleet.daemons(2).await?;
@@ -109,16 +113,16 @@
             ("daemon 1", &other[..], false),
             ("daemon 0, keyed", &entries[..], true),
         ] {
-            one_path(&fleet, name, addresses, callers, keyed).await?;
+            measure_path(&fleet, name, addresses, callers, keyed).await?;
         }
     }
     Ok(())
 }
 
-/// What a streamed token, an open stream and a waiting request cost a daemon.
-async fn streams() -> Result<()> {
+/// Measures the cost of a streamed token, an open stream and a waiting request.
+async fn measure_streams() -> Result<()> {
     let fleet = stream_fleet().await?;
-    println!("held | of a kind | resident bytes of the daemon each | CPU us per token | CPU % of a core while held");
+    println!("held | pool | resident bytes of the daemon for each | CPU us per token | CPU % of a core while held");
     for (pool, count, tokens) in [
         ("open", 250, 200),
         ("open", 500, 200),
@@ -131,7 +135,7 @@
     Ok(())
 }
 
-/// One daemon before an engine with slots for every stream and one with a single, slow slot.
+/// Starts a daemon, an engine with slots for every stream, and an engine with a single, slow slot.
 async fn stream_fleet() -> Result<Deployment> {
     let mut fleet = Deployment::start("slopes-streams").await?;
     fleet
@@ -161,7 +165,7 @@
     Ok(fleet)
 }
 
-/// Holds a load for some seconds and prints what it costs.
+/// Holds a load for some seconds and prints its cost.
 async fn hold(fleet: &Deployment, load: HeldLoad) -> Result<()> {
     let HeldLoad { pool, count, tokens } = load;
     let id = fleet.daemons[0].process.id();
@@ -174,10 +178,13 @@
     let mut per_token = 0.0;
     if pool == "open" {
         for task in tasks {
-            anyhow::ensure!(task.await?.end == CallerEnd::Whole, "slopes: a stream is not whole");
+            anyhow::ensure!(
+                task.await?.end == CallerEnd::Whole,
+                "slopes: a stream is not complete"
+            );
         }
-        let spent = process_cost(id)?.cpu_ms - before.cpu_ms;
-        per_token = spent as f64 * 1e3 / (count as u64 * tokens) as f64;
+        let cpu_ms = process_cost(id)?.cpu_ms - before.cpu_ms;
+        per_token = cpu_ms as f64 * 1e3 / (count as u64 * tokens) as f64;
     } else {
         tasks.iter().for_each(|task| task.abort());
     }
@@ -200,7 +207,8 @@
     (0..count).map(start).collect()
 }
 
-async fn one_path(
+/// Sends requests of concurrent callers on one path, and prints throughput, latency and processor time.
+async fn measure_path(
     fleet: &Deployment,
     name: &str,
     addresses: &[String],
@@ -211,7 +219,7 @@
     let begun = Instant::now();
     let start = |caller: usize| {
         let address = addresses[caller % addresses.len()].clone();
-        actix_rt::spawn(one_caller(address, format!("{name}-{caller}"), keyed))
+        actix_rt::spawn(run_caller(address, format!("{name}-{caller}"), keyed))
     };
     let tasks: Vec<_> = (0..callers).map(start).collect();
     let mut times = Vec::new();
@@ -221,8 +229,8 @@
     let elapsed = begun.elapsed();
     times.sort();
     let requests = times.len();
-    let sent = callers * REQUESTS_EACH;
-    anyhow::ensure!(requests == sent, "slopes: {requests} of {sent} whole");
+    let sent = callers * REQUESTS_PER_CALLER;
+    anyhow::ensure!(requests == sent, "slopes: {requests} of {sent} requests are complete");
     let after = cpu_of_both(fleet)?;
     let cpu = |index: usize| (after[index] - before[index]) as f64 * 1e3 / requests as f64;
     println!(
@@ -236,7 +244,7 @@
     Ok(())
 }
 
-/// Processor time of the two daemons in milliseconds.
+/// Returns the processor time of the two daemons in milliseconds.
 fn cpu_of_both(fleet: &Deployment) -> Result<[u64; 2]> {
     Ok([
         process_cost(fleet.daemons[0].process.id())?.cpu_ms,
@@ -244,11 +252,11 @@
     ])
 }
 
-/// Sends one request after the other, and gives the times of those that were answered whole.
-async fn one_caller(address: String, name: String, keyed: bool) -> Vec<Duration> {
+/// Sends requests one after the other, and returns the durations of those with a complete answer.
+async fn run_caller(address: String, name: String, keyed: bool) -> Vec<Duration> {
     let client = caller_client();
     let mut times = Vec::new();
-    for number in 0..REQUESTS_EACH {
+    for number in 0..REQUESTS_PER_CALLER {
         let nonce = format!("{name}-{number}-{}", uuid::Uuid::new_v4());
         let mut call = CallerCall::service("/v1/x", "t", &nonce);
         if keyed {
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,4 +1,4 @@
-//! What accounts, targets and keys cost a daemon.
+//! Costs of accounts, targets, rules and keys in a daemon.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -10,36 +10,39 @@
 
 use crate::support::{configuration, configured, daemon, resident, time_each};
 
-pub fn accounts() -> Result<()> {
-    println!("accounts | targets | configuration bytes | check (ms) | take in force (ms) | resident bytes");
+/// Measures the check and the activation of a configuration by the number of accounts and targets.
+pub fn measure_accounts() -> Result<()> {
+    println!(
+        "accounts | targets | configuration bytes | check (ms) | activate (ms) | resident bytes"
+    );
     for (accounts, targets) in [(5, 22), (300, 1_000), (2_700, 1_000), (2_700, 10_000)] {
         let files = configuration(targets, accounts);
         let length: usize = files.values().map(String::len).sum();
         let begun = Instant::now();
-        let checked = check_files(1, &files).context("the configuration is right")?;
+        let checked = check_files(1, &files).context("the configuration is not valid")?;
         let check = begun.elapsed();
         black_box(checked);
         let before = resident();
         let begun = Instant::now();
         let node = configured(targets, accounts);
-        let take = begun.elapsed();
+        let activation = begun.elapsed();
         let bytes = resident().saturating_sub(before);
         black_box(&node);
         println!(
             "{accounts:>8} | {targets:>7} | {length:>9} | {:>7.2} | {:>7.2} | {bytes:>9}",
             check.as_secs_f64() * 1e3,
-            take.as_secs_f64() * 1e3
+            activation.as_secs_f64() * 1e3
         );
     }
     Ok(())
 }
 
 /// Rules in one file of the measured configurations.
-const RULES_EACH: usize = 256;
+const RULES_PER_FILE: usize = 256;
 
-/// What a change of a configuration costs: the first check, a change of one file of rules, and the way
-/// to another daemon.
-pub fn changes() -> Result<()> {
+/// Measures the first check of a configuration, a change of one of its files, and packing and unpacking it for another
+/// daemon.
+pub fn measure_changes() -> Result<()> {
     println!("rules | text bytes | check (ms) | one file changed (ms) | packed bytes | pack (ms) | unpack (ms)");
     for count in [250, 1_000, 4_000, 16_000] {
         let mut store = ConfigStore::default();
@@ -50,10 +53,10 @@
         if let Some(text) = second.files.get_mut("rules-00000.ini") {
             text.push_str("; changed\n");
         }
-        let (change, taken) = timed(|| store.offer(second));
-        ensure!(taken == StoreChange::Accepted, "{taken:?}");
+        let (change, outcome) = timed(|| store.offer(second));
+        ensure!(outcome == StoreChange::Accepted, "{outcome:?}");
         let (pack, archive) = timed(|| store.archive().map(|archive| archive.cloned()));
-        let archive = archive?.context("an archive")?;
+        let archive = archive?.context("there is no archive")?;
         let mut packed = Vec::new();
         while let Some(part) = archive.part(packed.len() as u32) {
             packed.extend_from_slice(&part.bytes);
@@ -68,8 +71,8 @@
     Ok(())
 }
 
-/// A configuration of rules as the users' platform has them; names are drawn so that they pack no better
-/// than real ones.
+/// Returns a configuration of rules like those of the users' platform. Names are taken from hashes, so that they don't
+/// compress better than real ones.
 fn rule_bundle(generation: u64, count: usize) -> ConfigBundle {
     let hex = |number: usize| -> String {
         let hash = hash_token(&number.to_string());
@@ -88,27 +91,28 @@
     };
     let base = "[tier t]\nrank = 0\n[pool p]\nkind = engine\n".to_string();
     let rules: Vec<String> = (0..count).map(rule).collect();
-    let files = rules.chunks(RULES_EACH).enumerate();
+    let files = rules.chunks(RULES_PER_FILE).enumerate();
     let files = files.map(|(index, rules)| (format!("rules-{index:05}.ini"), rules.concat()));
     let base = std::iter::once(("base.ini".to_string(), base));
     ConfigBundle { generation, files: base.chain(files).collect() }
 }
 
-/// Milliseconds that a call takes, and what it gives.
+/// Returns the duration of a call in milliseconds, and its result.
 fn timed<T>(call: impl FnOnce() -> T) -> (f64, T) {
     let begun = Instant::now();
-    let given = call();
-    (begun.elapsed().as_secs_f64() * 1e3, given)
+    let result = call();
+    (begun.elapsed().as_secs_f64() * 1e3, result)
 }
 
-pub fn keys() {
+/// Measures one claim by the number of keys that are held.
+pub fn measure_keys() {
     println!("keys held | one claim (ns) | resident bytes per key");
     for count in [10_000u32, 100_000, 400_000] {
-        let mut home = KeyHome::new(
+        let mut holder = KeyHome::new(
             daemon(0),
             KeyHomeOptions { key_limit: 10_000_000, ..KeyHomeOptions::default() },
         );
-        home.table_read(1, KeyTable::deal(64, &[daemon(0)]));
+        holder.table_read(1, KeyTable::deal(64, &[daemon(0)]));
         let before = resident();
         let wall = Duration::from_secs(1_000_000);
         let claim = |number: u32| KeyClaim {
@@ -118,7 +122,7 @@
             attempt: None,
         };
         let each = time_each(count, |number| {
-            let decision = home.claim(wall, &claim(number));
+            let decision = holder.claim(wall, &claim(number));
             assert_eq!(decision, KeyDecision::First);
         });
         let bytes = resident().saturating_sub(before) / u64::from(count);
--- a/crates/bench/src/support.rs
+++ b/crates/bench/src/support.rs
@@ -1,4 +1,4 @@
-//! What the measurements share: clocks, memory, and configured nodes.
+//! Shared by the measurements: durations, memory, and configured nodes.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,27 +8,29 @@
 use curlewcleat_node::{Node, NodeEvent, NodeOptions};
 use curlewcleat_sched::{EntryOptions, MemberOptions};
 
-/// The pool that is configured.
+/// Name of the configured pool.
 pub const POOL: &str = "pool";
 
-/// Mean time of one call over many.
+/// Returns the mean duration of a call over `count` calls.
 pub fn time_each(count: u32, mut call: impl FnMut(u32)) -> Duration {
     let begun = Instant::now();
     (0..count).for_each(&mut call);
     begun.elapsed() / count
 }
 
-/// Resident bytes of this process.
+/// Returns the resident bytes of this process.
 pub fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * 4_096
 }
 
+/// Returns the id of a daemon.
 pub fn daemon(index: usize) -> DaemonId {
     DaemonId { vm: format!("entry-{index:04}"), incarnation: index as u64 }
 }
 
-pub fn ask(number: u32, account: usize) -> PermitRequest {
+/// Returns a permit request; its tier and prefix depend on its number.
+pub fn permit_request(number: u32, account: usize) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(u128::from(number) + 1), attempt: 0 },
         pool: POOL.to_string(),
@@ -44,6 +46,7 @@
     }
 }
 
+/// Returns the files of a configuration with one pool.
 pub fn configuration(targets: usize, accounts: usize) -> BTreeMap<String, String> {
     let mut text = String::from(
         "[tier t0]\nrank = 0\n[tier t1]\nrank = 1\n[tier t2]\nrank = 2\n[tier t3]\nrank = 3\n\
@@ -68,11 +71,12 @@
     files.map(|(name, text)| (name.to_string(), text)).into()
 }
 
+/// Returns a daemon that sends its heartbeats to all others.
 pub fn node(index: usize) -> Node {
     node_in(index, usize::MAX)
 }
 
-/// A daemon whose heartbeats go to all others in a fleet up to `mesh_limit`.
+/// Returns a daemon that sends its heartbeats to all others in a fleet of up to `mesh_limit` daemons.
 pub fn node_in(index: usize, mesh_limit: usize) -> Node {
     Node::new(NodeOptions {
         me: daemon(index),
@@ -101,6 +105,7 @@
     })
 }
 
+/// Returns a daemon with a configuration in force.
 pub fn configured(targets: usize, accounts: usize) -> Node {
     let mut node = node(0);
     let files = configuration(targets, accounts);
