--- a/crates/acceptance/tests/contract.rs
+++ b/crates/acceptance/tests/contract.rs
@@ -152,10 +152,10 @@
         target_messages(),
         permit_messages(),
         used_permit_messages(),
-        level_messages(),
+        shed_messages(),
         key_messages(),
         archive_messages(),
-        target_life_messages(),
+        target_instance_messages(),
         suspect_messages(),
         rollout_messages(),
     ]
@@ -228,7 +228,7 @@
 }
 
 /// Returns messages about target instances, one with a start time and one without.
-fn target_life_messages() -> Vec<NamedMessage> {
+fn target_instance_messages() -> Vec<NamedMessage> {
     let mut started = target();
     started.entry.start = Some(TargetStart(1_764_720_000_123));
     let lives = |content| {
@@ -292,7 +292,7 @@
     ]
 }
 
-fn level_messages() -> Vec<NamedMessage> {
+fn shed_messages() -> Vec<NamedMessage> {
     vec![
         (
             "level raise",
--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -267,12 +267,12 @@
     let entry = &fleet.daemons[0].callers;
     fleet.engines.iter().for_each(|engine| engine.always(step));
     let call = Call::new("/once/a", "t").header(WIRE_PROFILE.time_left, "700");
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = call.send(entry).await?;
     assert_eq!(answer.status, status);
     assert!(answer.text.contains(text), "{}", answer.text);
     assert_eq!(answer.retry_after, None, "Retry-After would state that the request did not run");
-    assert!(begun.elapsed() < Duration::from_millis(1_500));
+    assert!(started.elapsed() < Duration::from_millis(1_500));
     assert_eq!(runs(&fleet, "t"), 1);
     Ok(())
 }
@@ -476,9 +476,9 @@
     engine.next(EngineStep::Silent);
     let waiting = Call::new("/plain/stream/a", "t2");
     assert!(tokio::time::timeout(EVENT_INTERVAL * 20, waiting.begin(&entry)).await.is_err());
-    let begun = Instant::now();
+    let started = Instant::now();
     wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.left) }).await?;
-    assert!(begun.elapsed() < Duration::from_millis(500));
+    assert!(started.elapsed() < Duration::from_millis(500));
     Ok(())
 }
 
--- a/crates/acceptance/tests/lethal_requests.rs
+++ b/crates/acceptance/tests/lethal_requests.rs
@@ -4,8 +4,8 @@
 //! request, and 29 under another. The callers repeated it with the same path, account and body at different daemons,
 //! and each daemon forwarded it as a new request, because the closed connection counted only as a failure of the
 //! engine. Every attempt reached one engine, terminated it some 80 ms after it began to run there, and was answered
-//! with a 502 at once. The first case below then logged the following three times in a row and then
-//! three times more, each time with the same digest:
+//! with a 502 at once. The first case below then logged the following three times in a row and then three
+//! times more, each time with the same digest:
 //!
 //! ```text
 //! attempt_failed  target=i-0 reason=target_closed cause=closed parts=0 answer_begun=false
--- a/crates/acceptance/tests/reserved_headers.rs
+++ b/crates/acceptance/tests/reserved_headers.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against a daemon that forwards every header that it doesn't set itself. A caller that set reserved headers
 //! took a slot and memory of a target ahead of all waiting requests, made targets copy memory to an address of its
-//! choice, and made working targets decline requests: 649 of 3,093 requests that received_by_target at targets in 34 s
+//! choice, and made working targets decline requests: 649 of 3,093 requests that arrived at targets in 34 s
 //! were declined there, and the log showed `attempt_failed` with `target_not_started` for each.
 
 use std::time::Duration;
--- a/crates/acceptance/tests/targets.rs
+++ b/crates/acceptance/tests/targets.rs
@@ -59,8 +59,8 @@
     let record =
         unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
     assert_eq!(refusal(&record), (reason.to_string(), true));
-    let victims = ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
-    assert_eq!(victims, expected_runs);
+    let actual_runs = ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
+    assert_eq!(actual_runs, expected_runs);
     // The same key again, while the fault of the other target is still set.
     let again = unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
     assert_eq!(refusal(&again), ("key_may_have_run".to_string(), true));
--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -49,9 +49,9 @@
             black_box(node.handle(now, wall, NodeEvent::Peer(frame)));
         });
         now += Duration::from_millis(500);
-        let begun = Instant::now();
+        let started = Instant::now();
         let actions = node.handle(now, wall, NodeEvent::Tick);
-        let sent = begun.elapsed();
+        let sent = started.elapsed();
         let frames: Vec<usize> = actions
             .iter()
             .filter_map(|action| match action {
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -216,7 +216,7 @@
     keyed: bool,
 ) -> Result<()> {
     let before = cpu_of_both(fleet)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let start = |caller: usize| {
         let address = addresses[caller % addresses.len()].clone();
         actix_rt::spawn(run_caller(address, format!("{name}-{caller}"), keyed))
@@ -226,7 +226,7 @@
     for task in tasks {
         times.extend(task.await?);
     }
-    let elapsed = begun.elapsed();
+    let elapsed = started.elapsed();
     times.sort();
     let requests = times.len();
     let sent = callers * REQUESTS_PER_CALLER;
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -18,14 +18,14 @@
     for (accounts, targets) in [(5, 22), (300, 1_000), (2_700, 1_000), (2_700, 10_000)] {
         let files = configuration(targets, accounts);
         let length: usize = files.values().map(String::len).sum();
-        let begun = Instant::now();
+        let started = Instant::now();
         let checked = check_files(1, &files).context("the configuration is not valid")?;
-        let check = begun.elapsed();
+        let check = started.elapsed();
         black_box(checked);
         let before = resident();
-        let begun = Instant::now();
+        let started = Instant::now();
         let node = configured(targets, accounts);
-        let activation = begun.elapsed();
+        let activation = started.elapsed();
         let bytes = resident().saturating_sub(before);
         black_box(&node);
         println!(
@@ -99,9 +99,9 @@
 
 /// Returns the duration of a call in milliseconds, and its result.
 fn timed<T>(call: impl FnOnce() -> T) -> (f64, T) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let result = call();
-    (begun.elapsed().as_secs_f64() * 1e3, result)
+    (started.elapsed().as_secs_f64() * 1e3, result)
 }
 
 /// Measures one claim by the number of keys that are held.
--- a/crates/bench/src/support.rs
+++ b/crates/bench/src/support.rs
@@ -13,9 +13,9 @@
 
 /// Returns the mean duration of a call over `count` calls.
 pub fn time_each(count: u32, mut call: impl FnMut(u32)) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     (0..count).for_each(&mut call);
-    begun.elapsed() / count
+    started.elapsed() / count
 }
 
 /// Returns the resident bytes of this process.
