--- a/crates/acceptance/src/lib.rs
+++ b/crates/acceptance/src/lib.rs
@@ -63,8 +63,8 @@
     fleet.daemons(daemons).await?;
     let text = configuration(&fleet, "", "");
     fleet.apply("all.ini", &text)?;
-    fleet.peers_ready(daemons - 1).await?;
-    fleet.key_table_ready().await?;
+    fleet.wait_for_peers(daemons - 1).await?;
+    fleet.wait_for_key_table().await?;
     Ok(fleet)
 }
 
--- a/crates/acceptance/tests/births.rs
+++ b/crates/acceptance/tests/births.rs
@@ -26,7 +26,8 @@
 
 /// Returns the number of calls of this kind between two tallies.
 fn calls_between(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, call: &str) -> u64 {
-    let count = |tally: &BTreeMap<String, u64>| tally.get(call).copied().unwrap_or_default();
+    let count =
+        |call_counts: &BTreeMap<String, u64>| call_counts.get(call).copied().unwrap_or_default();
     count(after) - count(before)
 }
 
@@ -40,14 +41,14 @@
     fleet.engine("lists", 1, EVENT_INTERVAL).await?;
     fleet.daemons(DAEMON_COUNT, "config_age_limit = 1500ms").await?;
     ready(&fleet).await?;
-    let first = fleet.store.tally();
+    let first = fleet.store.call_counts();
     assert_eq!(first.get(&format!("POST {DAEMONS}")), Some(&(DAEMON_COUNT as u64)), "{first:?}");
     // The restarted daemon is the last one, since the first ones schedule and read from the store.
     actix_rt::time::sleep(Duration::from_secs(1)).await;
-    let before = fleet.store.tally();
+    let before = fleet.store.call_counts();
     fleet.restart(DAEMON_COUNT - 1).await?;
     ready(&fleet).await?;
-    let after = fleet.store.tally();
+    let after = fleet.store.call_counts();
     let calls = |call: String| calls_between(&before, &after, &call);
     assert_eq!(calls(format!("GET {DAEMONS} old")), 1, "{after:?}");
     assert_eq!(calls(format!("GET {DAEMONS}")), 0, "{after:?}");
@@ -68,11 +69,11 @@
     let settings = std::fs::read_to_string(&fleet.daemons[0].settings)?;
     let changed = settings.replace("[callers]", "core_share = 0.5\n[callers]");
     std::fs::write(&fleet.daemons[0].settings, changed)?;
-    let before = fleet.store.tally();
+    let before = fleet.store.call_counts();
     fleet.restart(0).await?;
     ready(&fleet).await?;
     wait_until("the record", || async {
-        calls_between(&before, &fleet.store.tally(), &format!("PUT {DAEMONS}")) == 1
+        calls_between(&before, &fleet.store.call_counts(), &format!("PUT {DAEMONS}")) == 1
     })
     .await
 }
--- a/crates/acceptance/tests/callers.rs
+++ b/crates/acceptance/tests/callers.rs
@@ -2,9 +2,9 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome};
 use curlewcleat_standins::deployment::{get_text, wait_status, wait_until, Deployment};
-use curlewcleat_standins::verdicts::ledgers;
+use curlewcleat_standins::verdicts::read_ledgers;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -28,14 +28,17 @@
 /// Checks that the daemon still serves requests.
 async fn still_serves(fleet: &Deployment) -> Result<()> {
     let call = CallerCall::service("/v1/sessions/unlock", DRIVERS, "still");
-    assert_eq!(call.send(&caller_client(), &fleet.daemons[0].callers).await.end, CallerEnd::Whole);
+    assert_eq!(
+        call.send(&caller_client(), &fleet.daemons[0].callers).await.outcome,
+        CallerOutcome::Complete
+    );
     Ok(())
 }
 
 /// Returns status, reason and "may have run" of a refusal.
-fn reason(end: &CallerEnd) -> (u16, String, bool) {
+fn reason(end: &CallerOutcome) -> (u16, String, bool) {
     match end {
-        CallerEnd::Refused { status, reason, may_have_run, .. } => {
+        CallerOutcome::Refused { status, reason, may_have_run, .. } => {
             (*status, reason.clone(), *may_have_run)
         }
         other => panic!("{other:?}"),
@@ -54,7 +57,7 @@
     let call =
         CallerCall::service("/v1/sessions/unlock", DRIVERS, "n").header("Idempotency-Key", "k");
     let record = call.header(name, value).send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(reason(&record.end), (400, "bad_header".to_string(), false));
+    assert_eq!(reason(&record.outcome), (400, "bad_header".to_string(), false));
     still_serves(&fleet).await
 }
 
@@ -65,8 +68,8 @@
     let call =
         CallerCall::engine("/v1/assistant/ask", DEPOTS, "n", "x", 2_000).header("Prefer", "wait=1");
     let record = call.send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(reason(&record.end), (503, "deadline_unreachable".to_string(), false));
-    assert!(ledgers(&fleet).await?.is_empty(), "the engine does not process its prompt");
+    assert_eq!(reason(&record.outcome), (503, "deadline_unreachable".to_string(), false));
+    assert!(read_ledgers(&fleet).await?.is_empty(), "the engine does not process its prompt");
     Ok(())
 }
 
@@ -138,7 +141,7 @@
         tasks.push(actix_rt::spawn(async move { call.send(&caller_client(), &entry).await }));
     }
     wait_until("four requests run", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 4)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 4)
     })
     .await?;
     wait_status(&fleet.daemons[0].operators, "eight requests", |status| status["requests"] == 8)
@@ -154,7 +157,7 @@
         .await?;
     }
     let call = CallerCall::engine("/v1/assistant/ask", DEPOTS, "next", "x", 5);
-    assert_eq!(call.send(&caller_client(), &entry).await.end, CallerEnd::Whole);
+    assert_eq!(call.send(&caller_client(), &entry).await.outcome, CallerOutcome::Complete);
     Ok(())
 }
 
@@ -165,8 +168,8 @@
     let call = CallerCall::engine("/v1/assistant/ask", DEPOTS, "n", &prompt, 5)
         .header("Curlewcleat-Timeout-Ms", "60000");
     let record = call.send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, CallerEnd::Whole);
-    let prefill: u64 = ledgers(&fleet).await?.iter().map(|entry| entry.prefill).sum();
+    assert_eq!(record.outcome, CallerOutcome::Complete);
+    let prefill: u64 = read_ledgers(&fleet).await?.iter().map(|entry| entry.prefill).sum();
     assert_eq!(prefill, 9 * 200_000 / 4);
     Ok(())
 }
@@ -211,7 +214,7 @@
     let mut stream = TcpStream::connect(entry).await?;
     stream.write_all(head.as_bytes()).await?;
     wait_until("the request runs", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
     })
     .await?;
     wait_until("the stalled caller is counted", || async {
--- a/crates/acceptance/tests/daemons.rs
+++ b/crates/acceptance/tests/daemons.rs
@@ -5,9 +5,9 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome, CallerRecord};
 use curlewcleat_standins::deployment::{status, wait_status, wait_until, Deployment};
-use curlewcleat_standins::verdicts::{disagreements, ledgers};
+use curlewcleat_standins::verdicts::{disagreements, read_ledgers};
 use curlewcleat_targets::ConnectionPool;
 use rstest::rstest;
 use serde_json::json;
@@ -22,7 +22,7 @@
 
 /// Checks that the answers of the callers agree with the records of the targets.
 async fn check_agreement(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
-    assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
+    assert_eq!(disagreements(&read_ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
 
@@ -38,7 +38,9 @@
 /// Waits until the records of the targets contain a nonce.
 async fn wait_running(fleet: &Deployment, nonce: &str) -> Result<()> {
     wait_until(&format!("{nonce} runs"), || async {
-        ledgers(fleet).await.is_ok_and(|entries| entries.iter().any(|entry| entry.nonce == nonce))
+        read_ledgers(fleet)
+            .await
+            .is_ok_and(|entries| entries.iter().any(|entry| entry.nonce == nonce))
     })
     .await
 }
@@ -71,18 +73,18 @@
     let calls: Vec<CallerCall> = (0..10).map(|index| ask(&format!("lost-{index}"), 200)).collect();
     let tasks = begin(calls, &fleet.daemons[killed].callers);
     wait_until("four requests run", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
     })
     .await?;
     fleet.daemons[killed].process.kill();
     let mut records = finish(tasks).await?;
-    assert!(records.iter().all(|record| record.end == CallerEnd::Broken));
+    assert!(records.iter().all(|record| record.outcome == CallerOutcome::Interrupted));
     // The permits of the killed daemon are released, so that the slots are free for later requests.
     for index in 0..4 {
         let record = ask(&format!("later-{index}"), 5)
             .send(&caller_client(), &fleet.daemons[other].callers)
             .await;
-        assert_eq!(record.end, CallerEnd::Whole);
+        assert_eq!(record.outcome, CallerOutcome::Complete);
         records.push(record);
     }
     check_agreement(&fleet, &records).await
@@ -99,13 +101,13 @@
     let calls: Vec<CallerCall> = (0..8).map(|index| ask(&format!("q-{index}"), 100)).collect();
     let tasks = begin(calls, &fleet.daemons[entry].callers);
     wait_until("four requests run", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() >= 4)
     })
     .await?;
     fleet.daemons[scheduler].process.signal(signal)?;
     let mut records = finish(tasks).await?;
     for record in &records {
-        assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
+        assert_eq!(record.outcome, CallerOutcome::Complete, "{}", record.nonce);
     }
     if signal == "STOP" {
         // The resumed scheduler still holds its old permits, which must have no effect.
@@ -119,7 +121,7 @@
         for index in 0..6 {
             let at = &fleet.daemons[index % 3].callers;
             let record = ask(&format!("after-{index}"), 5).send(&caller_client(), at).await;
-            assert_eq!(record.end, CallerEnd::Whole);
+            assert_eq!(record.outcome, CallerOutcome::Complete);
             records.push(record);
         }
     }
@@ -139,8 +141,8 @@
     for other in [1, 2] {
         let record =
             unlock("n", "the-key").send(&caller_client(), &fleet.daemons[other].callers).await;
-        let CallerEnd::Refused { may_have_run, .. } = record.end else {
-            panic!("{:?}", record.end)
+        let CallerOutcome::Refused { may_have_run, .. } = record.outcome else {
+            panic!("{:?}", record.outcome)
         };
         assert!(may_have_run);
         records.push(record);
@@ -159,7 +161,7 @@
         (0..8).map(|index| unlock(&format!("busy-{index}"), &format!("b{index}"))).collect();
     let busy = begin(busy, &fleet.daemons[1].callers);
     wait_until("eight requests run", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 8)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 8)
     })
     .await?;
     let late = unlock("late", "late-key").header("Curlewcleat-Timeout-Ms", "2000");
@@ -175,8 +177,8 @@
     .await?;
     fleet.daemons[0].process.signal("CONT")?;
     let late = finish(late).await?;
-    let CallerEnd::Refused { reason, may_have_run, .. } = &late[0].end else {
-        panic!("{:?}", late[0].end)
+    let CallerOutcome::Refused { reason, may_have_run, .. } = &late[0].outcome else {
+        panic!("{:?}", late[0].outcome)
     };
     assert!(["deadline_passed", "deadline_unreachable"].contains(&reason.as_str()), "{reason}");
     assert!(!may_have_run);
@@ -206,10 +208,10 @@
     .await?;
     let refused = ask("too-late", 5).send(&client, &fleet.daemons[draining].callers).await;
     assert!(
-        matches!(&refused.end, CallerEnd::Refused { reason, may_have_run: false, .. } if reason == "draining")
+        matches!(&refused.outcome, CallerOutcome::Refused { reason, may_have_run: false, .. } if reason == "draining")
     );
     let long = finish(long).await?;
-    assert_eq!(long[0].end, CallerEnd::Whole);
+    assert_eq!(long[0].outcome, CallerOutcome::Complete);
     wait_until_ended(&mut fleet, draining).await?;
     // Each key and its small answer are still known.
     wait_status(&fleet.daemons[other].operators, "a newer key table", |status| {
@@ -219,7 +221,7 @@
     for index in 0..12 {
         let again = unlock(&format!("u-{index}"), &format!("k-{index}"));
         let record = again.send(&client, &fleet.daemons[other].callers).await;
-        assert_eq!(record.end, CallerEnd::Whole, "the kept answer of k-{index}");
+        assert_eq!(record.outcome, CallerOutcome::Complete, "the kept answer of k-{index}");
         records.push(record);
     }
     records.extend(long);
@@ -255,8 +257,10 @@
 
 /// Returns the reason of each refusal and whether the request may have run.
 fn refusals(records: &[CallerRecord]) -> Vec<(&str, bool)> {
-    let refusals = records.iter().filter_map(|record| match &record.end {
-        CallerEnd::Refused { reason, may_have_run, .. } => Some((reason.as_str(), *may_have_run)),
+    let refusals = records.iter().filter_map(|record| match &record.outcome {
+        CallerOutcome::Refused { reason, may_have_run, .. } => {
+            Some((reason.as_str(), *may_have_run))
+        }
         _ => None,
     });
     refusals.collect()
@@ -302,7 +306,7 @@
         let record = unlock(&format!("fresh-{index}"), &key)
             .send(&client, &fleet.daemons[index % 2].callers)
             .await;
-        assert_eq!(record.end, CallerEnd::Whole);
+        assert_eq!(record.outcome, CallerOutcome::Complete);
         records.push(record);
     }
     check_agreement(&fleet, &records).await
@@ -318,7 +322,7 @@
         let call =
             unlock(&format!("n-{index}"), &format!("k-{index}")).header("Idempotency-Attempt", "1");
         let record = call.send(&client, &fleet.daemons[0].callers).await;
-        assert_eq!(record.end, CallerEnd::Whole);
+        assert_eq!(record.outcome, CallerOutcome::Complete);
         records.push(record);
         let call =
             unlock(&format!("n-{index}"), &format!("k-{index}")).header("Idempotency-Attempt", "2");
@@ -333,13 +337,13 @@
 #[actix_rt::test]
 async fn cut_links_between_daemons_cause_no_second_run(#[case] cut: Vec<usize>) -> Result<()> {
     let mut fleet = Deployment::start("cut-links").await?;
-    fleet.relayed();
+    fleet.use_relays();
     fleet.target("engine", &["--slots", "4"]).await?;
     fleet.target("service", &["--slots", "8"]).await?;
     fleet.daemons(3).await?;
     fleet.apply("all.ini", &configuration(&fleet, "", ""))?;
-    fleet.peers_ready(2).await?;
-    fleet.key_table_ready().await?;
+    fleet.wait_for_peers(2).await?;
+    fleet.wait_for_key_table().await?;
     for index in &cut {
         fleet.relays[*index].set_cut(true);
     }
@@ -348,7 +352,7 @@
     for index in 0..12 {
         let at = &fleet.daemons[index % 3].callers;
         let record = ask(&format!("a-{index}"), 5).send(&caller_client(), at).await;
-        served += usize::from(record.end == CallerEnd::Whole);
+        served += usize::from(record.outcome == CallerOutcome::Complete);
         records.push(record);
         let call = unlock(&format!("u-{index}"), &format!("k-{index}"));
         records.push(call.send(&caller_client(), at).await);
@@ -361,10 +365,10 @@
     for index in &cut {
         fleet.relays[*index].set_cut(false);
     }
-    fleet.peers_ready(2).await?;
+    fleet.wait_for_peers(2).await?;
     let record =
         unlock("healed", "healed-key").send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, CallerEnd::Whole);
+    assert_eq!(record.outcome, CallerOutcome::Complete);
     records.push(record);
     check_agreement(&fleet, &records).await
 }
--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -205,10 +205,10 @@
 }
 
 #[rstest]
-#[case::closed_within_an_event("broken", EngineStep::Break(3))]
-#[case::closed_before_the_first_event("begin", EngineStep::Break(0))]
+#[case::closed_within_an_event("broken", EngineStep::Interrupt(3))]
+#[case::closed_before_the_first_event("begin", EngineStep::Interrupt(0))]
 #[case::closed_without_an_answer("closed", EngineStep::Close)]
-#[case::silent("silent", EngineStep::Silent)]
+#[case::silent("silent", EngineStep::Stall)]
 #[case::failed("failed", EngineStep::Fail(500))]
 #[case::declined("declined", EngineStep::Decline)]
 #[actix_rt::test]
@@ -223,11 +223,11 @@
         call.is_ok_and(|answer| answer.status == 200)
     })
     .await?;
-    fleet.engines.iter().for_each(|engine| engine.next(step));
+    fleet.engines.iter().for_each(|engine| engine.queue_step(step));
     // Both engines fail once; the observed attempt meets at least one failure and may need the other engine.
     let _ = Call::new("/resumed/stream/a", "first").send(&entry).await?;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Serve));
-    fleet.engines[0].next(step);
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(EngineStep::Serve));
+    fleet.engines[0].queue_step(step);
     let answer = Call::new("/resumed/stream/a", "t").send(&entry).await?;
     assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
     assert_eq!(answer.text, FleetEngine::expected_stream("t", EVENTS));
@@ -235,7 +235,7 @@
 }
 
 #[rstest]
-#[case::closed_within_an_event("broken", EngineStep::Break(3))]
+#[case::closed_within_an_event("broken", EngineStep::Interrupt(3))]
 #[case::closed_without_an_answer("closed", EngineStep::Close)]
 #[actix_rt::test]
 async fn stream_that_may_not_be_resumed_runs_once_and_is_interrupted(
@@ -244,7 +244,7 @@
 ) -> Result<()> {
     let fleet = ready(&format!("plain-{name}"), 1, 1, 2).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines.iter().for_each(|engine| engine.always(step));
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(step));
     let answer = Call::new("/plain/stream/a", "t").send(entry).await?;
     assert!(!answer.whole || answer.status == 502, "{answer:?}");
     assert_eq!(runs(&fleet, "t"), 1);
@@ -253,9 +253,9 @@
 
 #[rstest]
 #[case::closed("closed", EngineStep::Close, 502, "target_closed")]
-#[case::unnamed("unnamed", EngineStep::Unnamed, 502, "target_protocol")]
+#[case::unnamed("unnamed", EngineStep::WithoutAttemptId, 502, "target_protocol")]
 #[case::failed("failed", EngineStep::Fail(500), 500, "failed")]
-#[case::silent("silent", EngineStep::Silent, 504, "first_byte_timeout")]
+#[case::silent("silent", EngineStep::Stall, 504, "first_byte_timeout")]
 #[actix_rt::test]
 async fn record_that_may_not_be_repeated_runs_once(
     #[case] name: &str,
@@ -265,7 +265,7 @@
 ) -> Result<()> {
     let fleet = ready(&format!("once-{name}"), 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines.iter().for_each(|engine| engine.always(step));
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(step));
     let call = Call::new("/once/a", "t").header(WIRE_PROFILE.time_left, "700");
     let started = Instant::now();
     let answer = call.send(entry).await?;
@@ -282,7 +282,7 @@
 async fn timeout_of_the_first_byte_at_the_deadline_is_the_reason_of_the_refusal() -> Result<()> {
     let fleet = ready("silent-together", 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Silent));
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(EngineStep::Stall));
     // With more failures, the targets would be ejected.
     let attempts: Vec<String> = (0..8).map(|number| format!("t{number}")).collect();
     let calls = attempts.iter().map(|attempt| async move {
@@ -299,7 +299,7 @@
 async fn declined_record_runs_at_another_engine_or_is_refused_as_not_run() -> Result<()> {
     let fleet = ready("declined", 1, 2, 0).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines.iter().for_each(|engine| engine.next(EngineStep::Decline));
+    fleet.engines.iter().for_each(|engine| engine.queue_step(EngineStep::Decline));
     let refused = Call::new("/once/a", "t1").send(entry).await?;
     assert_eq!(refused.status, 503);
     assert!(refused.retry_after.is_some_and(|wait| wait > 0.0));
@@ -310,8 +310,8 @@
 }
 
 #[rstest]
-#[case::twice("twice", EngineStep::Twice)]
-#[case::unframed("unframed", EngineStep::Unframed)]
+#[case::twice("twice", EngineStep::AnswerTwice)]
+#[case::unframed("unframed", EngineStep::WithoutLength)]
 #[actix_rt::test]
 async fn answers_reach_their_own_callers(
     #[case] name: &str,
@@ -319,7 +319,7 @@
 ) -> Result<()> {
     let fleet = ready(&format!("own-{name}"), 1, 1, 0).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet.engines[0].always(step);
+    fleet.engines[0].set_default_step(step);
     for number in 0..40 {
         let attempt = format!("t{number}");
         let answer = Call::new("/again/a", &attempt).send(entry).await?;
@@ -334,7 +334,7 @@
 #[rstest]
 #[case::busy("busy", StoreOutage::Status(503))]
 #[case::limited("limited", StoreOutage::Status(429))]
-#[case::silent("silent", StoreOutage::Silent)]
+#[case::silent("silent", StoreOutage::Unresponsive)]
 #[case::closed("closed", StoreOutage::Closed)]
 #[actix_rt::test]
 async fn requests_with_a_key_are_refused_when_the_configuration_cannot_be_proved(
@@ -472,12 +472,14 @@
     })
     .await?;
     let engine = fleet.engines[1].clone();
-    wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.left) }).await?;
-    engine.next(EngineStep::Silent);
+    wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.disconnected) })
+        .await?;
+    engine.queue_step(EngineStep::Stall);
     let waiting = Call::new("/plain/stream/a", "t2");
     assert!(tokio::time::timeout(EVENT_INTERVAL * 20, waiting.begin(&entry)).await.is_err());
     let started = Instant::now();
-    wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.left) }).await?;
+    wait_until("the engine notices", || async { engine.runs().iter().all(|run| run.disconnected) })
+        .await?;
     assert!(started.elapsed() < Duration::from_millis(500));
     Ok(())
 }
@@ -545,7 +547,7 @@
     fleet.daemons(1, BOUNDS).await?;
     let entry = &fleet.daemons[0].callers;
     assert_eq!(Call::new("/once/a", "t").send(entry).await?.status, 503);
-    fleet.store.set_hasty_watches(true);
+    fleet.store.set_immediate_watches(true);
     let before = fleet.store.calls();
     tokio::time::sleep(Duration::from_secs(1)).await;
     let calls = fleet.store.calls() - before;
@@ -556,7 +558,7 @@
 #[actix_rt::test]
 async fn daemons_find_each_other_although_answers_of_the_store_are_lost() -> Result<()> {
     let mut fleet = FleetDeployment::start("peers").await?;
-    fleet.store.lose_writes(2);
+    fleet.store.drop_write_answers(2);
     fleet.store_config()?;
     fleet.engine("records", 0, EVENT_INTERVAL).await?;
     fleet.daemons(3, BOUNDS).await?;
--- a/crates/acceptance/tests/lethal_requests.rs
+++ b/crates/acceptance/tests/lethal_requests.rs
@@ -66,7 +66,7 @@
     }
     fleet.daemons(3, "retry_saved = 100\nretry_ratio = 0.5").await?;
     wait_ready(&fleet, path).await?;
-    fleet.engines_end_under(LETHAL, ENTRY_EXPIRY);
+    fleet.terminate_engines_on(LETHAL, ENTRY_EXPIRY);
     Ok(fleet)
 }
 
@@ -74,7 +74,7 @@
 /// terminations to each other: an attempt 20 ms after another one, at a daemon started 100 ms before, reached a fourth
 /// engine.
 async fn wait_ready(fleet: &FleetDeployment, path: &str) -> Result<()> {
-    fleet.peers_known().await?;
+    fleet.wait_for_all_peers().await?;
     for daemon in &fleet.daemons {
         wait_until("ready", || async { get_text(&daemon.operators, "/readyz").await.is_ok() })
             .await?;
--- a/crates/acceptance/tests/lives.rs
+++ b/crates/acceptance/tests/lives.rs
@@ -107,13 +107,13 @@
     let fleet = ready("lives-once", 1).await?;
     let entry = fleet.daemons[0].callers.clone();
     let engine = fleet.engines[0].clone();
-    engine.next(EngineStep::Silent);
+    engine.queue_step(EngineStep::Stall);
     let sent = actix_rt::spawn(async move { send(&entry, "/once/a", "once").await });
     wait_until("the request runs", || async {
         engine.runs().iter().any(|run| run.attempt == "once" && run.ran)
     })
     .await?;
-    engine.always(EngineStep::Decline);
+    engine.set_default_step(EngineStep::Decline);
     announce(&fleet, SECOND_START_MS, &fleet.engine_addresses[0], "ready");
     let status = sent.await??;
     assert!(matches!(status, 502 | 504), "{status}");
--- a/crates/acceptance/tests/pairs.rs
+++ b/crates/acceptance/tests/pairs.rs
@@ -4,10 +4,10 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{CallerEnd, CallerRecord};
+use curlewcleat_standins::callers::{CallerOutcome, CallerRecord};
 use curlewcleat_standins::deployment::{wait_until, Deployment};
 use curlewcleat_standins::load::{report, LoadPlan, LoadReport, LoadStream};
-use curlewcleat_standins::verdicts::{disagreements, ledgers};
+use curlewcleat_standins::verdicts::{disagreements, read_ledgers};
 use serde_json::json;
 
 /// Seed of the loads; printed with each failure.
@@ -48,7 +48,7 @@
     plan: &LoadPlan,
     records: &[CallerRecord],
 ) -> Result<LoadReport> {
-    let runs = ledgers(fleet).await?;
+    let runs = read_ledgers(fleet).await?;
     assert_eq!(disagreements(&runs, records), Vec::<String>::new(), "seed {SEED}");
     let report = report(plan, records, &runs);
     report.print();
@@ -91,7 +91,7 @@
     let plan = plan(45.0);
     let load = begin(&plan, &fleet);
     wait_until("the load runs", || async {
-        ledgers(&fleet).await.is_ok_and(|runs| runs.len() > 40)
+        read_ledgers(&fleet).await.is_ok_and(|runs| runs.len() > 40)
     })
     .await?;
     fleet.daemons[0].process.kill();
@@ -100,7 +100,7 @@
     // Calls go to the daemons in turn. The two running daemons served every request that needed no key of the killed
     // one, although the platform was down all the time.
     for (index, record) in records.iter().enumerate().filter(|(index, _)| index % 3 != 0) {
-        let served = record.end == CallerEnd::Whole;
+        let served = record.outcome == CallerOutcome::Complete;
         assert!(served || record.tier == "start-stop", "{index} {record:?}, seed {SEED}");
     }
     Ok(())
@@ -112,7 +112,7 @@
     let plan = plan(45.0);
     let load = begin(&plan, &fleet);
     wait_until("the load runs", || async {
-        ledgers(&fleet).await.is_ok_and(|runs| runs.len() > 40)
+        read_ledgers(&fleet).await.is_ok_and(|runs| runs.len() > 40)
     })
     .await?;
     fleet.daemons[1].process.signal("STOP")?;
@@ -120,9 +120,9 @@
         let faults = json!({"cuts": 3, "cut_bytes": 20, "close_after_read": 3, "close_pooled": 3, "not_started": 3});
         fleet.fault(&target.address, faults).await?;
     }
-    let runs = ledgers(&fleet).await?.len();
+    let runs = read_ledgers(&fleet).await?.len();
     wait_until("the load goes on", || async {
-        ledgers(&fleet).await.is_ok_and(|now| now.len() > runs + 60)
+        read_ledgers(&fleet).await.is_ok_and(|now| now.len() > runs + 60)
     })
     .await?;
     fleet.daemons[1].process.signal("CONT")?;
--- a/crates/acceptance/tests/path.rs
+++ b/crates/acceptance/tests/path.rs
@@ -2,8 +2,8 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
-use curlewcleat_standins::verdicts::{disagreements, ledgers};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome};
+use curlewcleat_standins::verdicts::{disagreements, read_ledgers};
 
 #[actix_rt::test]
 async fn each_daemon_serves_a_stream_and_an_unlock() -> Result<()> {
@@ -25,9 +25,9 @@
         records.push(stream.send(&client, &daemon.callers).await);
     }
     for record in &records {
-        assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
+        assert_eq!(record.outcome, CallerOutcome::Complete, "{}", record.nonce);
     }
-    assert_eq!(disagreements(&ledgers(&fleet).await?, &records), Vec::<String>::new());
+    assert_eq!(disagreements(&read_ledgers(&fleet).await?, &records), Vec::<String>::new());
     Ok(())
 }
 
@@ -39,14 +39,14 @@
     let unknown_token =
         CallerCall::service("/v1/sessions/unlock", "nobody", "n1").send(&client, entry).await;
     let unknown_path = CallerCall::service("/v1/nowhere", DRIVERS, "n2").send(&client, entry).await;
-    let refused = |record: &curlewcleat_standins::callers::CallerRecord| match &record.end {
-        CallerEnd::Refused { status, reason, may_have_run, .. } => {
+    let refused = |record: &curlewcleat_standins::callers::CallerRecord| match &record.outcome {
+        CallerOutcome::Refused { status, reason, may_have_run, .. } => {
             (*status, reason.clone(), *may_have_run)
         }
         other => panic!("{other:?}"),
     };
     assert_eq!(refused(&unknown_token), (401, "unauthorized".to_string(), false));
     assert_eq!(refused(&unknown_path), (404, "no_rule".to_string(), false));
-    assert!(ledgers(&fleet).await?.is_empty());
+    assert!(read_ledgers(&fleet).await?.is_empty());
     Ok(())
 }
--- a/crates/acceptance/tests/platform.rs
+++ b/crates/acceptance/tests/platform.rs
@@ -2,9 +2,9 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome};
 use curlewcleat_standins::deployment::{get_json, status, wait_status, wait_until, Deployment};
-use curlewcleat_standins::verdicts::ledgers;
+use curlewcleat_standins::verdicts::read_ledgers;
 use rstest::rstest;
 use serde_json::json;
 
@@ -25,7 +25,8 @@
     fleet.fault(&fleet.platform.address, json!({"down": true})).await?;
     fleet.daemons(1).await?;
     let record = ask("early").send(&caller_client(), &fleet.daemons[0].callers).await;
-    let CallerEnd::Refused { status: code, reason, may_have_run, retry_after } = record.end else {
+    let CallerOutcome::Refused { status: code, reason, may_have_run, retry_after } = record.outcome
+    else {
         panic!()
     };
     assert_eq!(
@@ -35,8 +36,8 @@
     fleet.fault(&fleet.platform.address, json!({})).await?;
     fleet.apply("all.ini", &configuration(&fleet, "", ""))?;
     assert_eq!(
-        ask("later").send(&caller_client(), &fleet.daemons[0].callers).await.end,
-        CallerEnd::Whole
+        ask("later").send(&caller_client(), &fleet.daemons[0].callers).await.outcome,
+        CallerOutcome::Complete
     );
     Ok(())
 }
@@ -51,10 +52,16 @@
     wait_status(&started.operators, "the configuration", |status| status["generation"] == 1)
         .await?;
     wait_status(&started.operators, "the key table", |status| status["key_table"] == 1).await?;
-    assert_eq!(ask("n").send(&caller_client(), &started.callers).await.end, CallerEnd::Whole);
+    assert_eq!(
+        ask("n").send(&caller_client(), &started.callers).await.outcome,
+        CallerOutcome::Complete
+    );
     let unlock =
         CallerCall::service("/v1/sessions/unlock", DRIVERS, "u").header("Idempotency-Key", "k");
-    assert_eq!(unlock.send(&caller_client(), &started.callers).await.end, CallerEnd::Whole);
+    assert_eq!(
+        unlock.send(&caller_client(), &started.callers).await.outcome,
+        CallerOutcome::Complete
+    );
     Ok(())
 }
 
@@ -90,8 +97,8 @@
     let fleet = ready_fleet("slow", 1, 1, 2).await?;
     fleet.fault(&fleet.platform.address, json!({"slow_ms": 700})).await?;
     assert_eq!(
-        ask("n").send(&caller_client(), &fleet.daemons[0].callers).await.end,
-        CallerEnd::Whole
+        ask("n").send(&caller_client(), &fleet.daemons[0].callers).await.outcome,
+        CallerOutcome::Complete
     );
     fleet.apply("extra.ini", &extra_account("one"))?;
     Ok(())
@@ -132,7 +139,7 @@
     let entry = fleet.daemons[0].callers.clone();
     let long = actix_rt::spawn(async move { long.send(&caller_client(), &entry).await });
     wait_until("the long stream runs", || async {
-        ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
+        read_ledgers(&fleet).await.is_ok_and(|entries| entries.len() == 1)
     })
     .await?;
     let mut leaver = 0;
@@ -157,12 +164,12 @@
         let record = ask(&format!("n{index}"))
             .send(&caller_client(), &fleet.daemons[index % 2].callers)
             .await;
-        assert_eq!(record.end, CallerEnd::Whole);
+        assert_eq!(record.outcome, CallerOutcome::Complete);
     }
     let after =
         get_json(&fleet.targets[leaver].address, "/_ledger").await?.as_array().map_or(0, Vec::len);
     assert_eq!(before, after, "the leaving target received new requests");
-    assert_eq!(long.await?.end, CallerEnd::Whole, "the stream in progress finishes");
+    assert_eq!(long.await?.outcome, CallerOutcome::Complete, "the stream in progress finishes");
     Ok(())
 }
 
--- a/crates/acceptance/tests/rollouts.rs
+++ b/crates/acceptance/tests/rollouts.rs
@@ -44,7 +44,7 @@
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..OLD_ENGINES {
-        fleet.engine_of(POOL, "v1", 3, RECORD_TIME).await?;
+        fleet.engine_with_version(POOL, "v1", 3, RECORD_TIME).await?;
     }
     fleet.daemons(DAEMONS, BOUNDS).await?;
     wait_served(&fleet, PATH).await?;
@@ -56,8 +56,8 @@
     let spec = json!({ "backend": POOL, "target_version": "v2", "duration_s": ORDER_SECONDS });
     fleet.store.put(ROLLOUTS, POOL, spec);
     for _ in 0..OLD_ENGINES {
-        fleet.engine_of(POOL, "v2", 3, RECORD_TIME).await?;
-        fleet.engines.last().expect("an engine").always(step);
+        fleet.engine_with_version(POOL, "v2", 3, RECORD_TIME).await?;
+        fleet.engines.last().expect("an engine").set_default_step(step);
     }
     Ok(())
 }
@@ -96,7 +96,7 @@
 #[rstest]
 #[case::fails("fails", EngineStep::Fail(500))]
 #[case::closes("closes", EngineStep::Close)]
-#[case::slow("slow", EngineStep::Late(Duration::from_millis(200)))]
+#[case::slow("slow", EngineStep::Delay(Duration::from_millis(200)))]
 #[actix_rt::test]
 async fn bad_version_gets_a_small_share_and_is_rolled_back(
     #[case] name: &str,
@@ -152,7 +152,7 @@
         "a request may still have run at the old version: idle for {idle:?}"
     );
     for index in 0..OLD_ENGINES {
-        fleet.end_engine(index).await;
+        fleet.terminate_engine(index).await;
     }
     let after = load(entries(&fleet), PATH, Duration::from_secs(1)).await;
     assert!(served(&results) > 0.99, "served share {}", served(&results));
@@ -169,7 +169,7 @@
     let since = Instant::now();
     order(&mut fleet, EngineStep::Fail(500)).await?;
     wait_until("running", || async { state(&fleet) == RUNNING }).await?;
-    fleet.store.set_outage(Some(StoreOutage::Silent));
+    fleet.store.set_outage(Some(StoreOutage::Unresponsive));
     load(entries(&fleet), "/once/open/a", Duration::from_secs(ORDER_SECONDS)).await;
     let (_, new) = arrivals_by_version(&fleet, since);
     let late = new.iter().filter(|at| **at > since + LAST_REQUEST_LIMIT * 2).count();
@@ -183,13 +183,13 @@
 async fn version_without_an_order_serves() -> Result<()> {
     let mut fleet = ready("rollout-none").await?;
     let since = Instant::now();
-    fleet.engine_of(POOL, "v2", 3, RECORD_TIME).await?;
+    fleet.engine_with_version(POOL, "v2", 3, RECORD_TIME).await?;
     load(entries(&fleet), PATH, Duration::from_secs(5)).await;
     let (_, new) = arrivals_by_version(&fleet, since);
     assert!(!new.is_empty());
     // The other engines are stopped, so that only the new one remains.
     for index in 0..OLD_ENGINES {
-        fleet.end_engine(index).await;
+        fleet.terminate_engine(index).await;
     }
     let results = load(entries(&fleet), PATH, Duration::from_secs(1)).await;
     assert!(served(&results) > 0.95, "served share {}", served(&results));
--- a/crates/acceptance/tests/silent_targets.rs
+++ b/crates/acceptance/tests/silent_targets.rs
@@ -105,15 +105,15 @@
 ) -> Result<()> {
     let runs = || fleet.engines.iter().flat_map(|engine| engine.runs());
     wait_until("the attempt runs", || async { runs().any(|run| run.attempt == attempt) }).await?;
-    fleet.engines.iter().for_each(|engine| engine.always(step));
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(step));
     Ok(())
 }
 
 /// The first target pauses and never continues. The second attempt is the last that the rule allows: its target begins
 /// late, or pauses after it began. In one case a planned stop of the daemon begins meanwhile.
 #[rstest]
-#[case::late("late", EngineStep::Late(LONG_PAUSE), false)]
-#[case::late_at_a_planned_stop("late-stop", EngineStep::Late(LONG_PAUSE), true)]
+#[case::late("late", EngineStep::Delay(LONG_PAUSE), false)]
+#[case::late_at_a_planned_stop("late-stop", EngineStep::Delay(LONG_PAUSE), true)]
 #[case::paused("paused", EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE), false)]
 #[actix_rt::test]
 async fn target_of_the_last_allowed_attempt_is_waited_for(
@@ -123,10 +123,9 @@
 ) -> Result<()> {
     let fleet = ready(&format!("last-{name}"), "engines", 2, RETRIES).await?;
     let entry = &fleet.daemons[0].callers;
-    fleet
-        .engines
-        .iter()
-        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE)));
+    fleet.engines.iter().for_each(|engine| {
+        engine.set_default_step(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE))
+    });
     let changed = async {
         set_steps_when_running(&fleet, "t", step).await?;
         if stops {
@@ -154,7 +153,7 @@
     fleet
         .engines
         .iter()
-        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE)));
+        .for_each(|engine| engine.set_default_step(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE)));
     let answer = call(&fleet.daemons[0].callers, "/resumed/stream/a", "t").await?;
     assert_eq!(answer, (200, FleetEngine::expected_stream("t", EVENTS), true));
     Ok(())
@@ -164,7 +163,7 @@
 #[actix_rt::test]
 async fn late_record_of_the_only_target_is_delivered() -> Result<()> {
     let fleet = ready("late-record", "records", 1, RETRIES).await?;
-    fleet.engines[0].always(EngineStep::Late(LONG_PAUSE));
+    fleet.engines[0].set_default_step(EngineStep::Delay(LONG_PAUSE));
     let (status, _, whole) = call(&fleet.daemons[0].callers, "/again/a", "t").await?;
     assert_eq!((status, whole), (200, true));
     Ok(())
@@ -175,7 +174,7 @@
 #[actix_rt::test]
 async fn stream_interrupted_by_its_only_target_is_resumed_there() -> Result<()> {
     let fleet = ready("off-once", "engines", 1, RETRIES).await?;
-    fleet.engines[0].next(EngineStep::Break(EVENTS_BEFORE));
+    fleet.engines[0].queue_step(EngineStep::Interrupt(EVENTS_BEFORE));
     let answer = call(&fleet.daemons[0].callers, "/resumed/stream/a", "t").await?;
     assert_eq!(answer, (200, FleetEngine::expected_stream("t", EVENTS), true));
     Ok(())
@@ -193,7 +192,7 @@
 #[actix_rt::test]
 async fn paused_target_is_not_abandoned_for_one_that_accepts_no_connection() -> Result<()> {
     let fleet = ready("no-connection", "engines", 1, RETRIES).await?;
-    fleet.engines[0].next(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE));
+    fleet.engines[0].queue_step(EngineStep::Pause(EVENTS_BEFORE, LONG_PAUSE));
     let unused = free_address()?;
     let announced = async {
         let runs = || fleet.engines[0].runs();
@@ -212,10 +211,9 @@
 #[actix_rt::test]
 async fn target_that_never_continues_is_abandoned_for_another_one() -> Result<()> {
     let fleet = ready("for-good", "engines", 2, RETRIES).await?;
-    fleet
-        .engines
-        .iter()
-        .for_each(|engine| engine.always(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE)));
+    fleet.engines.iter().for_each(|engine| {
+        engine.set_default_step(EngineStep::Pause(EVENTS_BEFORE, ENDLESS_PAUSE))
+    });
     let served = set_steps_when_running(&fleet, "t", EngineStep::Serve);
     let started = std::time::Instant::now();
     let entry = &fleet.daemons[0].callers;
--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -61,8 +61,8 @@
         fleet.engine("records", 1, Duration::ZERO).await?;
     }
     fleet.daemons(daemons, BOUNDS).await?;
-    fleet.peers_known().await?;
-    fleet.store.take_copy();
+    fleet.wait_for_all_peers().await?;
+    fleet.store.take_backup();
     for change in 0..lost {
         fleet.store.put("others", "noted", json!({ "change": change }));
         // A list has the latest revision; a watch advances only with changes of targets.
@@ -79,7 +79,7 @@
 async fn restore_from_copy(fleet: &FleetDeployment) {
     fleet.store.set_outage(Some(StoreOutage::Closed));
     tokio::time::sleep(OUTAGE).await;
-    fleet.store.restore_copy();
+    fleet.store.restore_backup();
     fleet.store.set_outage(None);
 }
 
--- a/crates/acceptance/tests/support/mod.rs
+++ b/crates/acceptance/tests/support/mod.rs
@@ -41,7 +41,7 @@
 
 /// Waits until all daemons know each other, are ready and serve requests to this path.
 pub async fn wait_served(fleet: &FleetDeployment, path: &str) -> Result<()> {
-    fleet.peers_known().await?;
+    fleet.wait_for_all_peers().await?;
     for daemon in &fleet.daemons {
         wait_until("ready", || async { get_text(&daemon.operators, "/readyz").await.is_ok() })
             .await?;
--- a/crates/acceptance/tests/suspended.rs
+++ b/crates/acceptance/tests/suspended.rs
@@ -18,7 +18,7 @@
 use curlewcleat_platform::FleetClient;
 use curlewcleat_standins::address::free_address;
 use curlewcleat_standins::deployment::wait_until;
-use curlewcleat_standins::fleet::{DaemonPlace, EngineStep, FleetDeployment, StoreOutage};
+use curlewcleat_standins::fleet::{DaemonEndpoint, EngineStep, FleetDeployment, StoreOutage};
 use curlewcleat_targets::{collect, ConnectionPool};
 use curlewcleatd::{run_daemon, FleetAdapter};
 
@@ -54,7 +54,7 @@
 }
 
 /// Starts a daemon in a thread of this process.
-fn run_here(place: &DaemonPlace) -> Result<()> {
+fn run_here(place: &DaemonEndpoint) -> Result<()> {
     let path = place.settings.clone();
     let text = std::fs::read_to_string(&path)?;
     let settings = check_settings("settings", &text).map_err(|_| anyhow::anyhow!("settings"))?;
@@ -88,9 +88,9 @@
 /// The store stops answering before the suspension, so that the configuration cannot be proved again.
 async fn key_is_refused_when_the_proof_is_too_old(
     fleet: &FleetDeployment,
-    place: &DaemonPlace,
+    place: &DaemonEndpoint,
 ) -> Result<()> {
-    fleet.store.set_outage(Some(StoreOutage::Silent));
+    fleet.store.set_outage(Some(StoreOutage::Unresponsive));
     suspend(Duration::from_secs(2));
     let (status, text) = call(&place.callers, "/again/1", "stale").await?;
     assert_eq!(status, 503, "{text}");
@@ -105,9 +105,9 @@
 /// The engine does not answer, and the deadline of the request passes while the machine is suspended.
 async fn expired_request_is_answered_when_the_machine_resumes(
     fleet: &FleetDeployment,
-    place: &DaemonPlace,
+    place: &DaemonEndpoint,
 ) -> Result<()> {
-    fleet.engines[0].next(EngineStep::Silent);
+    fleet.engines[0].queue_step(EngineStep::Stall);
     let entry = place.callers.clone();
     let held = actix_rt::spawn(async move { call(&entry, "/once/1", "held").await });
     wait_until("the request runs", || async {
--- a/crates/acceptance/tests/target_leaving.rs
+++ b/crates/acceptance/tests/target_leaving.rs
@@ -66,7 +66,7 @@
 /// The store does not answer, so that only the answers report that the engine is leaving.
 #[rstest]
 #[case::records("records", OPEN_PATH, EngineStep::Serve)]
-#[case::answered_twice("records", OPEN_PATH, EngineStep::Twice)]
+#[case::answered_twice("records", OPEN_PATH, EngineStep::AnswerTwice)]
 #[case::refusals("records", OPEN_PATH, EngineStep::Decline)]
 #[case::failures("records", OPEN_PATH, EngineStep::Fail(500))]
 #[actix_rt::test]
@@ -76,10 +76,10 @@
     #[case] step: EngineStep,
 ) -> Result<()> {
     let fleet = ready(&format!("leaving-{step:?}").replace(['(', ')'], "-"), pool, path, 2).await?;
-    fleet.store.set_outage(Some(StoreOutage::Silent));
+    fleet.store.set_outage(Some(StoreOutage::Unresponsive));
     let engine = &fleet.engines[0];
-    engine.always(step);
-    engine.says(&[(WIRE_PROFILE.leaving, "1")]);
+    engine.set_default_step(step);
+    engine.set_notices(&[(WIRE_PROFILE.leaving, "1")]);
     load(entries(&fleet), path, LEAVE_LIMIT).await;
     let since = Instant::now();
     let results = load(entries(&fleet), path, Duration::from_secs(3)).await;
@@ -119,8 +119,8 @@
     let fleet = ready(&format!("rest-{pool}"), pool, path, 2).await?;
     for engine in &fleet.engines {
         for _ in 0..ROUNDS {
-            engine.next(EngineStep::Rest(REST));
-            engine.next(EngineStep::Serve);
+            engine.queue_step(EngineStep::Rest(REST));
+            engine.queue_step(EngineStep::Serve);
         }
     }
     load(entries(&fleet), path, REST * 2).await;
@@ -138,7 +138,7 @@
 async fn callers_learn_when_to_retry_where_all_engines_rest() -> Result<()> {
     let path = "/again/a";
     let fleet = ready("rest-all", "records", path, 2).await?;
-    fleet.engines.iter().for_each(|engine| engine.always(EngineStep::Rest(REST)));
+    fleet.engines.iter().for_each(|engine| engine.set_default_step(EngineStep::Rest(REST)));
     let results = load(entries(&fleet), path, REST - IN_FLIGHT_LIMIT).await;
     for result in &results {
         assert_eq!(result.status, 503, "{result:?}");
@@ -151,7 +151,7 @@
             let most = most_in_rest(engine, daemon);
             assert!(most <= ALLOWED, "{most} requests from daemon {daemon}");
         }
-        engine.always(EngineStep::Serve);
+        engine.set_default_step(EngineStep::Serve);
     }
     for daemon in &fleet.daemons {
         wait_until("served again", || async {
--- a/crates/acceptance/tests/target_limits.rs
+++ b/crates/acceptance/tests/target_limits.rs
@@ -60,7 +60,7 @@
 
 /// Sets the limit that all further answers of the engine report.
 fn report_limit(engine: &Rc<FleetEngine>, limit: f64) {
-    engine.says(&[(WIRE_PROFILE.limit, &limit.to_string())]);
+    engine.set_notices(&[(WIRE_PROFILE.limit, &limit.to_string())]);
 }
 
 #[actix_rt::test]
@@ -105,7 +105,7 @@
     let engine = &fleet.engines[0];
     report_limit(engine, LIMIT);
     load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
-    engine.says(&[]);
+    engine.set_notices(&[]);
     load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
     let since = Instant::now();
     load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
--- a/crates/acceptance/tests/targets.rs
+++ b/crates/acceptance/tests/targets.rs
@@ -2,9 +2,9 @@
 
 use anyhow::Result;
 use curlewcleat_acceptance::{configuration, ready_fleet, DEPOTS, DRIVERS};
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome, CallerRecord};
 use curlewcleat_standins::deployment::{get_text, wait_until, Deployment};
-use curlewcleat_standins::verdicts::{disagreements, ledgers};
+use curlewcleat_standins::verdicts::{disagreements, read_ledgers};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -18,20 +18,20 @@
 
 /// Returns the reason of a refusal and whether the request may have run.
 fn refusal(record: &CallerRecord) -> (String, bool) {
-    match &record.end {
-        CallerEnd::Refused { reason, may_have_run, .. } => (reason.clone(), *may_have_run),
+    match &record.outcome {
+        CallerOutcome::Refused { reason, may_have_run, .. } => (reason.clone(), *may_have_run),
         other => panic!("{}: {other:?}", record.nonce),
     }
 }
 
 /// Returns the number of requests that ran at the targets.
 async fn runs(fleet: &Deployment) -> Result<usize> {
-    Ok(ledgers(fleet).await?.len())
+    Ok(read_ledgers(fleet).await?.len())
 }
 
 /// Checks that the answers of the callers agree with the records of the targets.
 async fn check_agreement(fleet: &Deployment, records: &[CallerRecord]) -> Result<()> {
-    assert_eq!(disagreements(&ledgers(fleet).await?, records), Vec::<String>::new());
+    assert_eq!(disagreements(&read_ledgers(fleet).await?, records), Vec::<String>::new());
     Ok(())
 }
 
@@ -51,7 +51,7 @@
     let entry = &fleet.daemons[0].callers;
     // Connections to both targets are pooled before the fault.
     for nonce in ["warm-1", "warm-2", "warm-3", "warm-4"] {
-        assert_eq!(unlock(nonce).send(&client, entry).await.end, CallerEnd::Whole);
+        assert_eq!(unlock(nonce).send(&client, entry).await.outcome, CallerOutcome::Complete);
     }
     for target in &fleet.targets {
         fleet.fault(&target.address, faults.clone()).await?;
@@ -59,7 +59,8 @@
     let record =
         unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
     assert_eq!(refusal(&record), (reason.to_string(), true));
-    let actual_runs = ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
+    let actual_runs =
+        read_ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
     assert_eq!(actual_runs, expected_runs);
     // The same key again, while the fault of the other target is still set.
     let again = unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
@@ -73,18 +74,18 @@
     let client = caller_client();
     fleet.fault(&fleet.targets[0].address, json!({"cuts": 1, "cut_bytes": 10})).await?;
     let record = unlock("cut").send(&client, &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, CallerEnd::Broken);
+    assert_eq!(record.outcome, CallerOutcome::Interrupted);
     assert_eq!(runs(&fleet).await?, 1);
     check_agreement(&fleet, &[record]).await
 }
 
 #[rstest]
-#[case::resumed("", CallerEnd::Whole)]
-#[case::not_resumable("resumable = no", CallerEnd::Broken)]
+#[case::resumed("", CallerOutcome::Complete)]
+#[case::not_resumable("resumable = no", CallerOutcome::Interrupted)]
 #[actix_rt::test]
 async fn cut_stream_is_resumed_where_allowed(
     #[case] lines: &str,
-    #[case] end: CallerEnd,
+    #[case] end: CallerOutcome,
 ) -> Result<()> {
     let fleet = ready_fleet("cut-stream", 1, 1, 1).await?;
     if !lines.is_empty() {
@@ -94,7 +95,7 @@
     let client = caller_client();
     fleet.fault(&fleet.targets[0].address, json!({"cuts": 1, "cut_bytes": 100})).await?;
     let record = ask("cut").send(&client, &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, end);
+    assert_eq!(record.outcome, end);
     assert_eq!(runs(&fleet).await?, 1, "a resumed stream does not run again");
     check_agreement(&fleet, &[record]).await
 }
@@ -106,7 +107,7 @@
         configuration(&fleet, "", "").replace("end_event = [DONE]", "end_event = [FINISHED]");
     fleet.apply("all.ini", &text.replace("resumable = yes", "resumable = no"))?;
     let record = ask("unfinished").send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, CallerEnd::Broken);
+    assert_eq!(record.outcome, CallerOutcome::Interrupted);
     Ok(())
 }
 
@@ -120,7 +121,7 @@
         records.push(unlock(&format!("n{index}")).send(&client, &fleet.daemons[0].callers).await);
     }
     for record in &records {
-        assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
+        assert_eq!(record.outcome, CallerOutcome::Complete, "{}", record.nonce);
     }
     let metrics = get_text(&fleet.daemons[0].operators, "/metrics").await?;
     assert!(metrics.contains("curlewcleat_retries_total{reason=\"connect_failed\"}"));
@@ -148,8 +149,8 @@
     fleet.fault(&fleet.targets[0].address, json!({"not_started": 1})).await?;
     fleet.fault(&fleet.targets[1].address, json!({"not_started": 1})).await?;
     let record = unlock("n").send(&caller_client(), &fleet.daemons[0].callers).await;
-    let (reason, may_have_run) = match &record.end {
-        CallerEnd::Whole => return check_agreement(&fleet, &[record]).await,
+    let (reason, may_have_run) = match &record.outcome {
+        CallerOutcome::Complete => return check_agreement(&fleet, &[record]).await,
         _ => refusal(&record),
     };
     // Both targets reported that they did not start it, so both are avoided by further attempts.
@@ -166,7 +167,10 @@
     for index in 0..12 {
         records.push(unlock(&format!("n{index}")).send(&client, &fleet.daemons[0].callers).await);
     }
-    let wrong = records.iter().filter(|record| matches!(record.end, CallerEnd::Wrong(_))).count();
+    let wrong = records
+        .iter()
+        .filter(|record| matches!(record.outcome, CallerOutcome::Unexpected(_)))
+        .count();
     assert_eq!(wrong, 0);
     check_agreement(&fleet, &records).await
 }
@@ -176,7 +180,11 @@
     let fleet = ready_fleet("redirects", 0, 1, 1).await?;
     fleet.fault(&fleet.targets[0].address, json!({"redirects": 1})).await?;
     let record = unlock("n").send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert!(matches!(record.end, CallerEnd::Refused { status: 307, .. }), "{:?}", record.end);
+    assert!(
+        matches!(record.outcome, CallerOutcome::Refused { status: 307, .. }),
+        "{:?}",
+        record.outcome
+    );
     assert_eq!(runs(&fleet).await?, 0);
     Ok(())
 }
@@ -190,7 +198,7 @@
     let sends = calls.iter().map(|call| call.send(&client, &fleet.daemons[0].callers));
     let records = futures_util::future::join_all(sends).await;
     for record in &records {
-        assert_eq!(record.end, CallerEnd::Whole, "{}", record.nonce);
+        assert_eq!(record.outcome, CallerOutcome::Complete, "{}", record.nonce);
     }
     check_agreement(&fleet, &records).await
 }
@@ -212,6 +220,6 @@
     })
     .await?;
     let record = ask("n").send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(record.end, CallerEnd::Whole);
+    assert_eq!(record.outcome, CallerOutcome::Complete);
     Ok(())
 }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -5,7 +5,7 @@
 use actix_rt::task::JoinHandle;
 use anyhow::Result;
 use curlewcleat_core::hash_token;
-use curlewcleat_standins::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
+use curlewcleat_standins::callers::{caller_client, CallerCall, CallerOutcome, CallerRecord};
 use curlewcleat_standins::deployment::{get_text, Deployment};
 
 /// Requests that each caller sends on each path.
@@ -51,8 +51,8 @@
         fleet.daemons(count).await?;
         let text = "[tier t]\nrank = 0\n[pool p]\nkind = service\n";
         fleet.apply("all.ini", text)?;
-        fleet.peers_ready(count - 1).await?;
-        fleet.key_table_ready().await?;
+        fleet.wait_for_peers(count - 1).await?;
+        fleet.wait_for_key_table().await?;
         let id = fleet.daemons[0].process.id();
         let sent = sent_bytes(&fleet).await?;
         let before = process_cost(id)?;
@@ -98,8 +98,8 @@
         fleet.targets[0].address
     );
     fleet.apply("all.ini", &text)?;
-    fleet.peers_ready(1).await?;
-    fleet.key_table_ready().await?;
+    fleet.wait_for_peers(1).await?;
+    fleet.wait_for_key_table().await?;
     println!(
         "path | callers | requests/s | p50 us | p99 us | daemon CPU us per request (each of two)"
     );
@@ -179,7 +179,7 @@
     if pool == "open" {
         for task in tasks {
             anyhow::ensure!(
-                task.await?.end == CallerEnd::Whole,
+                task.await?.outcome == CallerOutcome::Complete,
                 "slopes: a stream is not complete"
             );
         }
@@ -263,8 +263,8 @@
             call = call.header("Idempotency-Key", &nonce);
         }
         let record = call.send(&client, &address).await;
-        if record.end == CallerEnd::Whole {
-            times.push(record.took);
+        if record.outcome == CallerOutcome::Complete {
+            times.push(record.duration);
         }
     }
     times
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -166,17 +166,17 @@
     }
 
     async fn lost_writes(&self, count: u64, time: Duration) {
-        self.store.lose_writes(count);
+        self.store.drop_write_answers(count);
         tokio::time::sleep(time).await;
-        self.store.lose_writes(0);
+        self.store.drop_write_answers(0);
     }
 
     /// Makes an engine answer all requests with a fault for some time.
     async fn engine_fault(&self, index: usize, fault: EngineStep, time: Duration) {
         let engine = Rc::clone(&self.engines.borrow()[index].engine);
-        engine.always(fault);
+        engine.set_default_step(fault);
         tokio::time::sleep(time).await;
-        engine.always(EngineStep::Serve);
+        engine.set_default_step(EngineStep::Serve);
     }
 
     async fn leave(&self, index: usize, time: Duration) -> Result<()> {
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -73,12 +73,12 @@
         let from = Instant::now();
         match notice {
             EngineNotice::Limit(rate) => {
-                engine.says(&[(WIRE_PROFILE.limit, &rate.to_string())]);
+                engine.set_notices(&[(WIRE_PROFILE.limit, &rate.to_string())]);
                 tokio::time::sleep(time + LIMIT_TIME).await;
-                engine.says(&[]);
+                engine.set_notices(&[]);
             }
             EngineNotice::Leaving => {
-                engine.says(&[(WIRE_PROFILE.leaving, "1")]);
+                engine.set_notices(&[(WIRE_PROFILE.leaving, "1")]);
                 tokio::time::sleep(time + LEAVE_LIMIT).await;
                 // Another fault may have replaced the engine in the meantime.
                 if self.engines.borrow()[index].engine.id == engine.id {
@@ -87,8 +87,8 @@
             }
             EngineNotice::Rest => {
                 for _ in 0..REST_REQUESTS {
-                    engine.next(EngineStep::Rest(REST));
-                    engine.next(EngineStep::Serve);
+                    engine.queue_step(EngineStep::Rest(REST));
+                    engine.queue_step(EngineStep::Serve);
                 }
                 tokio::time::sleep(time).await;
             }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -198,7 +198,7 @@
     let outages = [
         StoreOutage::Status(503),
         StoreOutage::Status(429),
-        StoreOutage::Silent,
+        StoreOutage::Unresponsive,
         StoreOutage::Closed,
     ];
     outages.choose(random).copied().unwrap_or(StoreOutage::Closed)
@@ -209,10 +209,10 @@
         EngineStep::Decline,
         EngineStep::Fail(500),
         EngineStep::Close,
-        EngineStep::Break(random.random_range(0..4)),
-        EngineStep::Silent,
-        EngineStep::Twice,
-        EngineStep::Unframed,
+        EngineStep::Interrupt(random.random_range(0..4)),
+        EngineStep::Stall,
+        EngineStep::AnswerTwice,
+        EngineStep::WithoutLength,
     ];
     steps.choose(random).copied().unwrap_or(EngineStep::Close)
 }
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/standins/src/bin/demo.rs
@@ -9,7 +9,7 @@
 use clap::Parser;
 use curlewcleat_standins::deployment::Deployment;
 use curlewcleat_standins::load::{report, LoadPlan, LoadStream};
-use curlewcleat_standins::verdicts::{disagreements, ledgers};
+use curlewcleat_standins::verdicts::{disagreements, read_ledgers};
 
 /// Runs the demo; exits with 1 if ledgers and verdicts disagree.
 #[derive(Parser)]
@@ -54,8 +54,8 @@
     }
     fleet.daemons(3).await?;
     apply_example(arguments, user, &fleet)?;
-    fleet.peers_ready(2).await?;
-    fleet.key_table_ready().await?;
+    fleet.wait_for_peers(2).await?;
+    fleet.wait_for_key_table().await?;
     let plan = LoadPlan {
         seed: arguments.seed,
         duration: Duration::from_secs(arguments.seconds),
@@ -64,7 +64,7 @@
     };
     let entries: Vec<String> = fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect();
     let records = plan.run(&entries).await;
-    let runs = ledgers(&fleet).await?;
+    let runs = read_ledgers(&fleet).await?;
     report(&plan, &records, &runs).print();
     let found = disagreements(&runs, &records);
     found.iter().for_each(|line| println!("DISAGREE: {line}"));
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -12,11 +12,11 @@
 
 /// Outcome of a request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerEnd {
+pub enum CallerOutcome {
     /// A complete answer that equals the expected one.
-    Whole,
+    Complete,
     /// A complete answer that differs from the expected one.
-    Wrong(String),
+    Unexpected(String),
     /// A problem document.
     Refused {
         /// HTTP status.
@@ -29,7 +29,7 @@
         retry_after: bool,
     },
     /// The connection was interrupted before or within the answer, or the caller's time limit passed.
-    Broken,
+    Interrupted,
 }
 
 /// A request and its outcome.
@@ -40,11 +40,11 @@
     /// Tier of the request.
     pub tier: String,
     /// Outcome.
-    pub end: CallerEnd,
+    pub outcome: CallerOutcome,
     /// Time to the first byte of the body.
     pub first_byte: Option<Duration>,
     /// Time until the outcome was known.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// A request to send.
@@ -137,13 +137,14 @@
         let begun = Instant::now();
         let mut first_byte = None;
         let exchange = self.exchange(client, entry, begun, &mut first_byte);
-        let end = tokio::time::timeout(self.limit, exchange).await.unwrap_or(CallerEnd::Broken);
+        let end =
+            tokio::time::timeout(self.limit, exchange).await.unwrap_or(CallerOutcome::Interrupted);
         CallerRecord {
             nonce: self.nonce.clone(),
             tier: self.tier.clone(),
-            end,
+            outcome: end,
             first_byte,
-            took: begun.elapsed(),
+            duration: begun.elapsed(),
         }
     }
 
@@ -153,26 +154,30 @@
         entry: &str,
         begun: Instant,
         first_byte: &mut Option<Duration>,
-    ) -> CallerEnd {
+    ) -> CallerOutcome {
         let Ok(connection) = client.connect(entry, self.limit).await else {
-            return CallerEnd::Broken;
+            return CallerOutcome::Interrupted;
         };
         let Ok(mut answer) = connection.exchange(self.head(), self.body().to_string()).await else {
-            return CallerEnd::Broken;
+            return CallerOutcome::Interrupted;
         };
         let mut body = Vec::new();
         while let Some(part) = answer.body.next().await {
-            let Ok(part) = part else { return CallerEnd::Broken };
+            let Ok(part) = part else { return CallerOutcome::Interrupted };
             first_byte.get_or_insert_with(|| begun.elapsed());
             body.extend_from_slice(&part);
         }
         let status = answer.head.status;
         if status.is_success() {
             let text = String::from_utf8_lossy(&body).to_string();
-            return if text == self.expected() { CallerEnd::Whole } else { CallerEnd::Wrong(text) };
+            return if text == self.expected() {
+                CallerOutcome::Complete
+            } else {
+                CallerOutcome::Unexpected(text)
+            };
         }
         let document: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        CallerEnd::Refused {
+        CallerOutcome::Refused {
             status: status.as_u16(),
             reason: document["reason"].as_str().unwrap_or("none").to_string(),
             may_have_run: document["may_have_run"].as_bool().unwrap_or(true),
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -94,9 +94,9 @@
     pub extra_settings: String,
     /// Lines added to the callers' section of each daemon's settings.
     pub caller_settings: String,
-    /// Proxies in front of the peer addresses of the daemons, if [`Deployment::relayed`] was called.
+    /// Proxies in front of the peer addresses of the daemons, if [`Deployment::use_relays`] was called.
     pub relays: Vec<PeerRelay>,
-    relayed: bool,
+    use_relays: bool,
 }
 
 impl Deployment {
@@ -117,15 +117,15 @@
             extra_settings: String::new(),
             caller_settings: String::new(),
             relays: Vec::new(),
-            relayed: false,
+            use_relays: false,
         };
         wait_listening(&address).await?;
         Ok(fleet)
     }
 
     /// Puts a proxy in front of the peer address of each daemon that is started from now on.
-    pub fn relayed(&mut self) {
-        self.relayed = true;
+    pub fn use_relays(&mut self) {
+        self.use_relays = true;
     }
 
     /// Starts an engine or service with additional options; returns its index.
@@ -147,7 +147,7 @@
         for _ in 0..count {
             addresses.push((free_address()?, free_address()?, free_address()?));
         }
-        if self.relayed {
+        if self.use_relays {
             for (_, _, peers) in &addresses {
                 self.relays.push(PeerRelay::start(peers).await?);
             }
@@ -155,7 +155,7 @@
         let known = self.daemons.iter().map(|daemon| daemon.peers.clone());
         let mut seeds: Vec<String> =
             known.chain(addresses.iter().map(|all| all.2.clone())).collect();
-        if self.relayed {
+        if self.use_relays {
             seeds = self.relays.iter().map(|relay| relay.address.clone()).collect();
         }
         for (callers, operators, peers) in addresses {
@@ -240,7 +240,7 @@
     }
 
     /// Waits until all daemons have the key table.
-    pub async fn key_table_ready(&self) -> Result<()> {
+    pub async fn wait_for_key_table(&self) -> Result<()> {
         for daemon in &self.daemons {
             wait_status(&daemon.operators, "the key table", |status| {
                 status["key_table"].as_u64() > Some(0)
@@ -251,7 +251,7 @@
     }
 
     /// Waits until each daemon has at least this number of live peers.
-    pub async fn peers_ready(&self, peers: usize) -> Result<()> {
+    pub async fn wait_for_peers(&self, peers: usize) -> Result<()> {
         for daemon in &self.daemons {
             wait_status(&daemon.operators, "its peers", |status| live_peers(status) >= peers)
                 .await?;
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -6,7 +6,7 @@
 mod entry;
 mod store;
 
-pub use deployment::{DaemonPlace, FleetDaemon, FleetDeployment};
+pub use deployment::{DaemonEndpoint, FleetDaemon, FleetDeployment};
 pub use engine::{EngineRun, EngineStep, FleetEngine, LethalBody};
 pub use entry::{EngineEntry, ForeignEntry};
 pub use store::{FleetStore, StoreOutage};
--- a/crates/standins/src/fleet/deployment.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -36,7 +36,7 @@
 }
 
 /// Addresses and settings file of a daemon.
-pub struct DaemonPlace {
+pub struct DaemonEndpoint {
     /// Address for callers.
     pub callers: String,
     /// Address for operators and the load balancer.
@@ -106,7 +106,7 @@
     }
 
     /// Starts an engine with a version and writes its list entry.
-    pub async fn engine_of(
+    pub async fn engine_with_version(
         &mut self,
         backend: &str,
         version: &str,
@@ -153,7 +153,7 @@
 
     /// Makes every engine terminate when it begins to run a request with this body. Its list entry is removed after the
     /// time `removal_delay`.
-    pub fn engines_end_under(&self, body: &[u8], removal_delay: Duration) {
+    pub fn terminate_engines_on(&self, body: &[u8], removal_delay: Duration) {
         for (index, engine) in self.engines.iter().enumerate() {
             let (served, store) = (Rc::clone(&self.engines_served), Rc::clone(&self.store));
             let id = engine.id.clone();
@@ -172,7 +172,7 @@
     }
 
     /// Terminates an engine and removes its list entry.
-    pub async fn end_engine(&mut self, index: usize) {
+    pub async fn terminate_engine(&mut self, index: usize) {
         let served = self.engines_served.borrow_mut()[index].take();
         if let Some(served) = served {
             served.close().await;
@@ -210,7 +210,7 @@
         for (index, peer) in peers.iter().enumerate() {
             let place = self.write_settings(index, peer, &peers[0], bounds)?;
             let process = self.spawn(&format!("vm-{index}"), &place.callers, &place.settings)?;
-            let DaemonPlace { callers, operators, settings } = place;
+            let DaemonEndpoint { callers, operators, settings } = place;
             self.daemons.push(FleetDaemon { process, callers, operators, settings });
         }
         for daemon in &self.daemons {
@@ -220,7 +220,7 @@
     }
 
     /// Waits until every daemon reports all others as live peers.
-    pub async fn peers_known(&self) -> Result<()> {
+    pub async fn wait_for_all_peers(&self) -> Result<()> {
         let others = self.daemons.len() - 1;
         for daemon in &self.daemons {
             wait_until("peers", || async {
@@ -239,7 +239,7 @@
         peer: &str,
         seed: &str,
         bounds: &str,
-    ) -> Result<DaemonPlace> {
+    ) -> Result<DaemonEndpoint> {
         let (callers, operators) = (free_address()?, free_address()?);
         let text = format!(
             "[vm]\nname = vm-{index}\ndata_centre = here\n\
@@ -252,7 +252,7 @@
         );
         let settings = self.folder.join(format!("vm-{index}.ini"));
         std::fs::write(&settings, text)?;
-        Ok(DaemonPlace { callers, operators, settings })
+        Ok(DaemonEndpoint { callers, operators, settings })
     }
 
     /// Runs the operators' tool against the daemons; returns its exit code and output.
--- a/crates/standins/src/fleet/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -25,17 +25,17 @@
     /// Runs the request and closes the connection without an answer.
     Close,
     /// Runs the request, sends this number of events and half of the next, and closes the connection.
-    Break(u64),
+    Interrupt(u64),
     /// Runs the request and sends nothing until the caller closes the connection.
-    Silent,
+    Stall,
     /// Sends a complete answer, and a second one shortly afterwards.
-    Twice,
+    AnswerTwice,
     /// Sends a complete answer without a length, and closes the connection.
-    Unframed,
+    WithoutLength,
     /// Runs the request and answers without the attempt id.
-    Unnamed,
+    WithoutAttemptId,
     /// Waits for this duration before it sends a complete answer.
-    Late(Duration),
+    Delay(Duration),
     /// Sends this number of events, pauses for this duration, and sends the remaining events.
     Pause(u64, Duration),
 }
@@ -62,7 +62,7 @@
     /// Whether the request began to run.
     pub ran: bool,
     /// Whether the caller closed the connection before the end of the answer.
-    pub left: bool,
+    pub disconnected: bool,
     /// When the request arrived.
     pub begun: Option<Instant>,
 }
@@ -125,17 +125,17 @@
     }
 
     /// Queues the behaviour for one of the next requests.
-    pub fn next(&self, step: EngineStep) {
+    pub fn queue_step(&self, step: EngineStep) {
         self.steps.borrow_mut().push_back(step);
     }
 
     /// Sets the behaviour for requests for which no step is queued.
-    pub fn always(&self, step: EngineStep) {
+    pub fn set_default_step(&self, step: EngineStep) {
         self.default_step.set(step);
     }
 
     /// Sets the notice headers that all answers have from now on.
-    pub fn says(&self, headers: &[(&str, &str)]) {
+    pub fn set_notices(&self, headers: &[(&str, &str)]) {
         let owned = |(name, value): &(&str, &str)| (name.to_string(), value.to_string());
         *self.notices.borrow_mut() = headers.iter().map(owned).collect();
     }
@@ -210,21 +210,21 @@
                 Ok(AfterAnswer::KeepOpen)
             }
             EngineStep::Close => Ok(AfterAnswer::Close),
-            EngineStep::Unnamed => {
+            EngineStep::WithoutAttemptId => {
                 connection.answer(200, &[], b"anonymous").await?;
                 Ok(AfterAnswer::KeepOpen)
             }
-            EngineStep::Silent => {
+            EngineStep::Stall => {
                 connection.closed().await;
-                self.runs.borrow_mut()[run.run_index].left = true;
+                self.runs.borrow_mut()[run.run_index].disconnected = true;
                 Ok(AfterAnswer::Close)
             }
-            EngineStep::Unframed => self.answer_unframed(run, connection).await,
-            EngineStep::Break(events) if run.is_stream => {
+            EngineStep::WithoutLength => self.answer_unframed(run, connection).await,
+            EngineStep::Interrupt(events) if run.is_stream => {
                 self.answer_interrupted(run, events, connection).await
             }
-            EngineStep::Twice => self.answer_twice(run, connection).await,
-            EngineStep::Late(time) => self.answer_late(run, time, connection).await,
+            EngineStep::AnswerTwice => self.answer_twice(run, connection).await,
+            EngineStep::Delay(time) => self.answer_late(run, time, connection).await,
             EngineStep::Pause(events, time) if run.is_stream => {
                 self.answer_with_pause(run, events, time, connection).await
             }
@@ -293,9 +293,9 @@
         time: Duration,
         connection: &mut PlainConnection,
     ) -> bool {
-        let left = tokio::time::timeout(time, connection.closed()).await.is_ok();
-        self.runs.borrow_mut()[run.run_index].left |= left;
-        left
+        let disconnected = tokio::time::timeout(time, connection.closed()).await.is_ok();
+        self.runs.borrow_mut()[run.run_index].disconnected |= disconnected;
+        disconnected
     }
 
     async fn answer_twice(
@@ -382,9 +382,12 @@
         connection: &mut PlainConnection,
     ) -> bool {
         for number in numbers {
-            let left = tokio::time::timeout(self.event_interval, connection.closed()).await.is_ok();
-            if left || connection.chunk(event(run.attempt, number).as_bytes()).await.is_err() {
-                self.runs.borrow_mut()[run.run_index].left = true;
+            let disconnected =
+                tokio::time::timeout(self.event_interval, connection.closed()).await.is_ok();
+            if disconnected
+                || connection.chunk(event(run.attempt, number).as_bytes()).await.is_err()
+            {
+                self.runs.borrow_mut()[run.run_index].disconnected = true;
                 return false;
             }
         }
@@ -404,7 +407,7 @@
             time_left: number(WIRE_PROFILE.time_left),
             after: number(WIRE_PROFILE.last_event),
             ran: false,
-            left: false,
+            disconnected: false,
             begun: Some(Instant::now()),
         });
         runs.len() - 1
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -26,7 +26,7 @@
     /// Every call is answered with this status and has no effect.
     Status(u16),
     /// No call is answered.
-    Silent,
+    Unresponsive,
     /// Every connection is closed without an answer.
     Closed,
 }
@@ -39,12 +39,12 @@
     outage: Cell<Option<StoreOutage>>,
     calls: Cell<u64>,
     /// Number of calls by method, kind, and whether they were watches or allowed stale answers.
-    tally: RefCell<BTreeMap<String, u64>>,
+    call_counts: RefCell<BTreeMap<String, u64>>,
     /// Number of next writes that take effect without an answer.
     unanswered_writes: Cell<u64>,
     /// Whether watches without changes are answered at once.
     immediate_watches: Cell<bool>,
-    /// Copy of the objects that [`FleetStore::restore_copy`] restores.
+    /// Copy of the objects that [`FleetStore::restore_backup`] restores.
     copy: RefCell<StoreState>,
     /// Number of restores.
     era: Cell<u64>,
@@ -63,12 +63,12 @@
     }
 
     /// Applies the next `count` writes without answering them.
-    pub fn lose_writes(&self, count: u64) {
+    pub fn drop_write_answers(&self, count: u64) {
         self.unanswered_writes.set(count);
     }
 
     /// Sets whether watches without changes are answered at once.
-    pub fn set_hasty_watches(&self, immediate: bool) {
+    pub fn set_immediate_watches(&self, immediate: bool) {
         self.immediate_watches.set(immediate);
         self.changed.notify_waiters();
     }
@@ -79,8 +79,8 @@
     }
 
     /// Returns the number of calls by method, kind and, if it applies, `old` (stale answers allowed) or `watch`.
-    pub fn tally(&self) -> BTreeMap<String, u64> {
-        self.tally.borrow().clone()
+    pub fn call_counts(&self) -> BTreeMap<String, u64> {
+        self.call_counts.borrow().clone()
     }
 
     fn count_call(&self, request: &PlainRequest) {
@@ -93,7 +93,7 @@
             false => "",
         };
         let call = format!("{} {kind}{suffix}", request.method);
-        *self.tally.borrow_mut().entry(call).or_default() += 1;
+        *self.call_counts.borrow_mut().entry(call).or_default() += 1;
     }
 
     /// Discards the history, so that watches have to restart.
@@ -103,12 +103,12 @@
     }
 
     /// Takes a copy of all objects.
-    pub fn take_copy(&self) {
+    pub fn take_backup(&self) {
         *self.copy.borrow_mut() = self.state.borrow().clone();
     }
 
     /// Restores the latest copy. Running watches are closed without an answer.
-    pub fn restore_copy(&self) {
+    pub fn restore_backup(&self) {
         *self.state.borrow_mut() = self.copy.borrow().clone();
         self.era.set(self.era.get() + 1);
         self.changed.notify_waiters();
@@ -318,7 +318,7 @@
 ) -> Result<AfterAnswer> {
     match outage {
         StoreOutage::Closed => Ok(AfterAnswer::Close),
-        StoreOutage::Silent => {
+        StoreOutage::Unresponsive => {
             connection.closed().await;
             Ok(AfterAnswer::Close)
         }
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::callers::{caller_client, CallerCall, CallerEnd, CallerRecord};
+use crate::callers::{caller_client, CallerCall, CallerOutcome, CallerRecord};
 use crate::engine::CHARS_PER_TOKEN;
 use crate::ledger::LedgerEntry;
 
@@ -114,7 +114,7 @@
                 tokio::time::sleep_until(planned).await;
                 let late = planned.elapsed();
                 let mut record = call.send(&client, &entry).await;
-                record.took += late;
+                record.duration += late;
                 record.first_byte = record.first_byte.map(|time| time + late);
                 record
             }));
@@ -182,19 +182,19 @@
             .find(|stream| stream.tier == record.tier)
             .map(|stream| stream.timeout);
         tier.offered += 1;
-        match &record.end {
-            CallerEnd::Whole => {
-                tier.goodput += u64::from(timeout.is_none_or(|timeout| record.took <= timeout));
-                let first = record.first_byte.unwrap_or(record.took).as_millis() as u64;
+        match &record.outcome {
+            CallerOutcome::Complete => {
+                tier.goodput += u64::from(timeout.is_none_or(|timeout| record.duration <= timeout));
+                let first = record.first_byte.unwrap_or(record.duration).as_millis() as u64;
                 // The histogram clamps values above its upper bound.
                 tier.first_byte_ms.saturating_record(first);
             }
-            CallerEnd::Refused { reason, .. } => {
+            CallerOutcome::Refused { reason, .. } => {
                 *tier.refusals.entry(reason.clone()).or_default() += 1
             }
-            CallerEnd::Broken | CallerEnd::Wrong(_) => tier.broken += 1,
+            CallerOutcome::Interrupted | CallerOutcome::Unexpected(_) => tier.broken += 1,
         }
-        if record.end != CallerEnd::Whole {
+        if record.outcome != CallerOutcome::Complete {
             wasted_prefill += prefill.get(record.nonce.as_str()).copied().unwrap_or(0);
         }
     }
--- a/crates/standins/src/verdicts.rs
+++ b/crates/standins/src/verdicts.rs
@@ -4,12 +4,12 @@
 
 use anyhow::Result;
 
-use crate::callers::{CallerEnd, CallerRecord};
+use crate::callers::{CallerOutcome, CallerRecord};
 use crate::deployment::{get_json, Deployment};
 use crate::ledger::LedgerEntry;
 
 /// Returns the entries of the ledgers of all reachable targets.
-pub async fn ledgers(fleet: &Deployment) -> Result<Vec<LedgerEntry>> {
+pub async fn read_ledgers(fleet: &Deployment) -> Result<Vec<LedgerEntry>> {
     let mut entries = Vec::new();
     for target in &fleet.targets {
         if let Ok(value) = get_json(&target.address, "/_ledger").await {
@@ -31,14 +31,14 @@
     }
     for record in records {
         let ran = runs.contains_key(record.nonce.as_str());
-        match &record.end {
-            CallerEnd::Whole if !ran => {
+        match &record.outcome {
+            CallerOutcome::Complete if !ran => {
                 found.push(format!("{} has an answer but did not run", record.nonce))
             }
-            CallerEnd::Wrong(text) => {
+            CallerOutcome::Unexpected(text) => {
                 found.push(format!("{} got a wrong answer: {text}", record.nonce))
             }
-            CallerEnd::Refused { may_have_run: false, reason, .. } if ran => {
+            CallerOutcome::Refused { may_have_run: false, reason, .. } if ran => {
                 found.push(format!("{} was refused as not run ({reason}) but ran", record.nonce));
             }
             _ => {}
