--- a/crates/store/src/applying.rs
+++ b/crates/store/src/applying.rs
@@ -11,7 +11,7 @@
 
 use crate::store::{ObjectStore, PutOutcome};
 
-/// Delay before the next step after a call with an unclear result.
+/// Delay before the next action after a call whose outcome is unknown.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Applies configuration files; see [`ConfigApply`] for the protocol.
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -17,10 +17,10 @@
 
 /// Maximum size of an answer in bytes. An answer is a page of objects of at most a megabyte each.
 const ANSWER_LIMIT: usize = 16 << 20;
-/// Factor on the limit of a call that bounds the total time of its answer while parts keep arriving. A megabyte takes
-/// most of a second over 10 Mbit/s, and several seconds when callers' requests share the link.
+/// Time limit of a complete call, as a multiple of the limit on a pause within its answer. A megabyte takes most of a
+/// second over 10 Mbit/s, and several seconds when callers' requests share the link.
 const TOTAL_LIMIT_FACTOR: u32 = 8;
-/// Time for the answer of a watch beyond the time for which the store waits.
+/// Time for the answer of a watch in addition to the time for which the store waits.
 const WATCH_SLACK: Duration = Duration::from_secs(1);
 
 /// A call to a store.
--- a/crates/targets/src/connection.rs
+++ b/crates/targets/src/connection.rs
@@ -202,14 +202,14 @@
 ) -> Result<Connection> {
     let mut body = AnswerBody::new(framed, frame, false, endpoint.clone(), pool.clone());
     while let Some(part) = body.next().await {
-        part.map_err(|cut| Error::Closed(cut.to_string()))?;
+        part.map_err(|truncated| Error::Closed(truncated.to_string()))?;
     }
     body.into_connection()
         .ok_or_else(|| Error::Closed("after an answer to an earlier request".to_string()))
 }
 
-/// Returns how the end of an answer's body is determined. A body that ends with its connection cannot be
-/// distinguished from one whose target terminated while sending, so it is accepted only if `allow_close_delimited` is set.
+/// Returns how the end of an answer's body is determined. A body that ends with its connection cannot be distinguished
+/// from one whose target terminated while sending, so it is accepted only if `allow_close_delimited` is set.
 fn body_frame(
     method: &Method,
     head: &ResponseHead,
--- a/crates/targets/src/pool.rs
+++ b/crates/targets/src/pool.rs
@@ -138,10 +138,10 @@
         Some(connections.remove(index).stream)
     }
 
-    /// Closes the connections to an endpoint that have been idle since before `before`.
-    pub(crate) fn discard_idle_since_before(&self, endpoint: &ConnectionEndpoint, before: Moment) {
+    /// Closes the connections to an endpoint that became idle before a moment.
+    pub(crate) fn discard_idle_before(&self, endpoint: &ConnectionEndpoint, moment: Moment) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(endpoint) {
-            connections.retain(|connection| connection.since >= before);
+            connections.retain(|connection| connection.since >= moment);
         }
     }
 
--- a/crates/targets/src/stall.rs
+++ b/crates/targets/src/stall.rs
@@ -17,8 +17,8 @@
 /// nothing about the target.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(250);
 
-/// Monitors one exchange. If it is dropped unanswered, the connections to the same endpoint that have been idle since
-/// before the target's last activity are closed.
+/// Monitors one exchange. If it is dropped unanswered, the connections to the same endpoint that became idle before the
+/// target's last activity are closed.
 #[derive(Debug)]
 pub(crate) struct StallGuard {
     pool: ConnectionPool,
@@ -49,7 +49,7 @@
 impl Drop for StallGuard {
     fn drop(&mut self) {
         if self.waiting && self.last_activity.elapsed() >= UNANSWERED_AFTER {
-            self.pool.discard_idle_since_before(&self.endpoint, self.last_activity);
+            self.pool.discard_idle_before(&self.endpoint, self.last_activity);
         }
     }
 }
--- a/crates/targets/tests/exchanges.rs
+++ b/crates/targets/tests/exchanges.rs
@@ -149,7 +149,7 @@
     tokio::time::sleep(Duration::from_millis(30)).await;
     let connection = pool.connect_to(target, LIMIT).await?;
     let answer = connection.exchange(head(Method::GET), ()).await?;
-    read(answer).await.map_err(|cut| Error::Closed(cut.to_string()))
+    read(answer).await.map_err(|truncated| Error::Closed(truncated.to_string()))
 }
 
 /// Guards against idle connections that are pooled by address only: a request to a restarted target is then written on
