--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -52,7 +52,7 @@
 pub enum ApplyEvent {
     /// The manifest and its version; `None` where there is none yet.
     Manifest(Option<(ObjectVersion, ConfigManifest)>),
-    /// The hash that was asked for and its content.
+    /// The requested hash and its content.
     Content(String, String),
     /// The content is stored.
     ContentStored,
@@ -191,8 +191,8 @@
         }
         let unchanged =
             self.hashes.iter().all(|(name, hash)| self.current.files.get(name) == Some(hash));
-        // After an own update with unknown outcome, equal files do not prove which apply wrote them, so the result
-        // cannot be `Unchanged`; the requested files are in force either way.
+        // After an update by this apply with unknown outcome, equal files do not prove which apply wrote them, so the
+        // result cannot be `Unchanged`; the requested files are in force either way.
         if unchanged && !self.sent_manifest {
             return self.finish(ApplyResult::Unchanged(self.current.generation));
         }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -142,8 +142,8 @@
     fn finish(mut self, report: &mut CheckReport) -> ActiveConfig {
         for (target, pool, location) in std::mem::take(&mut self.targets) {
             match self.config.pools.get_mut(pool) {
-                Some(entry) => {
-                    entry.targets.insert(target.id.clone(), target.clone());
+                Some(target_pool) => {
+                    target_pool.targets.insert(target.id.clone(), target.clone());
                 }
                 None if pool.is_empty() => {}
                 None => location.report_problem(
--- a/crates/config/src/check/file.rs
+++ b/crates/config/src/check/file.rs
@@ -186,7 +186,7 @@
             None
         }
     });
-    let service = read_service_terms(section, report);
+    let service = read_service_limits(section, report);
     SectionContent::Rule(Arc::new(AdmissionRule {
         id,
         host: section.text("host").filter(|text| !text.is_empty()),
@@ -242,7 +242,7 @@
     shares
 }
 
-fn read_service_terms(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceLimits {
+fn read_service_limits(section: &mut IniSection<'_>, report: &mut CheckReport) -> ServiceLimits {
     let defaults = ServiceLimits::default();
     let mut optional_duration = |key: &'static str| {
         section.text(key).map(|_| section.duration(key, Duration::from_secs(30), report))
--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -11,7 +11,7 @@
 /// A cause and the documentation to read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LikelyCause {
-    /// What most likely happened, in words.
+    /// What most likely happened.
     pub text: String,
     /// Page and section of the operators' documentation.
     pub page: String,
--- a/crates/explain/src/entries.rs
+++ b/crates/explain/src/entries.rs
@@ -1,8 +1,8 @@
 //! Finds the list entries of targets that were unusable while a request ran.
 //!
 //! The daemons that read the platform log unusable list entries; the daemon that received the request need not be one
-//! of them. A list entry stays unusable until it is written again. So the log lines of all daemons and of any earlier
-//! time count.
+//! of them. A list entry stays unusable until it is written again. Therefore the log lines of all daemons, from any
+//! earlier time, are considered.
 //!
 //! Owns: which list entries were unusable. Relies on: the log events of the daemon.
 
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -8,7 +8,8 @@
 /// A log line of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// The file, the last word before the JSON, or both as `file:word`; the word tells daemons in one file apart.
+    /// The file, the word before the JSON, or both as `file:word`. The word is the name of the machine in a file that
+    /// contains the lines of several daemons.
     pub source: String,
     /// Milliseconds since the Unix epoch by the daemon's clock.
     pub at_ms: u64,
--- a/crates/explain/tests/stories.rs
+++ b/crates/explain/tests/stories.rs
@@ -80,7 +80,8 @@
     );
     log.add_log("vm-1.log", &line(50_000, "drain_begun", ""));
     log.add_log("vm-1.log", &line(99_000, "drain_closing", ""));
-    // A line of another daemon, whose clock may differ: of that log only lines of the request itself would be shown.
+    // Another daemon's clock may differ, so its state changes are shown only if its log has a line of the request. This
+    // log has none.
     log.add_log("vm-2.log", &line(99_500, "started", "\"vm\":\"vm-2\""));
     let timeline = log.request_timeline("r1").expect("a timeline");
     let events: Vec<&str> = timeline.steps.iter().map(|step| step.event.as_str()).collect();
--- a/crates/tool/src/explain.rs
+++ b/crates/tool/src/explain.rs
@@ -10,7 +10,7 @@
 use crate::arguments::{Arguments, ExplainArguments};
 use crate::ToolExit;
 
-/// File name that stands for standard input.
+/// File name that means standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// `explain`: prints what happened to a request; exits with 1 if no log line has its id.
