--- a/crates/daemon/src/fleet/follow/faults.rs
+++ b/crates/daemon/src/fleet/follow/faults.rs
@@ -1,7 +1,7 @@
 //! Logs and counts unusable list entries of the platform.
 //!
-//! An engine writes to its entry with each heartbeat, so the same unusable entry is read several times a second. It is
-//! logged once, and again when its reason changes.
+//! An engine writes to its list entry with each heartbeat, so the same unusable list entry is read several times a
+//! second. It is logged once, and again when its reason changes.
 //!
 //! Owns: the faults logged so far. Relies on: the platform for the reasons.
 
--- a/crates/daemon/src/fleet/follow/refusals.rs
+++ b/crates/daemon/src/fleet/follow/refusals.rs
@@ -65,12 +65,12 @@
 pub fn store_refusal(
     platform: &Rc<dyn FleetPlatform>,
     context: &DaemonContext,
-    report: SuspectReport,
+    suspect: SuspectReport,
 ) {
     let (platform, context) = (Rc::clone(platform), context.clone());
     actix_rt::spawn(async move {
-        let digest = report.digest;
-        let ended = report.interruptions.into_iter().filter(|report| report.ended);
+        let digest = suspect.digest;
+        let ended = suspect.interruptions.into_iter().filter(|report| report.ended);
         let instances = ended.map(|report| report.interruption.instance).collect();
         let refusal = StoredRefusal { digest, instances, at: context.wall() };
         context.metrics.platform_call("store_refusal");
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -123,7 +123,7 @@
     }
 
     /// Counts headers of a caller that only a daemon may set.
-    pub fn reserved_headers(&self, count: usize) {
+    pub fn count_reserved_headers(&self, count: usize) {
         self.reserved_headers.inc_by(count as u64);
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Counts a read of a target's report, successful or failed.
-    pub fn report(&self, succeeded: bool) {
+    pub fn count_report(&self, succeeded: bool) {
         let result = if succeeded { "taken" } else { "failed" };
         self.reports.with_label_values(&[result]).inc();
     }
--- a/crates/daemon/src/node_notes.rs
+++ b/crates/daemon/src/node_notes.rs
@@ -27,7 +27,7 @@
         }
         NodeNote::PeerLost(peer) => warn!("peer_lost", kv: { vm = peer.vm.as_str() }),
         NodeNote::PeerReplaced(peer) => info!("peer_replaced", kv: { vm = peer.vm.as_str() }),
-        NodeNote::InstanceChanged(change) => log_instance_start(change),
+        NodeNote::InstanceChanged(change) => log_instance_change(change),
         NodeNote::TargetRemoved(removed) => {
             info!("target_gone", kv: { target = removed.target.as_str(), left = removed.announced_leaving })
         }
@@ -43,7 +43,7 @@
                 digest = digest.to_string(), target = instance.id.as_str()
             });
         }
-        NodeNote::RequestLethal(report) => log_lethal(report),
+        NodeNote::RequestLethal(suspect) => log_lethal(suspect),
         NodeNote::RolloutStage(rollout, reason) => log_rollout(rollout, *reason),
         NodeNote::VersionsHeld(pool, versions) => info!("versions_held", kv: {
             pool = pool.as_str(), versions = versions.join(" ")
@@ -73,12 +73,11 @@
     });
 }
 
-fn log_lethal(report: &SuspectReport) {
-    let ended = report.interruptions.iter().filter(|interruption| interruption.ended);
-    let targets: Vec<&str> =
-        ended.map(|interruption| interruption.interruption.instance.id.as_str()).collect();
+fn log_lethal(suspect: &SuspectReport) {
+    let ended = suspect.interruptions.iter().filter(|report| report.ended);
+    let targets: Vec<&str> = ended.map(|report| report.interruption.instance.id.as_str()).collect();
     warn!("request_lethal", kv: {
-        digest = report.digest.to_string(), ended = targets.len(), targets = targets.join(" ")
+        digest = suspect.digest.to_string(), ended = targets.len(), targets = targets.join(" ")
     });
 }
 
@@ -96,7 +95,7 @@
     });
 }
 
-fn log_instance_start(change: &InstanceChange) {
+fn log_instance_change(change: &InstanceChange) {
     let InstanceChange { target, stated, known } = change;
     match change.is_late() {
         true => warn!("target_entry_late", kv: {
--- a/crates/daemon/src/reports.rs
+++ b/crates/daemon/src/reports.rs
@@ -41,7 +41,7 @@
         let read =
             tokio::time::timeout(REPORT_TIMEOUT, read_report(connections, target, path)).await;
         let report = read.ok().flatten();
-        context.metrics.report(report.is_some());
+        context.metrics.count_report(report.is_some());
         if let Some(report) = report {
             context.send_event(NodeEvent::TargetReported(
                 pool.id.clone(),
--- a/crates/daemon/src/request/builtin.rs
+++ b/crates/daemon/src/request/builtin.rs
@@ -162,7 +162,7 @@
         None
     }
 
-    /// Never: only the target that runs a request resumes its answer, and no request is sent a second time.
+    /// Returns `false`: only the target that runs a request resumes its answer, and no request is sent a second time.
     fn may_repeat(&self, _: &AdmittedRequest) -> bool {
         false
     }
@@ -177,10 +177,11 @@
 
     fn caller_answer(&self, id: RequestId, head: &ResponseHead) -> CallerAnswer {
         let length = headers::text(&head.headers, "content-length");
-        let passing = head.headers.iter().filter(|(name, _)| headers::is_forwarded_to_caller(name));
+        let forwarded =
+            head.headers.iter().filter(|(name, _)| headers::is_forwarded_to_caller(name));
         let mut answer = CallerAnswer {
             status: head.status,
-            headers: passing.map(|(name, value)| (name.clone(), value.clone())).collect(),
+            headers: forwarded.map(|(name, value)| (name.clone(), value.clone())).collect(),
             content: AnswerContent::Parts(length.and_then(|text| text.parse().ok())),
             close: false,
         };
--- a/crates/daemon/src/request/cause.rs
+++ b/crates/daemon/src/request/cause.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the result that is reported to the scheduler. A target that accepts no more requests has not failed;
-    /// the scheduler receives that through the target's notices.
+    /// the scheduler learns of it from the target's notices.
     pub fn attempt_end(self) -> AttemptEnd {
         match self {
             AttemptCause::RestRequested
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -46,8 +46,8 @@
 /// Minimum time to connect: many round trips between data centres.
 const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
 /// Number of latency objectives after which an unresponsive target counts as stalled, so that another one is
-/// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each), the mean value is .535 with 2,
-/// .533 with 1 and .529 with 4.
+/// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each, no processor time charged), the
+/// mean value is .535 with 2, .533 with 1 and .529 with 4.
 const STALL_OBJECTIVES: u32 = 2;
 /// Bounds of the time after which a target counts as stalled. A working target pauses for 0.6 to 2 s while it reads a
 /// long prompt (in a fleet of 78 daemons).
@@ -177,8 +177,8 @@
         head.uri = attempt.caller.uri.clone();
         let caller = &attempt.caller.headers;
         head.headers = forwarding::forwarded_headers(&self.profile, caller);
-        let reserved = forwarding::reserved_headers(&self.profile, caller);
-        self.context.metrics.reserved_headers(reserved);
+        let reserved = forwarding::count_reserved_headers(&self.profile, caller);
+        self.context.metrics.count_reserved_headers(reserved);
         let profile = &self.profile;
         let mut set = |name, text: &str| {
             headers::set(&mut head.headers, HeaderName::from_static(name), text);
@@ -231,13 +231,13 @@
     }
 
     fn caller_answer(&self, _: RequestId, head: &ResponseHead) -> CallerAnswer {
-        let passing = head
+        let forwarded = head
             .headers
             .iter()
             .filter(|(name, _)| headers::may_forward(name) && **name != header::CONTENT_LENGTH);
         CallerAnswer {
             status: head.status,
-            headers: passing.map(|(name, value)| (name.clone(), value.clone())).collect(),
+            headers: forwarded.map(|(name, value)| (name.clone(), value.clone())).collect(),
             content: AnswerContent::Parts(None),
             close: self.context.is_draining(),
         }
--- a/crates/daemon/src/request/profile/admission.rs
+++ b/crates/daemon/src/request/profile/admission.rs
@@ -3,11 +3,12 @@
 //! A request is admitted if all of these hold:
 //! - a rule matches its host, method and path;
 //! - the rule is public, or the configuration has no accounts, or its token belongs to an account and the
-//!   configuration is proved recent enough;
+//!   configuration was confirmed recently enough;
 //! - it has an attempt id, and its timeout, if there is one, is readable.
 //!
-//! An unknown token or path is refused without a `Retry-After` only while the configuration is proved the newest;
-//! otherwise the caller is told to retry. The pool's scheduler then decides what the admitted request may use.
+//! An unknown token or path is refused without a `Retry-After` only if the configuration was confirmed to be the newest
+//! within `config_apply_limit`; otherwise the refusal has one, so that the caller retries. The pool's scheduler then
+//! decides what the admitted request may use.
 //!
 //! Owns: nothing. Relies on: the configuration in force, `ConfigFreshness` for its age.
 
@@ -102,13 +103,13 @@
         Ok(Some(account))
     }
 
-    /// Returns whether the configuration is proved recent enough for requests with a token.
+    /// Returns whether the configuration was confirmed recently enough for requests with a token.
     pub(super) fn is_config_fresh(&self) -> bool {
         self.freshness.allows(self.context.bounds().config_age_limit)
     }
 
-    /// Builds the refusal of an unknown token or path. It is final only while the configuration is proved the newest;
-    /// otherwise the caller gets a `Retry-After`.
+    /// Builds the refusal of an unknown token or path. It is final only if the configuration was confirmed to be the
+    /// newest within `config_apply_limit`; otherwise the caller gets a `Retry-After`.
     fn denied(&self, reason: RefusalReason) -> Refusal {
         if self.freshness.is_within(self.context.bounds().config_apply_limit) {
             return Refusal::not_run(reason, None);
--- a/crates/daemon/src/request/profile/forwarding.rs
+++ b/crates/daemon/src/request/profile/forwarding.rs
@@ -13,7 +13,7 @@
 use crate::headers;
 
 /// Returns the number of reserved headers in a caller's request.
-pub fn reserved_headers(profile: &WireProfile, caller: &HeaderMap) -> usize {
+pub fn count_reserved_headers(profile: &WireProfile, caller: &HeaderMap) -> usize {
     caller.keys().filter(|name| is_reserved(profile, name)).count()
 }
 
@@ -26,11 +26,11 @@
     let set_by_daemon = [profile.time_left, profile.account, profile.instance];
     let mut forwarded = HeaderMap::new();
     for (name, value) in caller {
-        let passes = headers::may_forward(name)
+        let is_forwarded = headers::may_forward(name)
             && !headers::is_for_daemon_only(name)
             && !set_by_daemon.contains(&name.as_str())
             && !is_reserved(profile, name);
-        if passes {
+        if is_forwarded {
             forwarded.append(name.clone(), value.clone());
         }
     }
--- a/crates/daemon/src/request/profile/tests/notices.rs
+++ b/crates/daemon/src/request/profile/tests/notices.rs
@@ -23,7 +23,7 @@
 }
 
 fn read(status: u16, headers: &[(&'static str, &str)]) -> TargetNotice {
-    read_notice(&PROFILE, &head(status, headers)).expect("the target that was meant")
+    read_notice(&PROFILE, &head(status, headers)).expect("the intended target")
 }
 
 #[rstest]
@@ -70,11 +70,11 @@
 }
 
 #[rstest]
-#[case::says(&["1"], true)]
-#[case::says_twice(&["0", "1"], true)]
-#[case::denies(&["0"], false)]
+#[case::leaving(&["1"], true)]
+#[case::leaving_in_second_value(&["0", "1"], true)]
+#[case::not_leaving(&["0"], false)]
 #[case::other(&["yes"], false)]
-#[case::nothing(&[], false)]
+#[case::no_header(&[], false)]
 fn only_the_leaving_value_means_leaving(#[case] texts: &[&str], #[case] leaves: bool) {
     let headers: Vec<_> = texts.iter().map(|text| ("leaving", *text)).collect();
     assert_eq!(read(503, &headers).leaving, leaves);
--- a/crates/daemon/src/request/protocol.rs
+++ b/crates/daemon/src/request/protocol.rs
@@ -123,6 +123,7 @@
     /// Builds the answer for a refusal.
     fn refusal_answer(&self, id: RequestId, refusal: &Refusal) -> CallerAnswer;
 
-    /// Returns the age of the proof that the configuration is the newest, `None` if there is none.
+    /// Returns the time since the sending of the read that last confirmed the configuration to be the newest, `None` if
+    /// there was none or the protocol does not track it.
     fn config_age(&self) -> Option<Duration>;
 }
--- a/crates/daemon/src/target_notices.rs
+++ b/crates/daemon/src/target_notices.rs
@@ -20,10 +20,10 @@
         &self,
         now: Uptime,
         instance: &TargetInstance,
-        heard: &ReceivedNotice,
+        received: &ReceivedNotice,
         request: RequestId,
     ) -> Option<NoticeReport> {
-        let change = self.lock().apply_notice(now, instance, heard);
+        let change = self.lock().apply_notice(now, instance, received);
         if change.unreadable {
             warn!("target_notice_unreadable", kv: {
                 target = instance.id.as_str(), request = request.to_string()
