--- a/crates/daemon/src/back_off.rs
+++ b/crates/daemon/src/back_off.rs
@@ -47,7 +47,7 @@
 
     /// Counts a failed call, and logs it if it is the first of a series.
     pub fn record_failure(&self, call: &str, error: &Error, context: &DaemonContext) {
-        context.metrics.platform_error(call);
+        context.metrics.count_platform_error(call);
         if self.next == self.options.first {
             warn!("platform_call_failed", kv: { call, error = error.to_string() });
         }
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -96,7 +96,7 @@
         Ok(PutOutcome::Stored(version)) => TableWrite::Stored(version, table),
         Ok(PutOutcome::Conflict) => TableWrite::ReadAgain,
         Err(error) => {
-            context.metrics.platform_error("put_table");
+            context.metrics.count_platform_error("put_table");
             warn!("key_table_write_unclear", kv: { error = error.to_string() });
             TableWrite::ReadAgain
         }
--- a/crates/daemon/src/fleet/follow.rs
+++ b/crates/daemon/src/fleet/follow.rs
@@ -145,7 +145,7 @@
         known: ObjectVersion,
         refusals_read: &mut bool,
     ) -> Result<ConfigRead> {
-        self.context.metrics.platform_call("read_config");
+        self.context.metrics.count_platform_call("read_config");
         let read = self.platform.read_config(known);
         if *refusals_read {
             return read.await;
--- a/crates/daemon/src/fleet/follow/faults.rs
+++ b/crates/daemon/src/fleet/follow/faults.rs
@@ -89,7 +89,7 @@
     /// Logs and counts the changes.
     pub fn report(&self, kind: &str, metrics: &DaemonMetrics) {
         for fault in &self.started {
-            metrics.unusable_entry(kind, fault.reason);
+            metrics.count_unusable_entry(kind, fault.reason);
         }
         for fault in self.started.iter().take(LINES_PER_ANSWER) {
             let (entry, detail) = (truncate(&fault.name), truncate(&fault.detail));
--- a/crates/daemon/src/fleet/follow/peers.rs
+++ b/crates/daemon/src/fleet/follow/peers.rs
@@ -71,7 +71,7 @@
     }
 
     async fn read_daemon_records(&self, age: ListAge) -> Result<Vec<DaemonRecord>> {
-        self.context.metrics.platform_call("list_daemons");
+        self.context.metrics.count_platform_call("list_daemons");
         let list = self.platform.list_daemons(age).await?;
         let change = self.daemon_faults.borrow_mut().apply_list(list.faults);
         change.report(ENTRY_KIND, &self.context.metrics);
@@ -79,7 +79,7 @@
     }
 
     async fn write_record(&self, record: &DaemonRecord) -> Result<()> {
-        self.context.metrics.platform_call("record_daemon");
+        self.context.metrics.count_platform_call("record_daemon");
         self.platform.record_daemon(record).await
     }
 }
--- a/crates/daemon/src/fleet/follow/refusals.rs
+++ b/crates/daemon/src/fleet/follow/refusals.rs
@@ -26,7 +26,7 @@
 impl FleetFollower {
     /// Reads the refused requests. Returns whether the platform has answered; if it does not, peers send the list.
     pub(super) async fn read_refusals(&self) -> bool {
-        self.context.metrics.platform_call("list_refusals");
+        self.context.metrics.count_platform_call("list_refusals");
         match self.platform.list_refusals().await {
             Ok(list) => {
                 let change = self.refusal_faults.borrow_mut().apply_list(list.faults);
@@ -73,7 +73,7 @@
         let ended = suspect.interruptions.into_iter().filter(|report| report.ended);
         let instances = ended.map(|report| report.interruption.instance).collect();
         let refusal = StoredRefusal { digest, instances, at: context.wall() };
-        context.metrics.platform_call("store_refusal");
+        context.metrics.count_platform_call("store_refusal");
         match platform.store_refusal(&refusal).await {
             Ok(()) => context.send_event(NodeEvent::RefusalStored(digest)),
             Err(error) => BackOff::new(BACK_OFF).record_failure("store_refusal", &error, &context),
@@ -89,7 +89,7 @@
 ) {
     let (platform, context) = (Rc::clone(platform), context.clone());
     actix_rt::spawn(async move {
-        context.metrics.platform_call("drop_refusal");
+        context.metrics.count_platform_call("drop_refusal");
         if let Err(error) = platform.drop_refusal(&digest).await {
             BackOff::new(BACK_OFF).record_failure("drop_refusal", &error, &context);
         }
--- a/crates/daemon/src/fleet/follow/rollouts.rs
+++ b/crates/daemon/src/fleet/follow/rollouts.rs
@@ -33,7 +33,7 @@
             // The sender lives as long as the process.
             let _ = role.wait_for(|role| *role == ReadRole::Reader).await;
             let sent = Moment::now();
-            self.context.metrics.platform_call("list_rollouts");
+            self.context.metrics.count_platform_call("list_rollouts");
             match self.platform.list_rollouts().await {
                 Ok(list) => {
                     back_off.reset();
@@ -64,12 +64,12 @@
     async fn wait_for_rollout_change(&self, mut at: ObjectVersion) {
         loop {
             let begun = Instant::now();
-            self.context.metrics.platform_call("watch_rollouts");
+            self.context.metrics.count_platform_call("watch_rollouts");
             match self.platform.watch_rollouts(at, WATCH_LIMIT).await {
                 Ok(RolloutWatch::Unchanged(newer)) => at = newer,
                 Ok(RolloutWatch::Changed) => return,
                 Err(error) => {
-                    self.context.metrics.platform_error("watch_rollouts");
+                    self.context.metrics.count_platform_error("watch_rollouts");
                     debug!("platform_call_failed", kv: { call = "watch_rollouts", error = error.to_string() });
                     return tokio::time::sleep(READER_PAUSE).await;
                 }
@@ -90,7 +90,7 @@
 ) {
     let (platform, context) = (Rc::clone(platform), context.clone());
     actix_rt::spawn(async move {
-        context.metrics.platform_call("write_rollout");
+        context.metrics.count_platform_call("write_rollout");
         if let Err(error) = platform.write_rollout(&write).await {
             BackOff::new(BACK_OFF).record_failure("write_rollout", &error, &context);
         }
--- a/crates/daemon/src/fleet/follow/targets.rs
+++ b/crates/daemon/src/fleet/follow/targets.rs
@@ -39,7 +39,7 @@
             if age == ListAge::Newest && !self.wait_until_list_due(&mut role).await {
                 continue;
             }
-            self.context.metrics.platform_call("list_targets");
+            self.context.metrics.count_platform_call("list_targets");
             match self.platform.list_targets(std::mem::replace(&mut age, ListAge::Newest)).await {
                 Ok(list) => {
                     back_off.reset();
@@ -74,7 +74,7 @@
         tokio::time::sleep(self.limits.read_every).await;
         loop {
             let begun = Instant::now();
-            self.context.metrics.platform_call("watch_targets");
+            self.context.metrics.count_platform_call("watch_targets");
             let watch = self.platform.watch_targets(revision, WATCH_LIMIT);
             let watched = tokio::select! {
                 watched = watch => watched,
@@ -97,7 +97,7 @@
                 }
                 Ok(TargetWatch::HistoryUnavailable) => return,
                 Err(error) => {
-                    self.context.metrics.platform_error("watch_targets");
+                    self.context.metrics.count_platform_error("watch_targets");
                     debug!("platform_call_failed", kv: { call = "watch_targets", error = error.to_string() });
                     return;
                 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -113,7 +113,7 @@
     }
 
     /// Counts a rollout stage decided by this daemon.
-    pub fn rollout_stage(&self, stage: &str, reason: &str) {
+    pub fn count_rollout_stage(&self, stage: &str, reason: &str) {
         self.rollout_stages.with_label_values(&[stage, reason]).inc();
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Counts a caller that disconnected before its answer was complete.
-    pub fn caller_disconnected(&self) {
+    pub fn count_caller_disconnected(&self) {
         self.callers_disconnected.inc();
     }
 
@@ -164,32 +164,32 @@
     }
 
     /// Counts a caller that did not read its answer for too long.
-    pub fn caller_stalled(&self) {
+    pub fn count_caller_stalled(&self) {
         self.callers_stalled.inc();
     }
 
     /// Counts a target that terminated while running a request.
-    pub fn target_terminated(&self) {
+    pub fn count_target_terminated(&self) {
         self.targets_terminated.inc();
     }
 
     /// Counts a request that was not sent to a target because of the target's notices.
-    pub fn gate_stop(&self, cause: &str) {
+    pub fn count_gate_stop(&self, cause: &str) {
         self.gate_stops.with_label_values(&[cause]).inc();
     }
 
     /// Counts a call to the platform.
-    pub fn platform_call(&self, call: &str) {
+    pub fn count_platform_call(&self, call: &str) {
         self.platform_calls.with_label_values(&[call]).inc();
     }
 
     /// Counts a list entry of the platform that became unusable, or is unusable for another reason than before.
-    pub fn unusable_entry(&self, kind: &str, reason: FaultReason) {
+    pub fn count_unusable_entry(&self, kind: &str, reason: FaultReason) {
         self.unusable_entries.with_label_values(&[kind, reason.code()]).inc();
     }
 
     /// Counts a failed call to the platform.
-    pub fn platform_error(&self, call: &str) {
+    pub fn count_platform_error(&self, call: &str) {
         self.platform_errors.with_label_values(&[call]).inc();
     }
 
--- a/crates/daemon/src/node_loop.rs
+++ b/crates/daemon/src/node_loop.rs
@@ -164,10 +164,10 @@
                         Some(Moment::now() + limit.saturating_sub(STOP_WARNING_MARGIN));
                 }
                 if let NodeNote::TargetTerminated(..) = &note {
-                    self.context.metrics.target_terminated();
+                    self.context.metrics.count_target_terminated();
                 }
                 if let NodeNote::RolloutStage(rollout, Some(reason)) = &note {
-                    self.context.metrics.rollout_stage(rollout.stage.code(), reason.code());
+                    self.context.metrics.count_rollout_stage(rollout.stage.code(), reason.code());
                 }
                 log_node_note(&note);
             }
--- a/crates/daemon/src/pending.rs
+++ b/crates/daemon/src/pending.rs
@@ -114,7 +114,7 @@
 impl Drop for PendingRequest {
     fn drop(&mut self) {
         if self.open {
-            self.context.metrics.caller_disconnected();
+            self.context.metrics.count_caller_disconnected();
             self.context.send_event(NodeEvent::CallerDisconnected(self.request));
         }
     }
--- a/crates/daemon/src/request/attempt.rs
+++ b/crates/daemon/src/request/attempt.rs
@@ -130,7 +130,7 @@
 /// Counts and returns an attempt that the gate stopped because of the target's notices.
 fn gate_stopped(context: &DaemonContext, stop: GateStop) -> AttemptStart {
     let cause = AttemptCause::from(stop);
-    context.metrics.gate_stop(cause.code());
+    context.metrics.count_gate_stop(cause.code());
     AttemptStart::NotRun(RetryReason::TargetUnwilling, cause)
 }
 
--- a/crates/daemon/src/request/run.rs
+++ b/crates/daemon/src/request/run.rs
@@ -255,7 +255,7 @@
         warn!("caller_stalled", kv: {
             request = self.request.id.to_string(), offset = self.progress.bytes
         });
-        self.service.context.metrics.caller_stalled();
+        self.service.context.metrics.count_caller_stalled();
         self.pending = None;
     }
 
