--- a/crates/sched/src/admission/forecast.rs
+++ b/crates/sched/src/admission/forecast.rs
@@ -19,9 +19,9 @@
 use curlewcleat_core::{PermitRequest, RequestRate, Uptime, WorkMicros};
 
 use super::account::AccountLimit;
-use crate::advice::capacity_retry_after;
 use crate::placement::target::TargetState;
 use crate::pool::{micros, with_margin, PoolScheduler};
+use crate::retry_after::capacity_retry_after;
 use crate::rollout::versions::VersionAccess;
 
 /// Factor by which a guessed length may be too long.
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -21,7 +21,7 @@
 
 use super::burst_window::BurstWindow;
 use super::token_bucket::{TokenBucket, SCALE};
-use crate::advice::{MAX_RETRY_AFTER, MIN_RETRY_AFTER};
+use crate::retry_after::{MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 
 /// Divides the units of one second into what a daemon that is not the leader may save. It may save little, since
 /// the leader may have granted the burst.
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -26,10 +26,10 @@
 pub use self::options::{EntryOptions, RequestSpec};
 pub use self::replacement::ReplacementStep;
 use self::request::{EntryRequest, RequestPhase, UsedPermit};
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::election::unresponsive::UnresponsiveSchedulers;
 use crate::retry::budget::RetryBudget;
 use crate::retry::RetryBound;
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 /// The requests that an entry daemon owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -10,8 +10,8 @@
 
 use super::request::{PermitWait, RequestPhase, UsedPermit};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::{decide_retry, RetryBound, RetryDecision};
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 impl EntryRequests {
     /// Applies the answer of a scheduler to its request.
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -10,8 +10,8 @@
 
 use super::action::EntryAction;
 use super::options::RequestSpec;
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::RetryInput;
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 /// The phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/sched/src/entry/timeouts.rs
+++ b/crates/sched/src/entry/timeouts.rs
@@ -29,7 +29,7 @@
 
 use super::request::{PermitWait, RequestPhase};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
-use crate::advice::DEFAULT_RETRY_AFTER;
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 impl EntryRequests {
     /// Refuses requests whose deadline has passed, and handles schedulers and key holders that have not answered.
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -6,7 +6,8 @@
 //! | which request is served next | [`order`] | the queue of a pool |
 //! | which target serves it | [`placement`] | the learned state and the notices of each target |
 //! | whether it is attempted again | [`retry`] | the retry budget of an entry daemon |
-//! | when it is abandoned, and when its caller may retry | [`entry`], [`advice`] | the requests of an entry daemon |
+//! | when it is abandoned | [`entry`] | the requests of an entry daemon |
+//! | when a refused caller may retry | [`retry_after`] | none |
 //! | whether it terminates its targets | [`lethal`] | the suspect requests |
 //! | whether a version is accepted or rolled back | [`rollout`] | the versions of a pool, a rollout and its answers |
 //! | which daemon decides | [`election`] | the members |
@@ -17,7 +18,6 @@
 //! The caller passes the time in. The daemon, the tests, the benchmarks and the model checker run this code.
 
 mod admission;
-mod advice;
 mod decaying_ratio;
 mod drain;
 mod election;
@@ -27,6 +27,7 @@
 mod placement;
 mod pool;
 mod retry;
+mod retry_after;
 mod rollout;
 mod scheduler;
 mod target_gate;
@@ -36,7 +37,6 @@
 pub use admission::level_guard::{GuardStep, LevelGuard};
 pub use admission::overload::OverloadLevel;
 pub use admission::shared_rate::{AccountRates, RateMargin, RateRole, RateShare};
-pub use advice::{rate_retry_after, spread_retry_after};
 pub use drain::{DrainInput, DrainPhase, DrainState};
 pub use election::candidates::ALL_POOLS;
 pub use election::heartbeats::HeartbeatReceiver;
@@ -56,6 +56,7 @@
 pub use pool::{PermitRecord, PoolOptions, PoolScheduler, SchedulerAction};
 pub use retry::budget::{RetryBudget, RetryLimits};
 pub use retry::{decide_retry, RetryBound, RetryDecision, RetryInput};
+pub use retry_after::{rate_retry_after, spread_retry_after};
 pub use rollout::evidence::{AnswerLog, VersionFault, VersionVerdict};
 pub use rollout::exposure::{RolloutLimits, TrialShare};
 pub use rollout::versions::{PoolVersions, ReportedVersion, VersionAccess};
