--- a/crates/sched/src/election.rs
+++ b/crates/sched/src/election.rs
@@ -1,10 +1,10 @@
-//! Decides which daemons are reachable and in which order they are asked to schedule a pool.
+//! Decides which daemons are reachable and in which order permits of a pool are requested from them.
 //!
 //! [`membership`] holds the state of the peers, [`addresses`] the addresses of possible daemons, [`candidates`] decides
 //! which daemons may schedule, [`heartbeats`] who receives heartbeats, [`failure`] when a peer counts as unreachable,
-//! [`order`] which daemon schedules, [`unresponsive`] which one is asked where some do not answer.
+//! [`order`] which daemon schedules, [`unresponsive`] which one gets a permit request if some do not answer.
 //!
-//! Liveness decides only which daemon is asked first; no guarantee depends on it.
+//! Liveness decides only which daemon gets a permit request first; no guarantee depends on it.
 
 pub mod addresses;
 pub mod candidates;
--- a/crates/sched/src/election/addresses.rs
+++ b/crates/sched/src/election/addresses.rs
@@ -43,7 +43,8 @@
         self.announce();
     }
 
-    /// Adds the addresses in a heartbeat; those of the daemons that its sender asks first come before all others.
+    /// Adds the addresses in a heartbeat; those of the first daemons in its sender's order of schedulers come
+    /// before all others.
     pub(super) fn add_reported_addresses(&mut self, addresses: &[String]) {
         let mesh = self.is_mesh();
         for (index, address) in addresses.iter().enumerate() {
--- a/crates/sched/src/election/candidates.rs
+++ b/crates/sched/src/election/candidates.rs
@@ -9,7 +9,7 @@
 //! with the fleet.
 //!
 //! Load pattern: many daemons start at once on VMs with an eighth of a core. Where each sent greetings and a tenth of
-//! its heartbeats to all others, 87 daemons took 129 s of processor time over a day instead of 63 s (one run each).
+//! its heartbeats to all others, 87 daemons took 129 s of processor time over a day instead of 63 s.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -24,15 +24,15 @@
 pub const ALL_POOLS: &str = "all pools";
 /// Number of candidates, the first in the order of schedulers: the scheduler, its deputy and one more for each.
 pub(super) const CANDIDATES: usize = 4;
-/// Maximum number of daemons that are asked for permits, one after the other, before a daemon schedules for itself: the
-/// candidates and as many again, in case all candidates end together.
-const ASKED: usize = 2 * CANDIDATES;
+/// Maximum number of daemons from which permits are requested, one after the other, before a daemon schedules for
+/// itself: the candidates and as many again, in case all candidates end together.
+const ORDER_LIMIT: usize = 2 * CANDIDATES;
 /// A recorded daemon that has not answered is tried again after this many suspicion timeouts.
 const PROBE_AGAIN: u32 = 10;
 
 impl MemberView {
-    /// Returns the daemons to ask for permits, best first, in a fleet that is no mesh. This daemon schedules for itself
-    /// if none of the others in the list answers.
+    /// Returns the daemons to request permits from, best first, in a fleet that is no mesh. This daemon schedules for
+    /// itself if none of the others in the list answers.
     pub(super) fn candidate_order(&self, subject: &str) -> Vec<DaemonId> {
         if self.is_cut_off() {
             return vec![self.me.clone()];
@@ -44,7 +44,7 @@
         if is_candidate {
             ranked.insert(own_index, (own, self.me.clone()));
         }
-        ranked.truncate(ASKED);
+        ranked.truncate(ORDER_LIMIT);
         let mut order: Vec<DaemonId> = ranked.into_iter().map(|(_, daemon)| daemon).collect();
         if order.is_empty() || !is_candidate && !self.draining {
             order.push(self.me.clone());
@@ -83,7 +83,7 @@
         candidates.chain(self.first_if_reachable().into_iter().cloned()).collect()
     }
 
-    /// Returns the VMs whose daemons would be asked first if all were reachable.
+    /// Returns the VMs whose daemons would be the first in the order of schedulers if all were reachable.
     fn first_if_reachable(&self) -> Vec<&VmId> {
         let from_peers = self.peers.iter();
         let from_peers =
--- a/crates/sched/src/election/failure.rs
+++ b/crates/sched/src/election/failure.rs
@@ -3,9 +3,9 @@
 //! Inputs: when its last frame arrived, whether every heartbeat is exchanged with it and since when, the suspicion
 //! timeout of the settings (`[peers] suspect_after`). The rule: a peer with which every heartbeat is exchanged is
 //! unreachable after the timeout, counted from its last frame or from the start of the exchange, whichever is later. No
-//! heartbeats are expected of other peers; the exchange begins when such a peer becomes one of those that are asked. If
-//! no peer at all has sent anything within the timeout, this daemon itself is cut off, and all peers are unreachable
-//! for it.
+//! heartbeats are expected of other peers; the exchange begins when such a peer becomes one of this daemon's partners
+//! or requires answers. If no peer at all has sent anything within the timeout, this daemon itself is cut off, and all
+//! peers are unreachable for it.
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
--- a/crates/sched/src/election/heartbeats.rs
+++ b/crates/sched/src/election/heartbeats.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the heartbeat to send. Some contain known addresses: in a small fleet different ones each time; in a
-    /// large one those of the daemons that are asked first, and at once when these change.
+    /// large one those of the first daemons in the order of schedulers, and at once when these change.
     pub fn heartbeat(&mut self, generation: Generation, table: ObjectVersion) -> Heartbeat {
         let due =
             self.is_announcing() || self.heartbeats_planned.is_multiple_of(ADDRESSES_INTERVAL);
@@ -51,8 +51,8 @@
         self.heartbeat_with_addresses(known, generation, table)
     }
 
-    /// Returns the addresses of the daemons that are asked first, if they are due or have changed since they were last
-    /// sent.
+    /// Returns the addresses of the first daemons in the order of schedulers, if they are due or have changed since
+    /// they were last sent.
     fn first_addresses_to_send(&mut self, due: bool) -> Vec<String> {
         let first = self.first_addresses();
         if !due && first == self.first_sent {
@@ -63,7 +63,7 @@
     }
 
     /// Returns the heartbeat that answers an unknown daemon. It contains all known addresses, starting with those of
-    /// the daemons that are asked first.
+    /// the first daemons in the order of schedulers.
     pub fn greeting(&self, generation: Generation, table: ObjectVersion) -> Heartbeat {
         let mut known = self.first_addresses();
         let others = self.known_addresses.iter().filter(|address| !known.contains(address));
@@ -103,7 +103,7 @@
         known
     }
 
-    /// Returns the addresses of the daemons that this one asks first, as far as they are peers.
+    /// Returns the addresses of the first daemons in the order of schedulers, as far as they are peers.
     fn first_addresses(&self) -> Vec<String> {
         let order = self.candidate_order(ALL_POOLS);
         let known_peers = order.iter().filter_map(|daemon| self.peers.get(&daemon.vm));
--- a/crates/sched/src/election/membership.rs
+++ b/crates/sched/src/election/membership.rs
@@ -131,7 +131,7 @@
     pub(super) known_addresses: BTreeSet<String>,
     /// Position in the addresses from which the next heartbeat continues.
     pub(super) next_address: usize,
-    /// Addresses of the daemons asked first, as sent in the latest heartbeat that contained them.
+    /// Addresses of the first daemons in the order of schedulers, as sent in the latest heartbeat that contained them.
     pub(super) first_sent: Vec<String>,
     /// Whether the set of eligible daemons may have changed since it was last read.
     pub(super) changed: bool,
--- a/crates/sched/src/election/order.rs
+++ b/crates/sched/src/election/order.rs
@@ -4,7 +4,7 @@
 //! processor capacity of its VM in percent of a core, when it started. The rule: daemons with a fresh view first, then
 //! those on the strongest VM, since the scheduler takes part in every request, then the longest running, so that a
 //! restarted daemon takes no role away, then by rendezvous hashing. Every daemon computes the order itself. In a large
-//! fleet only some daemons are asked ([`candidates`](super::candidates)).
+//! fleet only some daemons get permit requests ([`candidates`](super::candidates)).
 //!
 //! Owns: nothing; the state is [`MemberView`]'s.
 
@@ -53,7 +53,7 @@
         eligible
     }
 
-    /// Returns the daemons to ask for permits of a pool, best first; this one alone if no daemon takes roles.
+    /// Returns the daemons to request permits of a pool from, best first; this one alone if no daemon takes roles.
     pub fn scheduler_order(&self, pool: &str) -> Vec<DaemonId> {
         if !self.is_mesh() {
             return self.candidate_order(pool);
--- a/crates/sched/src/election/unresponsive.rs
+++ b/crates/sched/src/election/unresponsive.rs
@@ -1,7 +1,7 @@
-//! Decides which scheduler is asked if some do not answer, and how long each is waited for.
+//! Decides from which scheduler a permit is requested if some do not answer, and how long each is waited for.
 //!
 //! Inputs: the order of schedulers, those that did not answer recently and since when, those that did not answer this
-//! very request. The rule: the first in the order that is responsive and was not asked for this request; else the first
+//! very request. The rule: the first in the order that is responsive and was not tried for this request; else the first
 //! responsive one; else the first. A scheduler that did not answer is skipped for `skip_for`. Once a heartbeat of it
 //! arrives it is skipped only for [`TIMEOUT_FACTOR`] times the time that was waited for it: frames to it may have been
 //! lost until then, but they may still be. A scheduler whose answers are late is waited for longer: [`ANSWER_FACTOR`]
@@ -42,6 +42,7 @@
     skip_for: Duration,
     /// Minimum time for which it is skipped although its heartbeats arrive.
     skip_with_heartbeats_for: Duration,
+    /// When each unresponsive scheduler last timed out.
     since: BTreeMap<VmId, Uptime>,
     /// Time for which a scheduler without late answers is waited for.
     limit: Duration,
@@ -51,8 +52,8 @@
 }
 
 impl UnresponsiveSchedulers {
-    /// Returns a state without unresponsive schedulers; each is asked `tries` times, and waited for `limit` each time,
-    /// before it counts as unresponsive.
+    /// Returns a state without unresponsive schedulers; each gets `tries` permit requests, and is waited for `limit`
+    /// each time, before it counts as unresponsive.
     pub fn new(skip_for: Duration, limit: Duration, tries: u32) -> UnresponsiveSchedulers {
         UnresponsiveSchedulers {
             skip_for,
@@ -79,7 +80,7 @@
         sent: Option<Uptime>,
     ) {
         self.since.remove(scheduler);
-        let unanswered = self.unanswered.get(scheduler).filter(|(asked, _)| asked == permit);
+        let unanswered = self.unanswered.get(scheduler).filter(|(first, _)| first == permit);
         let late = unanswered.map(|(_, sent)| *sent);
         if late.is_some() {
             self.unanswered.remove(scheduler);
@@ -116,15 +117,16 @@
         self.patience.retain(|_, patience| now < patience.latest + PATIENCE_DURATION);
     }
 
-    /// Returns the scheduler to ask, of candidates best first; those in `asked` did not answer for this request.
-    pub fn choose(&self, now: Uptime, candidates: &[DaemonId], asked: &[VmId]) -> Option<VmId> {
+    /// Returns the scheduler to request a permit from, of candidates best first; those in `tried` did not answer for
+    /// this request.
+    pub fn choose(&self, now: Uptime, candidates: &[DaemonId], tried: &[VmId]) -> Option<VmId> {
         let responsive = |daemon: &&DaemonId| {
             let since = self.since.get(&daemon.vm);
             since.is_none_or(|since| now >= *since + self.skip_for)
         };
-        let responsive_and_unasked =
-            |daemon: &&DaemonId| responsive(daemon) && !asked.contains(&daemon.vm);
-        let best = candidates.iter().find(responsive_and_unasked);
+        let responsive_and_untried =
+            |daemon: &&DaemonId| responsive(daemon) && !tried.contains(&daemon.vm);
+        let best = candidates.iter().find(responsive_and_untried);
         let best = best.or(candidates.iter().find(responsive)).or(candidates.first());
         best.map(|daemon| daemon.vm.clone())
     }
--- a/crates/sched/tests/members.rs
+++ b/crates/sched/tests/members.rs
@@ -99,10 +99,10 @@
     assert_eq!(view.tick(now).contains(&daemon(unresponsive)), lost);
 }
 
-/// No heartbeats are exchanged with a daemon that is not asked, so their absence must not count. Once the daemons
-/// before it have ended it is asked, and must then be detected as unreachable as fast as any other.
+/// No heartbeats are exchanged with a daemon that is no candidate, so their absence must not count. Once the daemons
+/// before it have ended it is a candidate, and must then be detected as unreachable as fast as any other.
 #[test]
-fn unresponsive_peer_is_detected_within_the_timeout_once_it_is_asked() {
+fn unresponsive_peer_is_detected_within_the_timeout_once_it_is_a_candidate() {
     let mut view = view(12, 12, 5);
     let capacity = |index: usize| 60 - index as u32;
     let mut now = Duration::from_secs(1);
@@ -130,7 +130,7 @@
         run(&mut view, &mut now, &[1, 2, 3, 4], &mut lost);
     }
     assert_eq!(lost, Vec::<String>::new());
-    // The four that were asked end; of the next ones the first has ended long ago.
+    // The four candidates end; of the next ones the first has ended long ago.
     run(&mut view, &mut now, &[6, 7, 8], &mut lost);
     assert_eq!(lost, ["vm-1", "vm-2", "vm-3", "vm-4"]);
     run(&mut view, &mut now, &[6, 7, 8, 9], &mut lost);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn recorded_daemon_is_asked_until_it_has_not_answered_in_time() {
+fn recorded_daemon_counts_as_reachable_until_it_has_not_answered_in_time() {
     let mut view = view(12, 12, 5);
     let records: Vec<_> = (1..40)
         .map(|index| record(index, if index <= 5 { 50 + index as u32 } else { 12 }))
@@ -241,11 +241,11 @@
     for index in 1..5 {
         seed.heartbeat_received(now, &daemon(index), &heartbeat(index, 50, 5));
     }
-    let asking = Heartbeat { answer_wanted: true, ..heartbeat(0, 12, 9) };
-    assert!(seed.heartbeat_received(now, &daemon(0), &asking).newcomer);
+    let requiring = Heartbeat { answer_wanted: true, ..heartbeat(0, 12, 9) };
+    assert!(seed.heartbeat_received(now, &daemon(0), &requiring).newcomer);
     let greeting = seed.greeting(1, 0);
     joining.heartbeat_received(now, &daemon(20), &greeting);
-    // It knows the size of the fleet, and tries the daemons that are asked first.
+    // It knows the size of the fleet, and tries the first daemons in the order of schedulers.
     assert!(joining.fleet_size() >= 100, "{}", joining.fleet_size());
     let next = receivers(&mut joining, now);
     assert!((1..5).all(|index| next.contains(&address(index))), "{next:?}");
@@ -275,14 +275,14 @@
     for _ in 0..10 {
         view.heartbeat_receivers(now);
     }
-    let asker = 17;
+    let sender = 17;
     let sent = |view: &mut MemberView| {
         let receivers = view.heartbeat_receivers(now);
-        receivers.iter().any(|receiver| receiver.address == address(asker))
+        receivers.iter().any(|receiver| receiver.address == address(sender))
     };
-    let unasked = (0..10).filter(|_| sent(&mut view)).count();
-    assert!(unasked <= 1 || order.iter().take(4).any(|candidate| *candidate == daemon(asker)));
-    let wanted = Heartbeat { answer_wanted: true, ..heartbeat(asker, 50, 5) };
-    view.heartbeat_received(now, &daemon(asker), &wanted);
+    let unrequested = (0..10).filter(|_| sent(&mut view)).count();
+    assert!(unrequested <= 1 || order.iter().take(4).any(|candidate| *candidate == daemon(sender)));
+    let wanted = Heartbeat { answer_wanted: true, ..heartbeat(sender, 50, 5) };
+    view.heartbeat_received(now, &daemon(sender), &wanted);
     assert!(sent(&mut view));
 }
