--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -16,7 +16,7 @@
 //! where an answer had begun at any of the instances: a request that terminates its target does so as it begins to run.
 //! Of 132,000 harmless requests beside eighteen targets of which two terminated each second, 122 were refused without
 //! these two exceptions, 22 with the second alone and 3 with both; with one termination in two seconds 5, 1 and 1; with
-//! one in ten seconds none (ten seeded crowds of two minutes).
+//! one in ten seconds none.
 //!
 //! Load pattern: a caller repeats a request, at any daemon, and every engine that begins to run it terminates. Where
 //! only the targets were blamed, 12 and 20 more engines terminated under two such requests after the third.
@@ -82,8 +82,8 @@
     refused: BTreeSet<RequestDigest>,
     terminations: RecentTerminations,
     served: RecentlyServed,
-    /// Number of changes so far.
-    change_count: u64,
+    /// Number of the latest change; the first one has the number 1.
+    latest_change: u64,
 }
 
 impl LethalRequests {
@@ -100,7 +100,7 @@
         digest: RequestDigest,
         interruption: RequestInterruption,
     ) -> bool {
-        let change = self.change_count + 1;
+        let change = self.latest_change + 1;
         let suspect = self.suspects.entry(digest).or_default();
         let changed = suspect.record_interruption(now, interruption);
         self.record_and_classify_if(changed, change, digest);
@@ -113,7 +113,7 @@
         let mut cleared = Vec::new();
         let mut any_changed = false;
         for report in reports {
-            let change = self.change_count + 1;
+            let change = self.latest_change + 1;
             let digest = report.digest;
             let suspect = self.suspects.entry(digest).or_default();
             let mut changed = suspect.merge(now, report);
@@ -140,7 +140,7 @@
 
     /// Clears a request of everything recorded against it. Returns whether the state changed.
     pub fn clear(&mut self, digest: &RequestDigest) -> bool {
-        let change = self.change_count + 1;
+        let change = self.latest_change + 1;
         let changed = self.suspects.get_mut(digest).is_some_and(SuspectRequest::clear);
         self.record_and_classify_if(changed, change, *digest);
         changed
@@ -148,7 +148,7 @@
 
     /// Records that the platform has stored the refusal of a request.
     pub fn record_stored(&mut self, digest: &RequestDigest) {
-        let change = self.change_count + 1;
+        let change = self.latest_change + 1;
         let suspect = self.suspects.get_mut(digest);
         let changed = suspect.is_some_and(|suspect| !std::mem::replace(&mut suspect.stored, true));
         self.record_and_classify_if(changed, change, *digest);
@@ -162,29 +162,29 @@
         targets: usize,
         presence_of: &dyn Fn(&TargetInstance) -> InstancePresence,
     ) -> Vec<(RequestDigest, TargetInstance)> {
-        let mut ended = Vec::new();
+        let mut terminated = Vec::new();
         let mut changed = Vec::new();
         for (digest, suspect) in &mut self.suspects {
-            let before = ended.len();
+            let before = terminated.len();
             let found = suspect.review(now, &self.options, presence_of);
-            ended.extend(found.ended.into_iter().map(|instance| (*digest, instance)));
-            if ended.len() > before || found.dropped {
+            terminated.extend(found.terminated.into_iter().map(|instance| (*digest, instance)));
+            if terminated.len() > before || found.dropped {
                 changed.push(*digest);
             }
         }
         self.review_terminations(now, targets);
         for digest in &changed {
-            let change = self.change_count + 1;
+            let change = self.latest_change + 1;
             self.record_change_if(true, change, *digest);
         }
         if !changed.is_empty() {
             self.classify();
         }
         self.remove_expired(now);
-        ended
+        terminated
     }
 
-    /// Returns whether a request may be sent. Asking about a refused request extends its refusal.
+    /// Returns whether a request may be sent. A call for a refused request extends its refusal.
     pub fn verdict(&mut self, now: Uptime, digest: &RequestDigest) -> LethalVerdict {
         if self.refused.contains(digest) {
             if let Some(suspect) = self.suspects.get_mut(digest) {
@@ -225,9 +225,9 @@
         self.suspects.is_empty()
     }
 
-    /// Returns the number of changes so far plus one, so that 0 stands for a daemon that has never pulled them.
+    /// Returns the number of the next change. It is at least 1, so that 0 marks a daemon that has never pulled changes.
     pub fn change_count(&self) -> u64 {
-        self.change_count + 1
+        self.latest_change + 1
     }
 
     /// Returns the report about a request, for other daemons.
@@ -248,7 +248,7 @@
         if !changed {
             return;
         }
-        self.change_count = change;
+        self.latest_change = change;
         if let Some(suspect) = self.suspects.get_mut(&digest) {
             suspect.changed_at = change;
         }
@@ -263,9 +263,9 @@
             .filter_map(|digest| self.suspects.get(digest))
             .flat_map(|suspect| suspect.terminated_instances().into_keys())
             .collect();
-        let ended =
+        let terminated =
             self.suspects.values().flat_map(|suspect| suspect.terminated_instances().into_keys());
-        if self.terminations.review(now, targets, ended, &explained) {
+        if self.terminations.review(now, targets, terminated, &explained) {
             self.classify();
         }
     }
--- a/crates/sched/src/lethal/options.rs
+++ b/crates/sched/src/lethal/options.rs
@@ -20,10 +20,10 @@
     pub refused_for: Duration,
 }
 
-/// The limit is the users' bound. List entries expire after three heartbeats of about a second, which was seen up to
-/// 3.6 s after a termination; `listing_expiry` is twice that, and the views of the list are up to two seconds old. A
-/// caller that is told that a retry does not help does not retry within minutes. A request that a new release can run
-/// is accepted again within the hour.
+/// The limit is the users' bound. List entries expire after three heartbeats of about a second, up to 3.6 s after a
+/// termination; `listing_expiry` is twice that, and the views of the list are up to two seconds old. A caller whose
+/// refusal states that a retry does not help does not retry within minutes. A request that a new release can run is
+/// accepted again within the hour.
 impl Default for LethalOptions {
     fn default() -> LethalOptions {
         LethalOptions {
--- a/crates/sched/src/lethal/served.rs
+++ b/crates/sched/src/lethal/served.rs
@@ -19,28 +19,28 @@
 /// The latest requests that were served whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct RecentlyServed {
-    at: BTreeMap<RequestDigest, Uptime>,
+    served_at: BTreeMap<RequestDigest, Uptime>,
     order: VecDeque<(Uptime, RequestDigest)>,
 }
 
 impl RecentlyServed {
     /// Records that a request was served whole.
     pub fn record(&mut self, now: Uptime, digest: RequestDigest) {
-        self.at.insert(digest, now);
+        self.served_at.insert(digest, now);
         self.order.push_back((now, digest));
         while self.order.len() > SERVED_LIMIT
             || self.order.front().is_some_and(|(at, _)| now > *at + PROPAGATION_LIMIT)
         {
             let Some((at, digest)) = self.order.pop_front() else { return };
             // It may have been served again since.
-            if self.at.get(&digest) == Some(&at) {
-                self.at.remove(&digest);
+            if self.served_at.get(&digest) == Some(&at) {
+                self.served_at.remove(&digest);
             }
         }
     }
 
     /// Returns when a request was served last.
     pub fn latest(&self, digest: &RequestDigest) -> Option<Uptime> {
-        self.at.get(digest).copied()
+        self.served_at.get(digest).copied()
     }
 }
--- a/crates/sched/src/lethal/suspect.rs
+++ b/crates/sched/src/lethal/suspect.rs
@@ -21,7 +21,7 @@
     pub begun: bool,
     /// Whether this daemon saw the instance listed when the interruption happened.
     observed_here: bool,
-    ended: bool,
+    terminated: bool,
     at: Uptime,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ReviewFindings {
     /// Instances that have terminated.
-    pub ended: Vec<TargetInstance>,
+    pub terminated: Vec<TargetInstance>,
     /// Whether interruptions were dropped because their instances have not terminated.
     pub dropped: bool,
 }
@@ -46,7 +46,7 @@
     pub stored: bool,
     /// Time of the latest interruption, or of the latest repeat of a refused request.
     pub latest: Uptime,
-    /// Change count of `LethalRequests` at the latest change of this request.
+    /// Number of the latest change of this request, counted over all requests.
     pub changed_at: u64,
 }
 
@@ -57,7 +57,7 @@
         self.add(
             now,
             instance,
-            InstanceInterruption { kind, begun, observed_here: true, ended: false, at: now },
+            InstanceInterruption { kind, begun, observed_here: true, terminated: false, at: now },
         )
     }
 
@@ -83,7 +83,7 @@
                     kind,
                     begun,
                     observed_here: false,
-                    ended: reported.ended,
+                    terminated: reported.ended,
                     at,
                 },
             );
@@ -98,13 +98,13 @@
         if let Some(interruption) = self.interruptions.get_mut(&instance) {
             // A closed connection is stronger evidence than a stalled one; of two copies at one instance, the one whose
             // answer had not begun counts.
-            let changed = added.ended && !interruption.ended
+            let changed = added.terminated && !interruption.terminated
                 || added.kind < interruption.kind
                 || !added.begun && interruption.begun;
             interruption.kind = interruption.kind.min(added.kind);
             interruption.begun &= added.begun;
             interruption.observed_here |= added.observed_here;
-            interruption.ended |= added.ended;
+            interruption.terminated |= added.terminated;
             return changed;
         }
         if self.interruptions.len() >= INSTANCE_LIMIT {
@@ -146,7 +146,7 @@
         let mut findings = ReviewFindings::default();
         let before = self.interruptions.len();
         self.interruptions.retain(|instance, interruption| {
-            if interruption.ended {
+            if interruption.terminated {
                 return true;
             }
             let age = now.saturating_sub(interruption.at);
@@ -154,8 +154,8 @@
                 InstancePresence::Unlisted
                     if interruption.observed_here || age >= options.listing_propagation =>
                 {
-                    interruption.ended = true;
-                    findings.ended.push(instance.clone());
+                    interruption.terminated = true;
+                    findings.terminated.push(instance.clone());
                     true
                 }
                 InstancePresence::Unlisted | InstancePresence::Unknown => true,
@@ -168,13 +168,13 @@
 
     /// Returns the instances that have terminated.
     pub fn terminated_instances(&self) -> InterruptedInstances<'_> {
-        self.instances(|interruption| interruption.ended)
+        self.instances(|interruption| interruption.terminated)
     }
 
     /// Returns the instances that have terminated or closed their connections.
     pub fn disconnected_instances(&self) -> InterruptedInstances<'_> {
         self.instances(|interruption| {
-            interruption.ended || interruption.kind == InterruptionKind::Closed
+            interruption.terminated || interruption.kind == InterruptionKind::Closed
         })
     }
 
@@ -192,7 +192,7 @@
 
     /// Returns the time until it is known whether the instance of the oldest interruption terminated.
     pub fn time_until_known(&self, now: Uptime, options: &LethalOptions) -> Duration {
-        let undecided = self.interruptions.values().filter(|interruption| !interruption.ended);
+        let undecided = self.interruptions.values().filter(|interruption| !interruption.terminated);
         let oldest = undecided.map(|interruption| interruption.at).min().unwrap_or(now);
         (oldest + options.listing_expiry).saturating_sub(now)
     }
@@ -216,7 +216,7 @@
                     kind: interruption.kind,
                     begun: interruption.begun,
                 },
-                ended: interruption.ended,
+                ended: interruption.terminated,
                 age: now.saturating_sub(interruption.at),
             });
         SuspectReport {
--- a/crates/sched/src/lethal/terminations.rs
+++ b/crates/sched/src/lethal/terminations.rs
@@ -29,10 +29,10 @@
         &mut self,
         now: Uptime,
         targets: usize,
-        ended: impl Iterator<Item = &'l TargetInstance>,
+        terminated: impl Iterator<Item = &'l TargetInstance>,
         explained: &BTreeSet<&TargetInstance>,
     ) -> bool {
-        for instance in ended {
+        for instance in terminated {
             if !self.terminated_at.contains_key(instance) {
                 self.terminated_at.insert(instance.clone(), now);
             }
--- a/crates/sched/src/lethal/updates.rs
+++ b/crates/sched/src/lethal/updates.rs
@@ -1,6 +1,6 @@
 //! Selects the suspect requests that are sent to a daemon that pulls changes.
 //!
-//! Inputs: the changes after the count that the daemon knows. The rule: it gets all changed requests that were
+//! Inputs: the changes that the daemon does not know. The rule: it gets all changed requests that were
 //! interrupted at two or more instances, since these are near being held or refused, and all that the platform has
 //! stored; of the others it gets the [`ORDINARY_LIMIT`] that changed first. The next pull gets the next ones.
 //!
@@ -8,7 +8,7 @@
 //! there, and hundreds of daemons pull the changes within a second. An answer with all of them took the scheduler of
 //! the pool longer than the pulling daemons wait.
 //!
-//! Owns: nothing; methods of [`LethalRequests`]. Relies on: the change counts.
+//! Owns: nothing; methods of [`LethalRequests`]. Relies on: the number that each change has.
 
 use curlewcleat_core::{RequestDigest, SuspectReport, Uptime};
 
@@ -18,23 +18,23 @@
 /// Maximum number of requests with a single interruption in one answer.
 pub const ORDINARY_LIMIT: usize = 16;
 
-/// The changes since a count, or the first of them.
+/// The changes from a number on, or the first of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectUpdates {
-    /// Change count up to which these updates are complete.
+    /// Number of the first change that these updates may lack.
     pub change_count: u64,
     /// Reports about the changed requests.
     pub requests: Vec<SuspectReport>,
 }
 
 impl LethalRequests {
-    /// Returns the reports about all requests that changed after this count, 0 for all.
+    /// Returns the reports about the requests of the changes from number `known` on, 0 for all.
     pub fn changes_since(&self, now: Uptime, known: u64) -> Vec<SuspectReport> {
         let changed = self.changed_after(known);
         changed.map(|(digest, suspect)| suspect.report(now, *digest)).collect()
     }
 
-    /// Returns the updates for a daemon that knows all changes up to this count.
+    /// Returns the updates for a daemon that knows the changes before number `known`.
     pub fn updates(&self, now: Uptime, known: u64) -> SuspectUpdates {
         let changed = self.changed_after(known);
         let (urgent, mut ordinary): (Vec<_>, Vec<_>) =
--- a/crates/sched/tests/lethal_crowds.rs
+++ b/crates/sched/tests/lethal_crowds.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Default)]
 struct CrowdEngine {
     instance: u64,
-    ended: Option<Duration>,
+    terminated_at: Option<Duration>,
     running: Vec<(Duration, CrowdRequest)>,
 }
 
@@ -113,7 +113,7 @@
             self.serve();
             if self.random.random_bool(terminations_per_s * STEP.as_secs_f64()) {
                 let index = self.random.random_range(0..ENGINES);
-                if self.engines[index].ended.is_none() {
+                if self.engines[index].terminated_at.is_none() {
                     self.count.other_terminations += 1;
                     self.terminate(index);
                 }
@@ -144,7 +144,7 @@
             });
         }
         for (digest, copies) in &mut self.copies {
-            // Callers that are told that a retry does not help still retry, less often.
+            // Callers whose refusal states that a retry does not help still retry, less often.
             while *copies < COPIES && self.random.random_bool(0.2) {
                 *copies += 1;
                 let (work, first) = (self.lethal_work, FIRST_PART);
@@ -168,7 +168,7 @@
             let free: Vec<usize> = (0..ENGINES)
                 .filter(|index| {
                     let engine = &self.engines[*index];
-                    engine.ended.is_none() && engine.running.len() < SLOTS_PER_ENGINE
+                    engine.terminated_at.is_none() && engine.running.len() < SLOTS_PER_ENGINE
                 })
                 .collect();
             if free.is_empty() {
@@ -215,7 +215,7 @@
 
     fn terminate(&mut self, index: usize) {
         let instance = instance_of(index, &self.engines[index]);
-        self.engines[index].ended = Some(self.now);
+        self.engines[index].terminated_at = Some(self.now);
         for (until, request) in std::mem::take(&mut self.engines[index].running) {
             let begun = self.now + request.work >= until + request.first;
             let interruption = RequestInterruption {
@@ -232,8 +232,11 @@
 
     fn restart_engines(&mut self) {
         for engine in &mut self.engines {
-            if engine.ended.is_some_and(|ended| self.now >= ended + RESTART_DELAY) {
-                engine.ended = None;
+            if engine
+                .terminated_at
+                .is_some_and(|terminated_at| self.now >= terminated_at + RESTART_DELAY)
+            {
+                engine.terminated_at = None;
                 engine.instance += 1;
             }
         }
