--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -50,7 +50,7 @@
     pub fn new(options: EntryOptions) -> EntryRequests {
         let (limit, tries) = (options.answer_timeout, options.answer_tries);
         EntryRequests {
-            unresponsive: UnresponsiveSchedulers::new(options.avoid_for, limit, tries),
+            unresponsive: UnresponsiveSchedulers::new(options.skip_for, limit, tries),
             options,
             budgets: BTreeMap::new(),
             daemons: 1,
@@ -145,6 +145,7 @@
             KeyDecision::NotHolder(_) => Vec::new(),
         }
     }
+
     /// Removes a request whose last attempt has ended, returns its permits and reports its verdict.
     pub fn finished(
         &mut self,
--- a/crates/sched/src/entry/options.rs
+++ b/crates/sched/src/entry/options.rs
@@ -24,7 +24,7 @@
     /// Maximum number of attempts of a request.
     pub attempt_limit: u32,
     /// Time for which an unresponsive scheduler is skipped.
-    pub avoid_for: Duration,
+    pub skip_for: Duration,
     /// Number of permit requests that a scheduler may leave unanswered before it is skipped.
     pub answer_tries: u32,
     /// Limits on the retries in each pool.
@@ -41,7 +41,7 @@
             key_limit: Duration::from_millis(150),
             key_tries: 3,
             attempt_limit: 3,
-            avoid_for: Duration::from_secs(3),
+            skip_for: Duration::from_secs(3),
             answer_tries: 2,
             retries: RetryLimits::default(),
         }
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -119,7 +119,7 @@
             }
             RequestPhase::Waiting(wait) => {
                 let mut actions = Vec::new();
-                // A late grant of an earlier scheduler is valid; the current scheduler is told that it is in use.
+                // A late grant of an earlier scheduler is valid; it is reported to the current scheduler as in use.
                 if wait.scheduler != *from {
                     let current = wait.scheduler.clone();
                     actions.push(request.hold_permit(now, current, permit.attempt, target.clone()));
--- a/crates/sched/src/entry/replacement.rs
+++ b/crates/sched/src/entry/replacement.rs
@@ -111,8 +111,8 @@
         end: AttemptEnd,
         condition: impl Fn(&&EntryRequest) -> bool,
     ) -> Vec<EntryAction> {
-        let asked = self.requests.get(&id).filter(|request| request.stalled_permit.is_some());
-        let Some(request) = asked.filter(condition) else { return Vec::new() };
+        let awaiting = self.requests.get(&id).filter(|request| request.stalled_permit.is_some());
+        let Some(request) = awaiting.filter(condition) else { return Vec::new() };
         let actions = request.return_permit(end);
         self.resume_stalled_target(id);
         actions
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -223,7 +223,7 @@
         EntryAction::HoldPermit(scheduler, PermitHeld { request, target })
     }
 
-    /// Returns the permit, or withdraws the permit request, at its scheduler.
+    /// Builds the actions that return the permit, or withdraw the permit request, at its scheduler.
     pub fn return_permit(&self, end: AttemptEnd) -> Vec<EntryAction> {
         let scheduler = match &self.phase {
             RequestPhase::Claiming { .. } => return Vec::new(),
@@ -233,7 +233,7 @@
         vec![self.return_to(scheduler, self.permit(), end)]
     }
 
-    /// Returns the permit of a stalled target to its scheduler.
+    /// Builds the action that returns the permit of a stalled target to its scheduler.
     pub fn return_stalled_permit(
         &self,
         stalled_permit: &UsedPermit,
--- a/crates/sched/tests/late_schedulers.rs
+++ b/crates/sched/tests/late_schedulers.rs
@@ -51,7 +51,7 @@
         let options = EntryOptions {
             answer_timeout: ANSWER_TIMEOUT,
             answer_tries: 1,
-            avoid_for: Duration::from_secs(3),
+            skip_for: Duration::from_secs(3),
             ..EntryOptions::default()
         };
         LateSimulation {
