--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -272,8 +272,8 @@
 /// Builds the refusal of a permit request that would wait too long. It sheds no tier, since lower tiers would wait
 /// even longer.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
-    let advice = spread_retry_after(request.permit, wait, request.time_left);
-    Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
+    let retry_after = spread_retry_after(request.permit, wait, request.time_left);
+    Refusal::not_run(RefusalReason::WaitTooLong, Some(retry_after))
 }
 
 /// Returns whether a permit request is refused because the pool lacks capacity.
--- a/crates/sched/src/admission/level_guard.rs
+++ b/crates/sched/src/admission/level_guard.rs
@@ -44,7 +44,7 @@
     rounds: u64,
     round: Option<ConfirmRound>,
     /// The tiers below this one are shed by all schedulers until this time.
-    confirmed: Option<(TierRank, Uptime)>,
+    confirmed_level: Option<(TierRank, Uptime)>,
     /// Refusals that wait for the round.
     held: Vec<SchedulerAction>,
 }
@@ -63,7 +63,7 @@
             Some(tier) if tier < lowest && !peers.is_empty() => tier,
             _ => return GuardStep { answers: vec![action], raise: None },
         };
-        if self.confirmed.is_some_and(|(open, until)| open <= tier && now < until) {
+        if self.confirmed_level.is_some_and(|(open, until)| open <= tier && now < until) {
             return GuardStep { answers: vec![action], raise: None };
         }
         self.held.push(action);
@@ -111,7 +111,7 @@
             return Vec::new();
         };
         // The other daemons hold the level for as long, but from a later time: when they received it.
-        self.confirmed = Some((round.tier, round.first_sent + LEVEL_HOLD));
+        self.confirmed_level = Some((round.tier, round.first_sent + LEVEL_HOLD));
         let (released, held) = std::mem::take(&mut self.held)
             .into_iter()
             .partition(|action| action.shed.is_none_or(|tier| round.tier <= tier));
--- a/crates/sched/src/admission/overload.rs
+++ b/crates/sched/src/admission/overload.rs
@@ -32,7 +32,7 @@
         self.lowest_open
     }
 
-    /// Returns the time held_until the level may fall.
+    /// Returns the time until the level may fall.
     pub fn remaining(&self, now: Uptime) -> Duration {
         self.held_until.saturating_sub(now)
     }
@@ -44,8 +44,8 @@
         if rises {
             self.lowest_open = Some(tier);
         }
-        // A refusal of a tier that is already shed says nothing about the tiers above it, so it does not extend the
-        // hold.
+        // A refusal of a tier that is already shed does not show a lack of capacity for the tiers above it, so it does
+        // not extend the hold.
         if self.lowest_open == Some(tier) {
             self.held_until = now + LEVEL_HOLD;
         }
--- a/crates/sched/src/admission/shared_rate.rs
+++ b/crates/sched/src/admission/shared_rate.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Returns the units that were taken for a request that is refused.
+    /// Puts back the units that were taken for a request that is refused.
     pub fn refund(&mut self, account: &AccountId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.units.refund(cost);
--- a/crates/sched/src/admission/throughput.rs
+++ b/crates/sched/src/admission/throughput.rs
@@ -44,7 +44,7 @@
 
 impl PoolThroughput {
     /// Records the work of a request that was admitted.
-    pub fn arrived(&mut self, tier: TierRank, work: WorkMicros) {
+    pub fn record_arrival(&mut self, tier: TierRank, work: WorkMicros) {
         self.arrived.entry(tier).or_default().numerator += work;
     }
 
--- a/crates/sched/src/admission/token_bucket.rs
+++ b/crates/sched/src/admission/token_bucket.rs
@@ -43,7 +43,7 @@
         self.level -= i128::from(tokens) * SCALE;
     }
 
-    /// Returns tokens to the bucket.
+    /// Puts tokens back into the bucket.
     pub fn refund(&mut self, tokens: u64) {
         self.add(i128::from(tokens) * SCALE);
     }
--- a/crates/sched/src/order/queue.rs
+++ b/crates/sched/src/order/queue.rs
@@ -36,6 +36,7 @@
 
 /// Requests of an account's queue that are candidates, so that one that suits no target does not delay the others.
 const CANDIDATES_PER_ACCOUNT: usize = 4;
+
 /// Position of a waiting request: its queue, its account and its key there.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct QueuePosition {
--- a/crates/sched/src/placement/ejection.rs
+++ b/crates/sched/src/placement/ejection.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the time until an ejected target may be tried again, `None` if it is not ejected.
-    pub fn time_left(&self, now: Uptime) -> Option<Duration> {
+    pub fn remaining(&self, now: Uptime) -> Option<Duration> {
         self.ejected_until.map(|ejected_until| ejected_until.saturating_sub(now))
     }
 
--- a/crates/sched/src/placement/target.rs
+++ b/crates/sched/src/placement/target.rs
@@ -188,7 +188,7 @@
     /// Returns the remaining time of the rest that it requires from the daemon on this VM, `None` if there is none.
     pub fn rest_remaining(&self, now: Uptime, vm: &VmId) -> Option<Duration> {
         let until = self.rests.get(vm)?;
-        Some(until.saturating_sub(now)).filter(|left| !left.is_zero())
+        Some(until.saturating_sub(now)).filter(|remaining| !remaining.is_zero())
     }
 
     /// Returns whether it currently requires rest from any entry daemon.
@@ -260,7 +260,7 @@
 
     /// Returns the time until an ejected target may be tried again, `None` if it is not ejected or is leaving.
     pub fn ejection_remaining(&self, now: Uptime) -> Option<Duration> {
-        self.ejection.time_left(now).filter(|_| !self.is_leaving())
+        self.ejection.remaining(now).filter(|_| !self.is_leaving())
     }
 
     /// Returns whether the target is ejected.
--- a/crates/sched/src/placement/trial.rs
+++ b/crates/sched/src/placement/trial.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Begins the trial of a version; `is_first` is whether this scheduler has been asked since the rollout order.
+    /// Begins the trial of a version; `is_first` is whether this daemon has scheduled the pool since the rollout order.
     pub fn begin_trial(&mut self, limits: RolloutLimits, is_first: bool) {
         self.trial.get_or_insert_with(|| TrialShare::new(limits, is_first));
     }
--- a/crates/sched/src/retry.rs
+++ b/crates/sched/src/retry.rs
@@ -54,7 +54,7 @@
 }
 
 impl RetryBound {
-    /// The code used in logs.
+    /// Returns the code used in logs.
     pub fn code(self) -> &'static str {
         match self {
             RetryBound::Deadline => "deadline",
--- a/crates/sched/src/retry_after.rs
+++ b/crates/sched/src/retry_after.rs
@@ -40,7 +40,7 @@
 /// Returns when to retry a request whose account has used up its rate for `wait`: spread over as long again,
 /// so that a caller whose wait is short can still be in time. Load pattern: a fleet that restarts with empty buckets,
 /// whose accounts may send again after tens of milliseconds. With a spread over a quarter of the remaining time, the
-/// requests of a day that ends in this way earned .880 of their credit instead of .885 (mean of six seeds).
+/// requests of a day that ends in this way earned .880 of their credit instead of .885.
 pub fn rate_retry_after(permit: PermitId, wait: Duration, time_left: Duration) -> Duration {
     spread_retry_after(permit, wait, time_left).clamp(wait, wait * 2)
 }
--- a/crates/sched/src/rollout.rs
+++ b/crates/sched/src/rollout.rs
@@ -45,7 +45,7 @@
     known_since: Uptime,
     stage_since: Uptime,
     log: AnswerLog,
-    evaluated: Uptime,
+    evaluated_at: Uptime,
     latest_write: Option<(RolloutStage, Uptime)>,
     /// Whether the version is to be rolled back although the platform may have stored that it is completed.
     rollback_pending: bool,
@@ -89,7 +89,7 @@
             known_since,
             stage_since: now,
             log: AnswerLog::default(),
-            evaluated: Duration::ZERO,
+            evaluated_at: Duration::ZERO,
             latest_write: None,
             rollback_pending: false,
             rollback_written_at: None,
--- a/crates/sched/src/rollout/exposure.rs
+++ b/crates/sched/src/rollout/exposure.rs
@@ -42,7 +42,7 @@
 }
 
 impl TrialShare {
-    /// Returns the state of a scheduler that has granted nothing yet; `is_first` says whether it has scheduled since
+    /// Returns the state of a scheduler that has granted nothing yet; `is_first` is whether it has scheduled since
     /// the order.
     pub fn new(limits: RolloutLimits, is_first: bool) -> TrialShare {
         let slack = if is_first { limits.slack } else { 0 };
--- a/crates/sched/src/rollout/measures.rs
+++ b/crates/sched/src/rollout/measures.rs
@@ -65,7 +65,7 @@
 }
 
 impl<'a> AnswerView<'a> {
-    /// Returns the answers that were recorded since then.
+    /// Returns the answers that were recorded at `since` or later.
     pub fn new(answers: impl Iterator<Item = &'a LoggedAnswer>, since: Uptime) -> AnswerView<'a> {
         AnswerView { answers: answers.filter(|answer| answer.at >= since).collect() }
     }
--- a/crates/sched/src/rollout/plan.rs
+++ b/crates/sched/src/rollout/plan.rs
@@ -107,10 +107,10 @@
         now: Uptime,
         view: &RolloutView,
     ) -> Option<(RolloutStage, RolloutReason)> {
-        if self.stage.is_final() || now < self.evaluated + EVALUATION_INTERVAL {
+        if self.stage.is_final() || now < self.evaluated_at + EVALUATION_INTERVAL {
             return None;
         }
-        self.evaluated = now;
+        self.evaluated_at = now;
         let Some(time) = self.order.time else {
             return Some((RolloutStage::RolledBack, RolloutReason::NoTime));
         };
--- a/crates/sched/src/rollout/samples.rs
+++ b/crates/sched/src/rollout/samples.rs
@@ -100,7 +100,7 @@
         self.rules.0.len()
     }
 
-    /// Number of answers of the version that failed or were interrupted.
+    /// Returns the number of answers of the version that failed or were interrupted.
     pub fn bad_answers(&self) -> u64 {
         self.bad_answers
     }
--- a/crates/sched/src/rollout/versions.rs
+++ b/crates/sched/src/rollout/versions.rs
@@ -65,7 +65,7 @@
         self.held.keys()
     }
 
-    /// Returns whether the answers of its targets are evaluated.
+    /// Returns whether a rollout is under way, so that the answers of the targets are evaluated.
     pub fn is_under_way(&self) -> bool {
         self.rollout.as_ref().is_some_and(|rollout| !rollout.stage().is_final())
     }
@@ -96,22 +96,22 @@
     pub fn update_reported(
         &mut self,
         now: Uptime,
-        shown: &BTreeMap<ReportedVersion, usize>,
+        reported: &BTreeMap<ReportedVersion, usize>,
         orders_read: Option<Uptime>,
     ) -> bool {
         let before = self.in_service.clone();
         if self.in_service.is_empty() {
-            self.begin_service(shown, orders_read.is_some());
+            self.begin_service(reported, orders_read.is_some());
         }
-        self.held.retain(|version, _| shown.contains_key(version));
+        self.held.retain(|version, _| reported.contains_key(version));
         for version in
-            shown.keys().filter(|version| self.is_unknown(version)).cloned().collect::<Vec<_>>()
+            reported.keys().filter(|version| self.is_unknown(version)).cloned().collect::<Vec<_>>()
         {
             self.held.entry(version).or_insert(now);
         }
         self.release(orders_read);
         let is_open = |version| self.access(version) != VersionAccess::Closed;
-        if !shown.keys().any(is_open) {
+        if !reported.keys().any(is_open) {
             self.in_service.extend(std::mem::take(&mut self.held).into_keys());
         }
         self.in_service != before
@@ -119,11 +119,11 @@
 
     /// Puts the first reported versions in service: all of them once the orders are known, else the one that most
     /// targets have.
-    fn begin_service(&mut self, shown: &BTreeMap<ReportedVersion, usize>, orders_known: bool) {
+    fn begin_service(&mut self, reported: &BTreeMap<ReportedVersion, usize>, orders_known: bool) {
         let ordered = self.rollout.as_ref().map(|rollout| rollout.order().version.clone());
         let is_usual =
             |version: &ReportedVersion| *version != ordered && !self.closed.contains(version);
-        let candidates = shown.iter().filter(|(version, _)| is_usual(version));
+        let candidates = reported.iter().filter(|(version, _)| is_usual(version));
         let versions: Vec<ReportedVersion> = match orders_known {
             true => candidates.map(|(version, _)| version.clone()).collect(),
             false => {
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -117,7 +117,7 @@
         let permit = request.permit;
         let weight = self.account_limit(&request.account).weight;
         let waiting = self.waiting_request(now, entry.clone(), request, in_time_until);
-        self.throughput.arrived(waiting.request.tier, waiting.work);
+        self.throughput.record_arrival(waiting.request.tier, waiting.work);
         self.queues.push(now, waiting, weight);
         self.grant(now, actions);
         if self.queues.contains(&permit) {
--- a/crates/sched/src/target_gate.rs
+++ b/crates/sched/src/target_gate.rs
@@ -113,7 +113,8 @@
         let limit = record.notices.rate().zip(record.pace.as_ref());
         match limit {
             Some((rate, pace)) if !pace.admits(now, rate) => {
-                // The scheduler that granted this request does not know the limit; the next answer is reported to it.
+                // The scheduler that granted this request does not know the limit, so the next notice is reported
+                // at once.
                 record.last_report = None;
                 Some(GateStop::Limited)
             }
