--- a/crates/sched/tests/notices.rs
+++ b/crates/sched/tests/notices.rs
@@ -30,7 +30,7 @@
     RequestRate::per_second(per_second).expect("a rate")
 }
 
-fn named(per_second: f64) -> TargetNotice {
+fn limit_notice(per_second: f64) -> TargetNotice {
     TargetNotice { limit: LimitNotice::Stated(rate(per_second)), ..TargetNotice::default() }
 }
 
@@ -276,7 +276,7 @@
             panic!("{actions:?}")
         };
         assert_eq!(refusal.reason, RefusalReason::NoTarget);
-        let wait = refusal.retry_after.expect("when to come back");
+        let wait = refusal.retry_after.expect("a retry advice");
         assert!((SECOND * 2..SECOND * 5 / 2).contains(&wait), "{wait:?}");
     }
     let actions = scheduler.request_permit(SECOND, entry("other"), permit_request(9_999, 0));
@@ -349,7 +349,7 @@
 #[test]
 fn gate_allows_no_more_than_the_whole_limit() {
     let mut gate = TargetGate::default();
-    let received = ReceivedNotice { sent: SECOND, notice: named(1.8) };
+    let received = ReceivedNotice { sent: SECOND, notice: limit_notice(1.8) };
     gate.apply_notice(SECOND, &instance("t"), &received);
     let mut times = Vec::new();
     for step in 0..1_000 {
@@ -360,7 +360,7 @@
                 gate.apply_notice(
                     now,
                     &instance("t"),
-                    &ReceivedNotice { sent: now, notice: named(1.8) },
+                    &ReceivedNotice { sent: now, notice: limit_notice(1.8) },
                 );
             }
             Some(stop) => assert_eq!(stop, GateStop::Limited),
@@ -375,9 +375,8 @@
 #[test]
 fn limit_ends_with_a_later_request() {
     let mut notices = NoticeState::default();
-    assert!(
-        notices.apply_notice(SECOND * 5, &ReceivedNotice { sent: SECOND * 4, notice: named(2.0) })
-    );
+    assert!(notices
+        .apply_notice(SECOND * 5, &ReceivedNotice { sent: SECOND * 4, notice: limit_notice(2.0) }));
     let without_limit = TargetNotice::default();
     assert!(!notices
         .apply_notice(SECOND * 6, &ReceivedNotice { sent: SECOND * 3, notice: without_limit }));
--- a/crates/sched/tests/overload.rs
+++ b/crates/sched/tests/overload.rs
@@ -115,7 +115,7 @@
                 }
                 PermitDecision::Refused(_) if caller.is_retry => self.count.refused += 1,
                 PermitDecision::Refused(refusal) => {
-                    let retry_at = self.now + refusal.retry_after.expect("an advice");
+                    let retry_at = self.now + refusal.retry_after.expect("a retry advice");
                     let caller = LoadCaller { is_retry: true, ..caller };
                     self.retries.insert((retry_at, number), caller);
                 }
--- a/crates/sched/tests/pools.rs
+++ b/crates/sched/tests/pools.rs
@@ -42,7 +42,7 @@
     scheduler
 }
 
-fn request(number: u128, tier: u8, account: &str, left: Duration) -> PermitRequest {
+fn request(number: u128, tier: u8, account: &str, remaining: Duration) -> PermitRequest {
     PermitRequest {
         permit: PermitId { request: RequestId::from_u128(number), attempt: 0 },
         pool: POOL.to_string(),
@@ -50,7 +50,7 @@
         account: account.to_string(),
         cost: 1,
         objectives: curlewcleat_core::LatencyObjectives::default(),
-        time_left: left,
+        time_left: remaining,
         prompt_work: 0,
         output_work: 100_000,
         prefix: None,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn account_rate_is_enforced_and_the_refusal_says_when_to_retry() {
+fn account_rate_is_enforced_and_the_refusal_states_when_to_retry() {
     let limit = AccountLimit { rate_per_s: Some(2), ..AccountLimit::default() };
     let accounts = BTreeMap::from([("a".to_string(), limit)]);
     let mut scheduler = scheduler(PoolOptions { accounts, ..PoolOptions::default() }, 4, 8);
@@ -136,7 +136,7 @@
     let third = scheduler.request_permit(now, entry(), request(3, 0, "a", LONG));
     assert_eq!(refused(&third), BTreeMap::from([(3, RefusalReason::AccountRate)]));
     let PermitDecision::Refused(refusal) = &third[0].answer.decision else { panic!() };
-    let wait = refusal.retry_after.expect("says when");
+    let wait = refusal.retry_after.expect("a retry advice");
     assert_eq!(
         granted(&scheduler.request_permit(now + wait, entry(), request(4, 0, "a", LONG))),
         [4]
@@ -303,17 +303,17 @@
     Return(u8, bool),
     Repeat(u8),
     Advance(u16),
-    EntryLeaves,
+    EntryDaemonLeaves,
     VmLeaves(bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0u8..4, 0u8..3, 50u16..5_000).prop_map(|(tier, account, left)| Step::Send(tier, account, left)),
+        4 => (0u8..4, 0u8..3, 50u16..5_000).prop_map(|(tier, account, remaining)| Step::Send(tier, account, remaining)),
         3 => (any::<u8>(), any::<bool>()).prop_map(|(which, whole)| Step::Return(which, whole)),
         1 => any::<u8>().prop_map(Step::Repeat),
         1 => (1u16..2_000).prop_map(Step::Advance),
-        1 => Just(Step::EntryLeaves),
+        1 => Just(Step::EntryDaemonLeaves),
         1 => any::<bool>().prop_map(Step::VmLeaves),
     ]
 }
@@ -326,7 +326,7 @@
     sent: u128,
     tiers: BTreeMap<u128, u8>,
     /// Waiting requests.
-    open: BTreeSet<u128>,
+    waiting: BTreeSet<u128>,
     /// Requests that have a permit.
     held: BTreeSet<u128>,
     /// Whether the VM of target t0 is leaving.
@@ -341,7 +341,7 @@
             now: Duration::ZERO,
             sent: 0,
             tiers: BTreeMap::new(),
-            open: BTreeSet::new(),
+            waiting: BTreeSet::new(),
             held: BTreeSet::new(),
             leaving: false,
         }
@@ -350,10 +350,10 @@
     /// Runs a step; returns the scheduler's actions, or `None` if there is nothing to check.
     fn run_step(&mut self, step: Step) -> Result<Option<Vec<SchedulerAction>>, TestCaseError> {
         let actions = match step {
-            Step::Send(tier, account, left) => self.send(tier, account, left),
+            Step::Send(tier, account, remaining) => self.send(tier, account, remaining),
             Step::Return(which, whole) => {
                 let Some(id) = self.held_request(which) else { return Ok(None) };
-                self.give_back(id, whole)
+                self.return_permit_of(id, whole)
             }
             Step::Repeat(which) => {
                 let Some(id) = self.held_request(which) else { return Ok(None) };
@@ -364,8 +364,8 @@
                 self.now += Duration::from_millis(u64::from(millis));
                 self.scheduler.tick(self.now)
             }
-            Step::EntryLeaves => {
-                self.open.clear();
+            Step::EntryDaemonLeaves => {
+                self.waiting.clear();
                 self.held.clear();
                 self.scheduler.remove_entry_daemon(self.now, &entry())
             }
@@ -377,12 +377,12 @@
         Ok(Some(actions))
     }
 
-    fn send(&mut self, tier: u8, account: u8, left: u16) -> Vec<SchedulerAction> {
+    fn send(&mut self, tier: u8, account: u8, remaining: u16) -> Vec<SchedulerAction> {
         self.sent += 1;
         self.tiers.insert(self.sent, tier);
-        self.open.insert(self.sent);
-        let left = Duration::from_millis(u64::from(left));
-        let request = request(self.sent, tier, &account.to_string(), left);
+        self.waiting.insert(self.sent);
+        let remaining = Duration::from_millis(u64::from(remaining));
+        let request = request(self.sent, tier, &account.to_string(), remaining);
         self.scheduler.request_permit(self.now, entry(), request)
     }
 
@@ -390,7 +390,7 @@
         self.held.iter().nth(usize::from(which) % self.held.len().max(1)).copied()
     }
 
-    fn give_back(&mut self, id: u128, whole: bool) -> Vec<SchedulerAction> {
+    fn return_permit_of(&mut self, id: u128, whole: bool) -> Vec<SchedulerAction> {
         self.held.remove(&id);
         let took = Duration::from_millis(100);
         let end = if whole { AttemptEnd::Whole(took) } else { AttemptEnd::Unused };
@@ -413,13 +413,13 @@
     /// Checks each answer of the scheduler, and applies it to the expected state.
     fn check_actions(&mut self, actions: &[SchedulerAction]) -> Result<(), TestCaseError> {
         for id in refused(actions).keys() {
-            prop_assert!(self.open.remove(id), "{} was refused and not open", id);
+            prop_assert!(self.waiting.remove(id), "{} was refused and did not wait", id);
         }
         for action in actions {
             let id = action.answer.permit.request.as_u128();
             if let PermitDecision::Granted(target) = &action.answer.decision {
                 // An old permit is confirmed by granting it again.
-                let new = self.open.remove(&id);
+                let new = self.waiting.remove(&id);
                 prop_assert!(new || self.held.contains(&id));
                 let leaving = self.leaving && target == "t0";
                 prop_assert!(!(new && leaving), "a leaving target got new work");
@@ -437,7 +437,7 @@
         let mut targets = self.scheduler.targets().values();
         prop_assert!(targets.all(|target| target.in_flight <= target.slots));
         prop_assert_eq!(self.scheduler.in_flight(), self.held.len());
-        prop_assert_eq!(self.scheduler.waiting(), self.open.len());
+        prop_assert_eq!(self.scheduler.waiting(), self.waiting.len());
         Ok(())
     }
 }
--- a/crates/sched/tests/replacement.rs
+++ b/crates/sched/tests/replacement.rs
@@ -145,7 +145,7 @@
             EntryAction::RequestPermit(_, permit_request) => {
                 scheduler.request_permit(self.now, entry, permit_request)
             }
-            EntryAction::ReturnPermit(_, back) => scheduler.return_permit(self.now, &back),
+            EntryAction::ReturnPermit(_, returned) => scheduler.return_permit(self.now, &returned),
             EntryAction::HoldPermit(_, held) => {
                 scheduler.record_held_permit(self.now, entry, held);
                 Vec::new()
--- a/crates/sched/tests/rollout_crowds.rs
+++ b/crates/sched/tests/rollout_crowds.rs
@@ -1,5 +1,5 @@
-//! Simulated load: how many faulty versions are taken, and how many sound ones rolled back, among targets that crash,
-//! are slow, fail some answers, and among bursts.
+//! Simulated load: how many faulty versions are accepted, and how many sound ones rolled back, among targets that
+//! crash, are slow, fail some answers, and among bursts.
 //!
 //! The load: sixty targets in service and as many of the version, of three speeds, four hundred requests per second of
 //! three rules, twelve seconds for the order. A version is faulty at once, later, under load or for one rule, by
@@ -110,8 +110,8 @@
     fn new(seed: u64, time: FaultTime, kind: FaultKind, shares: Range<f64>) -> Crowd {
         let mut random = StdRng::seed_from_u64(seed);
         let disturbance = DISTURBANCES[random.random_range(0..DISTURBANCES.len())];
-        let part = random.random_range(0.1..0.25);
-        let disturbed_targets = (0..2 * TARGETS).filter(|_| random.random_bool(part)).collect();
+        let fraction = random.random_range(0.1..0.25);
+        let disturbed_targets = (0..2 * TARGETS).filter(|_| random.random_bool(fraction)).collect();
         let millis = |random: &mut StdRng, from: u64, to: u64| {
             Duration::from_millis(random.random_range(from..to))
         };
@@ -281,7 +281,7 @@
     }
 }
 
-/// Returns the seeds whose faulty version was taken, got too many requests, or got them for too long.
+/// Returns the seeds whose faulty version was accepted, got too many requests, or got them for too long.
 fn failed_seeds(time: FaultTime, kind: FaultKind, shares: &Range<f64>) -> Vec<String> {
     let faults = (0..SEEDS).filter_map(|seed| {
         let crowd = Crowd::new(seed, time, kind, shares.clone());
@@ -291,15 +291,15 @@
         );
         let outcome = crowd.simulate();
         let late = outcome.bad_at.is_some_and(|bad_at| outcome.last > bad_at + ROLLBACK_LIMIT / 2);
-        let taken = outcome.stage != Some(RolloutStage::RolledBack);
+        let accepted = outcome.stage != Some(RolloutStage::RolledBack);
         let too_many = outcome.tried * 10 > outcome.all + 500;
-        (taken || too_many || late).then(|| format!("seed {seed} {parameters}: {outcome:?}"))
+        (accepted || too_many || late).then(|| format!("seed {seed} {parameters}: {outcome:?}"))
     });
     faults.collect()
 }
 
-/// Of two hundred faulty versions in all none may be taken; each must be rolled back before the users would count it as
-/// late.
+/// Of two hundred faulty versions in all none may be accepted; each must be rolled back before the users would count it
+/// as late.
 #[rstest]
 #[case::fails_at_once(FaultTime::AtOnce, FaultKind::Fails)]
 #[case::fails_later(FaultTime::Later, FaultKind::Fails)]
@@ -316,7 +316,7 @@
 
 /// Of two hundred sound versions at most two may be rolled back.
 #[test]
-fn sound_versions_are_taken() {
+fn sound_versions_are_accepted() {
     let outcomes = (0..8 * SEEDS).map(|seed| {
         let crowd = Crowd::new(1_000 + seed, FaultTime::Never, FaultKind::Fails, 0.3..0.8);
         (seed, crowd.disturbance, crowd.simulate())
--- a/crates/sched/tests/rollout_rules.rs
+++ b/crates/sched/tests/rollout_rules.rs
@@ -18,7 +18,7 @@
     Some(version.to_string())
 }
 
-fn shown(versions: &[(&str, usize)]) -> BTreeMap<ReportedVersion, usize> {
+fn target_counts(versions: &[(&str, usize)]) -> BTreeMap<ReportedVersion, usize> {
     versions.iter().map(|(version, count)| (reported(version), *count)).collect()
 }
 
@@ -48,7 +48,7 @@
 /// Returns the versions of a pool whose targets all have `v1`, with no order known.
 fn in_service() -> PoolVersions {
     let mut versions = PoolVersions::default();
-    versions.update_reported(NOW, &shown(&[("v1", 4)]), Some(NOW));
+    versions.update_reported(NOW, &target_counts(&[("v1", 4)]), Some(NOW));
     versions
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn new_version_is_held_until_the_orders_are_read_after_it() {
     let mut versions = in_service();
-    let both = shown(&[("v1", 4), ("v2", 1)]);
+    let both = target_counts(&[("v1", 4), ("v2", 1)]);
     versions.update_reported(NOW, &both, Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Open, VersionAccess::Closed]);
     let later = NOW + Duration::from_secs(60);
@@ -76,7 +76,7 @@
 #[test]
 fn only_version_is_in_service_at_once() {
     let mut versions = in_service();
-    versions.update_reported(NOW, &shown(&[("v2", 4)]), None);
+    versions.update_reported(NOW, &target_counts(&[("v2", 4)]), None);
     assert_eq!(versions.access(&reported("v2")), VersionAccess::Open);
 }
 
@@ -84,7 +84,7 @@
 #[test]
 fn version_of_most_targets_is_in_service_until_the_orders_are_read() {
     let mut versions = PoolVersions::default();
-    versions.update_reported(NOW, &shown(&[("v1", 4), ("v2", 3)]), None);
+    versions.update_reported(NOW, &target_counts(&[("v1", 4), ("v2", 3)]), None);
     assert_eq!(access(&versions, ["v1", "v2"]), [VersionAccess::Open, VersionAccess::Closed]);
 }
 
@@ -100,7 +100,7 @@
 ) {
     let mut versions = in_service();
     versions.merge_report(NOW, &report("v2", stage, 3));
-    versions.update_reported(NOW, &shown(&[("v1", 4), ("v2", 4)]), Some(NOW));
+    versions.update_reported(NOW, &target_counts(&[("v1", 4), ("v2", 4)]), Some(NOW));
     assert_eq!(access(&versions, ["v1", "v2"]), expected);
     assert_eq!(["v1", "v2"].map(|name| versions.is_blocked(&reported(name))), blocked);
 }
@@ -120,8 +120,8 @@
 }
 
 /// Once the platform may have stored that the version is completed, the targets of the previous version may stop at any
-/// moment. They were used again as soon as the answers showed a fault of the new version, and were then terminated
-/// while running requests by the pending write.
+/// moment. When the answers then showed a fault of the new version, those targets got requests again at once, and the
+/// pending write terminated them while they ran these.
 #[test]
 fn version_that_may_be_completed_is_rolled_back_only_by_the_platform() {
     let mut versions = in_service();
