--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -37,9 +37,9 @@
 };
 
 use self::account::{AccountLimit, RateBucket};
-use crate::advice::{rest_retry_after, spread_retry_after, DEFAULT_RETRY_AFTER};
 use crate::placement::target::TargetState;
 use crate::pool::{micros, PoolScheduler, SchedulerAction};
+use crate::retry_after::{rest_retry_after, spread_retry_after, DEFAULT_RETRY_AFTER};
 
 impl PoolScheduler {
     /// Refuses waiting requests for which no target remains.
@@ -272,8 +272,8 @@
 /// Builds the refusal of a permit request that would wait too long. It sheds no tier, since lower tiers would wait
 /// even longer.
 pub(crate) fn wait_too_long(request: &PermitRequest, wait: Duration) -> Refusal {
-    let advice = spread_retry_after(request.permit, wait, request.time_left);
-    Refusal::not_run(RefusalReason::WaitTooLong, Some(advice))
+    let retry_after = spread_retry_after(request.permit, wait, request.time_left);
+    Refusal::not_run(RefusalReason::WaitTooLong, Some(retry_after))
 }
 
 /// Returns whether a permit request is refused because the pool lacks capacity.
--- a/crates/sched/src/entry.rs
+++ b/crates/sched/src/entry.rs
@@ -26,10 +26,10 @@
 pub use self::options::{EntryOptions, RequestSpec};
 pub use self::replacement::ReplacementStep;
 use self::request::{EntryRequest, RequestPhase, UsedPermit};
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::election::unresponsive::UnresponsiveSchedulers;
 use crate::retry::budget::RetryBudget;
 use crate::retry::RetryBound;
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 /// The requests that an entry daemon owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -50,7 +50,7 @@
     pub fn new(options: EntryOptions) -> EntryRequests {
         let (limit, tries) = (options.answer_timeout, options.answer_tries);
         EntryRequests {
-            unresponsive: UnresponsiveSchedulers::new(options.avoid_for, limit, tries),
+            unresponsive: UnresponsiveSchedulers::new(options.skip_for, limit, tries),
             options,
             budgets: BTreeMap::new(),
             daemons: 1,
@@ -145,6 +145,7 @@
             KeyDecision::NotHolder(_) => Vec::new(),
         }
     }
+
     /// Removes a request whose last attempt has ended, returns its permits and reports its verdict.
     pub fn finished(
         &mut self,
--- a/crates/sched/src/entry/permits.rs
+++ b/crates/sched/src/entry/permits.rs
@@ -10,8 +10,8 @@
 
 use super::request::{PermitWait, RequestPhase, UsedPermit};
 use super::{EntryAction, EntryRequests, SchedulerOrder};
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::{decide_retry, RetryBound, RetryDecision};
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 impl EntryRequests {
     /// Applies the answer of a scheduler to its request.
@@ -119,7 +119,7 @@
             }
             RequestPhase::Waiting(wait) => {
                 let mut actions = Vec::new();
-                // A late grant of an earlier scheduler is valid; the current scheduler is told that it is in use.
+                // A late grant of an earlier scheduler is valid; it is reported to the current scheduler as in use.
                 if wait.scheduler != *from {
                     let current = wait.scheduler.clone();
                     actions.push(request.hold_permit(now, current, permit.attempt, target.clone()));
--- a/crates/sched/src/entry/request.rs
+++ b/crates/sched/src/entry/request.rs
@@ -10,8 +10,8 @@
 
 use super::action::EntryAction;
 use super::options::RequestSpec;
-use crate::advice::DEFAULT_RETRY_AFTER;
 use crate::retry::RetryInput;
+use crate::retry_after::DEFAULT_RETRY_AFTER;
 
 /// The phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -223,7 +223,7 @@
         EntryAction::HoldPermit(scheduler, PermitHeld { request, target })
     }
 
-    /// Returns the permit, or withdraws the permit request, at its scheduler.
+    /// Builds the actions that return the permit, or withdraw the permit request, at its scheduler.
     pub fn return_permit(&self, end: AttemptEnd) -> Vec<EntryAction> {
         let scheduler = match &self.phase {
             RequestPhase::Claiming { .. } => return Vec::new(),
@@ -233,7 +233,7 @@
         vec![self.return_to(scheduler, self.permit(), end)]
     }
 
-    /// Returns the permit of a stalled target to its scheduler.
+    /// Builds the action that returns the permit of a stalled target to its scheduler.
     pub fn return_stalled_permit(
         &self,
         stalled_permit: &UsedPermit,
