--- a/crates/keys/src/home.rs
+++ b/crates/keys/src/holder.rs
@@ -51,7 +51,7 @@
 }
 
 impl KeyHolder {
-    /// Creates a key home without a table.
+    /// Creates a key holder without a table.
     pub fn new(me: DaemonId, options: KeyHolderOptions) -> KeyHolder {
         KeyHolder {
             me,
@@ -87,7 +87,7 @@
     /// Returns the daemon that holds the key of a claim according to the latest known table.
     pub fn holder_of(&self, claim: &KeyClaim) -> Option<&DaemonId> {
         let slot = slot_of(&claim.account, &claim.key, self.table.slots.len());
-        self.table.holder(slot).map(|entry| &entry.holder)
+        self.table.holder(slot).map(|assigned| &assigned.holder)
     }
 
     /// Applies a table read from the platform or received from a peer; one that is not newer is ignored.
@@ -226,7 +226,7 @@
 
     /// Starts to hold a slot, with the records of a completed hand-over where there is one.
     fn hold_slot(&mut self, slot: KeySlot) {
-        let since = self.table.holder(slot).map_or(0, |entry| entry.complete_since_ms);
+        let since = self.table.holder(slot).map_or(0, |assigned| assigned.complete_since_ms);
         let since = Duration::from_millis(since);
         let mut records = SlotRecords::new(since);
         // Records of a hand-over are valid only where the table states the same start of their history. A reassignment
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -5,9 +5,9 @@
 //! when a later incarnation runs on the holder's VM. It never changes after a timeout, so no other daemon becomes the
 //! holder while the current one is only paused.
 
-mod home;
+mod holder;
 mod slot;
 mod table;
 
-pub use home::{KeyHolder, KeyHolderOptions};
+pub use holder::{KeyHolder, KeyHolderOptions};
 pub use table::{slot_of, KeyTable, TABLE_KEY};
--- a/crates/keys/src/slot.rs
+++ b/crates/keys/src/slot.rs
@@ -1,6 +1,6 @@
 //! Decides on claims by the records of one slot.
 //!
-//! Owns: the key records of one slot. Relies on: `home` for the limits.
+//! Owns: the key records of one slot. Relies on: `KeyHolder` for the limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/keys/src/table.rs
+++ b/crates/keys/src/table.rs
@@ -79,9 +79,9 @@
     pub fn with_moved_slots(&self, moved: &[(KeySlot, DaemonId, WallTime)]) -> KeyTable {
         let mut next = self.clone();
         for (slot, holder, complete_since) in moved {
-            if let Some(entry) = next.slots.get_mut(usize::from(*slot)) {
+            if let Some(assigned) = next.slots.get_mut(usize::from(*slot)) {
                 let complete_since_ms = complete_since.as_millis() as u64;
-                *entry = SlotHolder { holder: holder.clone(), complete_since_ms };
+                *assigned = SlotHolder { holder: holder.clone(), complete_since_ms };
             }
         }
         next
--- a/crates/keys/tests/homes.rs
+++ b/crates/keys/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Checks the decisions of a key home for recorded, unknown, expired and surplus keys, and which hand-over it uses.
+//! Checks the decisions of a key holder for recorded, unknown, expired and surplus keys, and which hand-over it uses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,16 +25,16 @@
     }
 }
 
-fn home(vm: &str, options: KeyHolderOptions, complete_since: Duration) -> KeyHolder {
-    let mut home = KeyHolder::new(daemon(vm), options);
+fn key_holder(vm: &str, options: KeyHolderOptions, complete_since: Duration) -> KeyHolder {
+    let mut holder = KeyHolder::new(daemon(vm), options);
     let mut table = KeyTable::distribute(1, &[daemon(vm)]);
     table.slots[0].complete_since_ms = complete_since.as_millis() as u64;
-    home.apply_table(1, table);
-    home
+    holder.apply_table(1, table);
+    holder
 }
 
-fn home_with_full_history(vm: &str) -> KeyHolder {
-    home(vm, KeyHolderOptions::default(), Duration::ZERO)
+fn holder_with_full_history(vm: &str) -> KeyHolder {
+    key_holder(vm, KeyHolderOptions::default(), Duration::ZERO)
 }
 
 fn reason(decision: &KeyDecision) -> (RefusalReason, bool) {
@@ -53,52 +53,52 @@
     #[case] expected: RefusalReason,
     #[case] may_have_run: bool,
 ) {
-    let mut home = home_with_full_history("a");
-    assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
+    let mut holder = holder_with_full_history("a");
+    assert_eq!(holder.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     if let Some(verdict) = verdict {
-        home.outcome(NOW, KeyOutcome { claim: claim(1, "k", None), verdict, answer: None });
+        holder.outcome(NOW, KeyOutcome { claim: claim(1, "k", None), verdict, answer: None });
     }
-    assert_eq!(reason(&home.claim(NOW, &claim(2, "k", None))), (expected, may_have_run));
+    assert_eq!(reason(&holder.claim(NOW, &claim(2, "k", None))), (expected, may_have_run));
 }
 
 #[test]
 fn key_of_an_attempt_that_did_not_run_can_be_claimed_again() {
-    let mut home = home_with_full_history("a");
-    assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
-    home.outcome(
+    let mut holder = holder_with_full_history("a");
+    assert_eq!(holder.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
+    holder.outcome(
         NOW,
         KeyOutcome { claim: claim(1, "k", None), verdict: Verdict::NotRun, answer: None },
     );
-    assert_eq!(home.claim(NOW, &claim(2, "k", None)), KeyDecision::First);
+    assert_eq!(holder.claim(NOW, &claim(2, "k", None)), KeyDecision::First);
     // A late outcome of the first request must not change the state of the second.
-    home.outcome(
+    holder.outcome(
         NOW,
         KeyOutcome { claim: claim(1, "k", None), verdict: Verdict::NotRun, answer: None },
     );
-    assert_eq!(reason(&home.claim(NOW, &claim(3, "k", None))).0, RefusalReason::KeyInProgress);
+    assert_eq!(reason(&holder.claim(NOW, &claim(3, "k", None))).0, RefusalReason::KeyInProgress);
 }
 
 #[test]
 fn equal_keys_of_two_accounts_do_not_collide() {
-    let mut home = home_with_full_history("a");
-    assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
+    let mut holder = holder_with_full_history("a");
+    assert_eq!(holder.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
     let other = KeyClaim { account: "b".to_string(), ..claim(2, "k", None) };
-    assert_eq!(home.claim(NOW, &other), KeyDecision::First);
+    assert_eq!(holder.claim(NOW, &other), KeyDecision::First);
 }
 
 #[test]
 fn stored_answer_is_returned_to_a_second_request() {
-    let mut home = home_with_full_history("a");
+    let mut holder = holder_with_full_history("a");
     let answer =
         KeptAnswer { status: 200, content_type: "text/plain".to_string(), body: b"yes".to_vec() };
-    home.claim(NOW, &claim(1, "k", None));
+    holder.claim(NOW, &claim(1, "k", None));
     let outcome = KeyOutcome {
         claim: claim(1, "k", None),
         verdict: Verdict::Ran,
         answer: Some(answer.clone()),
     };
-    home.outcome(NOW, outcome);
-    assert_eq!(home.claim(NOW, &claim(2, "k", None)), KeyDecision::Answer(answer));
+    holder.outcome(NOW, outcome);
+    assert_eq!(holder.claim(NOW, &claim(2, "k", None)), KeyDecision::Answer(answer));
 }
 
 #[rstest]
@@ -109,8 +109,8 @@
     #[case] attempt: Option<u32>,
     #[case] refused: Option<RefusalReason>,
 ) {
-    let mut home = home("a", KeyHolderOptions::default(), NOW - Duration::from_secs(60));
-    let decision = home.claim(NOW, &claim(1, "k", attempt));
+    let mut holder = key_holder("a", KeyHolderOptions::default(), NOW - Duration::from_secs(60));
+    let decision = holder.claim(NOW, &claim(1, "k", attempt));
     match refused {
         Some(expected) => assert_eq!(reason(&decision), (expected, true)),
         None => assert_eq!(decision, KeyDecision::First),
@@ -119,37 +119,43 @@
 
 #[test]
 fn unknown_key_runs_again_after_the_retry_window() {
-    let mut home = home("a", KeyHolderOptions::default(), NOW - Duration::from_secs(1_801));
-    assert_eq!(home.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
+    let mut holder = key_holder("a", KeyHolderOptions::default(), NOW - Duration::from_secs(1_801));
+    assert_eq!(holder.claim(NOW, &claim(1, "k", None)), KeyDecision::First);
 }
 
 #[test]
 fn key_created_before_the_retry_window_is_refused() {
-    let mut home = home_with_full_history("a");
+    let mut holder = holder_with_full_history("a");
     let created = uuid::Timestamp::from_unix(uuid::NoContext, NOW.as_secs() - 1_806, 0);
     let key = uuid::Uuid::new_v7(created).to_string();
-    assert_eq!(reason(&home.claim(NOW, &claim(1, &key, None))), (RefusalReason::KeyExpired, true));
+    assert_eq!(
+        reason(&holder.claim(NOW, &claim(1, &key, None))),
+        (RefusalReason::KeyExpired, true)
+    );
 }
 
 #[test]
-fn full_home_refuses_new_keys_and_keeps_the_held_ones() {
-    let mut home =
-        home("a", KeyHolderOptions { key_limit: 2, ..KeyHolderOptions::default() }, Duration::ZERO);
-    assert_eq!(home.claim(NOW, &claim(1, "k1", None)), KeyDecision::First);
-    assert_eq!(home.claim(NOW, &claim(2, "k2", None)), KeyDecision::First);
+fn full_holder_refuses_new_keys_and_keeps_the_held_ones() {
+    let mut holder = key_holder(
+        "a",
+        KeyHolderOptions { key_limit: 2, ..KeyHolderOptions::default() },
+        Duration::ZERO,
+    );
+    assert_eq!(holder.claim(NOW, &claim(1, "k1", None)), KeyDecision::First);
+    assert_eq!(holder.claim(NOW, &claim(2, "k2", None)), KeyDecision::First);
     assert_eq!(
-        reason(&home.claim(NOW, &claim(3, "k3", None))),
+        reason(&holder.claim(NOW, &claim(3, "k3", None))),
         (RefusalReason::KeyStoreFull, false)
     );
-    assert_eq!(reason(&home.claim(NOW, &claim(4, "k1", None))).0, RefusalReason::KeyInProgress);
-    home.expire(NOW + Duration::from_secs(3_601));
-    assert_eq!(home.keys(), 0);
+    assert_eq!(reason(&holder.claim(NOW, &claim(4, "k1", None))).0, RefusalReason::KeyInProgress);
+    holder.expire(NOW + Duration::from_secs(3_601));
+    assert_eq!(holder.keys(), 0);
 }
 
 #[test]
 fn late_copy_of_an_older_hand_over_is_ignored() {
     let (a, b) = (daemon("a"), daemon("b"));
-    let mut first = home_with_full_history("a");
+    let mut first = holder_with_full_history("a");
     let mut second = KeyHolder::new(b.clone(), KeyHolderOptions::default());
     second.apply_table(1, first.table().clone());
     // a hands over to b, b grants a claim and hands back to a, and a hands over to b again.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -88,7 +88,7 @@
     targets: TargetView,
     freshness: Option<PlatformFreshness>,
     read_role: ReadRole,
-    home: KeyHolder,
+    key_holder: KeyHolder,
     rates: AccountRates,
     pools: BTreeMap<PoolId, PoolScheduler>,
     guards: BTreeMap<PoolId, LevelGuard>,
@@ -136,7 +136,7 @@
                 .map(|limits| PlatformFreshness::new(limits, me.incarnation)),
             // Matches the tasks that read the platform, which start in this role.
             read_role: ReadRole::Reader,
-            home: KeyHolder::new(me.clone(), options.keys.clone()),
+            key_holder: KeyHolder::new(me.clone(), options.keys.clone()),
             rates: AccountRates::new(options.rate_margin),
             pools: BTreeMap::new(),
             guards: BTreeMap::new(),
--- a/crates/node/src/node/keys.rs
+++ b/crates/node/src/node/keys.rs
@@ -26,12 +26,13 @@
     }
 
     pub(super) fn apply_table(&mut self, version: ObjectVersion, table: KeyTable) {
-        if version <= self.home.version() {
+        if version <= self.key_holder.version() {
             return;
         }
         self.table_absent = false;
-        self.home.apply_table(version, table);
-        self.actions.push(NodeAction::Note(NodeNote::TableKnown(version, self.home.slots_held())));
+        self.key_holder.apply_table(version, table);
+        self.actions
+            .push(NodeAction::Note(NodeNote::TableKnown(version, self.key_holder.slots_held())));
     }
 
     pub(super) fn table_written(&mut self, write: TableWrite) {
@@ -52,16 +53,18 @@
             return;
         }
         let proposal = if self.drain.phase() >= DrainPhase::Closing {
-            self.home.table_after_hand_over()
-        } else if self.home.version() == 0 {
+            self.key_holder.table_after_hand_over()
+        } else if self.key_holder.version() == 0 {
             self.first_table()
         } else {
             self.changed_table()
         };
         if let Some(table) = proposal {
             self.proposal_pending = true;
-            self.actions
-                .push(NodeAction::Platform(PlatformCall::ProposeTable(self.home.version(), table)));
+            self.actions.push(NodeAction::Platform(PlatformCall::ProposeTable(
+                self.key_holder.version(),
+                table,
+            )));
         }
     }
 
@@ -75,14 +78,14 @@
         let mut ended = self.vms.ended(self.now, &self.options.me.vm);
         // A VM whose daemon is still reachable has not ended, whatever a VM list says.
         ended.retain(|vm| !self.members.peers().get(vm).is_some_and(|peer| peer.live));
-        let has_earlier_slots = self.home.table().slots.iter().any(|slot| {
+        let has_earlier_slots = self.key_holder.table().slots.iter().any(|slot| {
             slot.holder.vm == self.options.me.vm
                 && slot.holder.incarnation != self.options.me.incarnation
         });
         if !has_earlier_slots && !self.proposes_tables() {
             return None;
         }
-        self.home.reassign(&ended, &self.eligible, self.wall)
+        self.key_holder.reassign(&ended, &self.eligible, self.wall)
     }
 
     pub(super) fn proposes_tables(&self) -> bool {
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -81,14 +81,14 @@
             }
             PeerMessage::KeyClaim(claim) => self.key_claimed(&from.vm, &claim),
             PeerMessage::KeyAnswer(answer) => self.key_answered(answer),
-            PeerMessage::KeyOutcome(outcome) => self.home.outcome(self.wall, outcome),
+            PeerMessage::KeyOutcome(outcome) => self.key_holder.outcome(self.wall, outcome),
             PeerMessage::KeyHandOver(hand_over) => {
                 let slot = hand_over.slot;
-                if self.home.hand_over_received(hand_over) {
+                if self.key_holder.hand_over_received(hand_over) {
                     self.post(&from.vm, PeerMessage::KeyHandOverAck(slot));
                 }
             }
-            PeerMessage::KeyHandOverAck(slot) => self.home.hand_over_acknowledged(from, slot),
+            PeerMessage::KeyHandOverAck(slot) => self.key_holder.hand_over_acknowledged(from, slot),
             PeerMessage::ConfigPartPull(pull) => self.config_part_pulled(&from.vm, pull),
             PeerMessage::ConfigPart(part) => self.config_part_received(&from.vm, part),
             PeerMessage::SuspectsPull(pull) => self.suspects_pulled(&from.vm, pull),
@@ -151,7 +151,7 @@
     }
 
     fn key_claimed(&mut self, from: &VmId, claim: &KeyClaim) {
-        let decision = self.home.claim(self.wall, claim);
+        let decision = self.key_holder.claim(self.wall, claim);
         let answer = KeyAnswer { request: claim.request, decision };
         self.post(from, PeerMessage::KeyAnswer(answer));
     }
@@ -174,7 +174,7 @@
     /// Sends a heartbeat at once to a daemon that was not known, instead of with the next interval. Until the new
     /// daemon receives it, it sends its requests to daemons that may have ended.
     fn send_greeting(&mut self, address: &str) {
-        let greeting = self.members.greeting(self.store.generation(), self.home.version());
+        let greeting = self.members.greeting(self.store.generation(), self.key_holder.version());
         self.send_heartbeat(address.to_string(), greeting);
     }
 
@@ -187,7 +187,7 @@
     }
 
     pub(super) fn key_answered(&mut self, answer: KeyAnswer) {
-        if matches!(answer.decision, KeyDecision::NotHolder(version) if version > self.home.version())
+        if matches!(answer.decision, KeyDecision::NotHolder(version) if version > self.key_holder.version())
         {
             self.actions.push(NodeAction::Platform(PlatformCall::ReadTable));
         }
--- a/crates/node/src/node/pulls.rs
+++ b/crates/node/src/node/pulls.rs
@@ -92,11 +92,11 @@
 
     /// Requests a key table that a peer advertises, if it is newer.
     pub(super) fn table_advertised(&mut self, peer: &VmId, version: ObjectVersion) {
-        if version <= self.home.version() || !self.table_pull.begin(self.now) {
+        if version <= self.key_holder.version() || !self.table_pull.begin(self.now) {
             return;
         }
         // Configurations are fetched in parts, so this pull requests none.
-        let pull = StatePull { generation: Generation::MAX, table: self.home.version() };
+        let pull = StatePull { generation: Generation::MAX, table: self.key_holder.version() };
         self.post(peer, PeerMessage::StatePull(pull));
     }
 
@@ -105,9 +105,9 @@
         if pull.generation < self.store.generation() {
             self.push_whole(peer);
         }
-        if pull.table < self.home.version() {
-            let slots = self.home.table().slots.clone();
-            let push = TablePush { version: self.home.version(), slots };
+        if pull.table < self.key_holder.version() {
+            let slots = self.key_holder.table().slots.clone();
+            let push = TablePush { version: self.key_holder.version(), slots };
             self.post(peer, PeerMessage::TablePush(push));
         }
     }
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -189,13 +189,13 @@
     }
 
     pub(super) fn send_claim(&mut self, claim: KeyClaim) {
-        if let Some(holder) = self.home.holder_of(&claim).cloned() {
+        if let Some(holder) = self.key_holder.holder_of(&claim).cloned() {
             self.post(&holder.vm, PeerMessage::KeyClaim(claim));
         }
     }
 
     pub(super) fn send_outcome(&mut self, outcome: KeyOutcome) {
-        if let Some(holder) = self.home.holder_of(&outcome.claim).cloned() {
+        if let Some(holder) = self.key_holder.holder_of(&outcome.claim).cloned() {
             self.post(&holder.vm, PeerMessage::KeyOutcome(outcome));
         }
     }
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -28,12 +28,13 @@
 
     pub(super) fn step_drain(&mut self) {
         let before = self.drain.phase();
-        let input = DrainInput { requests: self.entry.len(), slots_held: self.home.slots_held() };
+        let input =
+            DrainInput { requests: self.entry.len(), slots_held: self.key_holder.slots_held() };
         self.drain.tick(self.now, input);
         let phase = self.drain.phase();
         if phase == DrainPhase::Closing && self.hand_over_answer.begin(self.now) {
             let eligible: Vec<DaemonId> = self.eligible.clone();
-            for (receiver, hand_over) in self.home.hand_over(&eligible) {
+            for (receiver, hand_over) in self.key_holder.hand_over(&eligible) {
                 self.post(&receiver.vm, PeerMessage::KeyHandOver(hand_over));
             }
         }
--- a/crates/node/src/node/time.rs
+++ b/crates/node/src/node/time.rs
@@ -49,7 +49,7 @@
         }
         if self.now >= self.last_expire + EXPIRE_INTERVAL {
             self.last_expire = self.now;
-            self.home.expire(self.wall);
+            self.key_holder.expire(self.wall);
         }
         self.step_drain();
     }
@@ -91,6 +91,6 @@
     }
 
     pub(super) fn heartbeat(&mut self) -> Heartbeat {
-        self.members.heartbeat(self.store.generation(), self.home.version())
+        self.members.heartbeat(self.store.generation(), self.key_holder.version())
     }
 }
--- a/crates/node/src/node/views.rs
+++ b/crates/node/src/node/views.rs
@@ -14,9 +14,9 @@
         NodeStatus {
             me: self.options.me.clone(),
             generation: self.store.generation(),
-            table: self.home.version(),
-            key_slots: self.home.slots_held(),
-            keys: self.home.keys(),
+            table: self.key_holder.version(),
+            key_slots: self.key_holder.slots_held(),
+            keys: self.key_holder.keys(),
             requests: self.entry.len(),
             suspects: self.lethal.requests.changes_since(self.now, 0),
             refused: self.lethal.requests.refused().copied().collect(),
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)]
 
+mod builders;
 mod link;
 mod network;
-mod parts;
 mod scripted;
 mod uplink;
 
@@ -21,17 +21,17 @@
 };
 use curlewcleat_sched::RequestSpec;
 
-use parts::{address, daemon_behind};
+use builders::{address, daemon_behind};
 
 // Each test file uses only some of these.
 #[allow(unused_imports)]
-pub use link::SlowLink;
-#[allow(unused_imports)]
-pub use parts::{
+pub use builders::{
     daemon, heartbeat, mixed_fleet_capacity, mixed_fleet_daemon, mixed_fleet_records, recorded,
     spec, target, ROLLOUT_LIMITS,
 };
 #[allow(unused_imports)]
+pub use link::SlowLink;
+#[allow(unused_imports)]
 pub use scripted::{archive, bundle, Peer, ScriptedWorld};
 #[allow(unused_imports)]
 pub use uplink::Uplink;
