--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -105,7 +105,7 @@
     TargetInstancesPush(TargetInstancesPush),
     /// Requests the reports on requests under which targets terminated. A daemon of an earlier version drops the frame.
     SuspectsPull(SuspectsPull),
-    /// Answers a [`SuspectsPull`](PeerMessage::SuspectsPull), or sends an update without being asked.
+    /// Answers a [`SuspectsPull`](PeerMessage::SuspectsPull), or sends an update that was not requested.
     SuspectsPush(SuspectsPush),
     /// The notices that a target has sent to the sender. A daemon of an earlier version drops the frame.
     TargetNotice(PoolNotice),
--- a/crates/core/src/message/archive.rs
+++ b/crates/core/src/message/archive.rs
@@ -31,7 +31,7 @@
 }
 
 /// A part of a packed configuration: of the requested one or, where the sender has another one in force, the beginning
-/// of that one. A part without bytes says that the sender has the archive and serves other daemons first.
+/// of that one. A part without bytes means that the sender has the archive and serves other daemons first.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigPart {
     /// The archive that the part belongs to.
--- a/crates/core/src/message/keys.rs
+++ b/crates/core/src/message/keys.rs
@@ -35,7 +35,7 @@
 pub enum KeyDecision {
     /// The request may run; no other request with this key may.
     First,
-    /// The request may not run; the refusal says why, and whether an earlier attempt may have run.
+    /// The request may not run; the refusal states why, and whether an earlier attempt may have run.
     Known(Refusal),
     /// An earlier attempt ran and its answer is still stored.
     Answer(KeptAnswer),
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -60,7 +60,7 @@
     pub name: String,
     /// The order.
     pub order: RolloutOrder,
-    /// The final stage in the stored status, `None` where there is no status or it says that the rollout runs.
+    /// The final stage in the stored status, `None` where there is no status or the rollout is still running.
     pub ended: Option<RolloutStage>,
     /// Whether the object has a status for this version.
     pub has_status: bool,
--- a/crates/node/src/config_pull.rs
+++ b/crates/node/src/config_pull.rs
@@ -5,7 +5,7 @@
 //! peer next advertises the configuration. A partial archive that no longer grows, since the peers with the rest of
 //! it have ended, is dropped in favour of what the other peers have.
 //!
-//! Owns: the parts received so far. Relies on: peers that name equal archives equally.
+//! Owns: the parts received so far. Relies on: peers that compute the same id for equal archives.
 
 use curlewcleat_config::MAX_ARCHIVE_BYTES;
 use curlewcleat_core::{ArchiveId, ConfigPart, ConfigPartPull, Generation, Uptime};
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -16,7 +16,7 @@
 use crate::status::{PoolStatus, RolloutStatus};
 use crate::target_view::{InstanceChange, RemovedTarget};
 
-/// A line of the platform's VM list.
+/// A VM in the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedVm {
     /// Name of the VM.
@@ -63,7 +63,7 @@
     RequestInterrupted(RequestDigest, RequestInterruption),
     /// The valid notices of a target of a pool that this daemon has received.
     NoticeReceived(PoolId, NoticeReport),
-    /// All orders to move pools to targets of other versions, at a revision.
+    /// All rollout orders at a revision.
     RolloutsListed {
         /// The orders.
         rollouts: Vec<RolloutRecord>,
--- a/crates/node/src/freshness.rs
+++ b/crates/node/src/freshness.rs
@@ -1,9 +1,9 @@
 //! Tracks the age of a daemon's view of the platform, and decides whether the daemon reads the platform itself.
 //!
 //! Every call of the platform is counted, so only the first few daemons in the order of schedulers read it. The
-//! others ask those with each heartbeat for the age of their latest read. The age of a proof that comes through a
-//! peer counts from the sending of the query, less the age that the peer states: however long the messages took, the
-//! read was sent no earlier. A daemon whose peers cannot prove enough reads the platform itself.
+//! others query these with each heartbeat for the age of their latest read. The age that a peer states is counted back
+//! from when the query was sent, not from when the answer arrived: however long the messages took, the peer's read was
+//! sent no earlier. A daemon whose peers cannot prove enough reads the platform itself.
 //!
 //! Owns: when the configuration was last confirmed. Relies on: peers that state an age no younger than it is.
 
@@ -13,11 +13,11 @@
 
 /// Number of daemons, first in the order of schedulers, that read the platform: two, so that one may fail.
 const READERS: usize = 2;
-/// Number of daemons that are asked while the proof is aging: the readers and as many of the next daemons, since the
+/// Number of daemons that are queried while the proof is aging: the readers and as many of the next daemons, since the
 /// platform may refuse all readers at once.
 const READERS_WHEN_AGING: usize = 2 * READERS;
 /// Share of the time in which a change has to be in force, in percent, above which a proof is aging and more daemons
-/// are asked. It is above the age that proofs reach in normal operation, a read interval and a heartbeat interval,
+/// are queried. It is above the age that proofs reach in normal operation, a read interval and a heartbeat interval,
 /// and far enough below [`FALLBACK_PERCENT`] that the next daemons have read by then.
 const AGING_PERCENT: u32 = 50;
 /// Interval between queries while the proof is aging: some round trips and a read of the platform.
@@ -42,7 +42,7 @@
 pub struct FreshnessLimits {
     /// Interval between reads.
     pub read_every: Duration,
-    /// Age of the proof above which more daemons are asked for one.
+    /// Age of the proof above which more daemons are queried for one.
     pub aging_after: Duration,
     /// Age of the proof above which the daemon reads the platform itself.
     pub fallback_after: Duration,
@@ -137,8 +137,8 @@
     }
 
     /// Records a failed read by this daemon. If others prove that the platform answers them, this daemon gives up its
-    /// roles while all proofs are still young: when it did so later, daemons that could not read refused requests
-    /// until the order had changed.
+    /// roles while all proofs are still young: if it did so later, daemons that cannot read would refuse requests
+    /// until the order has changed.
     pub fn read_failed(&mut self, now: Uptime) {
         let own_age = self.own_read.map(|own_read| now.saturating_sub(own_read));
         let others_prove = self.is_proof_younger(now, self.limits.aging_after);
@@ -181,8 +181,8 @@
 
     /// Returns the query to send now and the daemons to send it to: more of them if `proof_aging`, none if this
     /// daemon's own read is young. The query is sent as soon as a read of its own would be due, so that an answer
-    /// comes before the proof is too old: when it was sent at twice that age, 7 of 18 daemons that had started
-    /// together read for themselves again.
+    /// comes before the proof is too old: if it is sent at twice that age, 7 of 18 daemons that start together read for
+    /// themselves again.
     pub fn query<'a>(
         &mut self,
         now: Uptime,
@@ -196,12 +196,12 @@
             return (query, Vec::new());
         }
         self.last_query = now;
-        let asked = if proof_aging { READERS_WHEN_AGING } else { READERS };
-        let readers = order.iter().take(asked).filter(|reader| *reader != me);
+        let query_count = if proof_aging { READERS_WHEN_AGING } else { READERS };
+        let readers = order.iter().take(query_count).filter(|reader| *reader != me);
         (query, readers.map(|reader| &reader.vm).collect())
     }
 
-    /// Returns whether the proof is so old that more daemons are asked than those that read.
+    /// Returns whether the proof is so old that more daemons are queried than those that read.
     pub fn is_proof_aging(&self, now: Uptime) -> bool {
         self.proof_age(now) >= self.limits.aging_after
     }
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -38,8 +38,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LethalExchange {
     pub requests: LethalRequests,
-    /// Revision up to which the set of each polled daemon is known.
-    known_revisions: BTreeMap<VmId, (Incarnation, u64)>,
+    /// Incarnation of each pulled daemon, and the number of its changes that are known here.
+    known_changes: BTreeMap<VmId, (Incarnation, u64)>,
     last_pull: Option<Uptime>,
     /// Refused requests that were reported to the operators.
     reported: BTreeSet<RequestDigest>,
@@ -155,22 +155,22 @@
         }
         self.lethal.last_pull = Some(self.now);
         let me = &self.options.me;
-        let asked: Vec<DaemonId> = self
+        let pulled: Vec<DaemonId> = self
             .all_pools_order
             .iter()
             .filter(|daemon| *daemon != me)
             .take(PULL_PEERS)
             .cloned()
             .collect();
-        for daemon in asked {
+        for daemon in pulled {
             self.pull_suspects_from(&daemon);
         }
     }
 
     fn pull_suspects_from(&mut self, daemon: &DaemonId) {
-        let known = self.lethal.known_revisions.get(&daemon.vm);
+        let known = self.lethal.known_changes.get(&daemon.vm);
         let known = known.filter(|(incarnation, _)| *incarnation == daemon.incarnation);
-        let known = known.map_or(0, |(_, at)| *at);
+        let known = known.map_or(0, |(_, changes)| *changes);
         self.post(&daemon.vm, PeerMessage::SuspectsPull(SuspectsPull { known }));
     }
 
@@ -187,7 +187,7 @@
 
     pub(super) fn suspects_pushed(&mut self, from: &DaemonId, push: SuspectsPush) {
         if push.at > 0 {
-            self.lethal.known_revisions.insert(from.vm.clone(), (from.incarnation, push.at));
+            self.lethal.known_changes.insert(from.vm.clone(), (from.incarnation, push.at));
         }
         self.merge_suspects(push.requests);
     }
@@ -206,7 +206,7 @@
         self.send_suspect(digest);
     }
 
-    /// Sends all reports to daemons that may schedule as of now: the earlier schedulers may have ended without
+    /// Sends all reports to daemons that may schedule from now on: the earlier schedulers may have ended without
     /// passing them on, or may have been unable to reach the new ones.
     pub(super) fn send_suspects_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let requests = self.lethal.requests.changes_since(self.now, 0);
--- a/crates/node/src/node/messages.rs
+++ b/crates/node/src/node/messages.rs
@@ -74,7 +74,7 @@
             PeerMessage::PermitAnswer(answer) => self.permit_answered(&from.vm, answer),
             PeerMessage::PermitReturn(returned) => self.permit_returned(&returned),
             PeerMessage::PermitHeld(held) => self.permit_held(from, held),
-            PeerMessage::ShedRequest(raise) => self.shed_requested(&from.vm, raise),
+            PeerMessage::ShedRequest(request) => self.shed_requested(&from.vm, request),
             PeerMessage::ShedConfirm(pool, round) => {
                 let actions = self.guards.entry(pool).or_default().confirmed(from, round);
                 self.post_answers(actions);
@@ -141,13 +141,13 @@
         self.pool(&held.request.pool.clone()).record_held_permit(now, from.clone(), held);
     }
 
-    fn shed_requested(&mut self, from: &VmId, raise: ShedRequest) {
+    fn shed_requested(&mut self, from: &VmId, request: ShedRequest) {
         let now = self.now;
-        let actions = self.pool(&raise.pool).shed_for_peer(now, raise.tier);
+        let actions = self.pool(&request.pool).shed_for_peer(now, request.tier);
         self.return_unused(&actions);
         // The guard does not apply here: these requests are shed for a round that a peer has already begun.
         self.post_answers(actions);
-        self.post(from, PeerMessage::ShedConfirm(raise.pool, raise.round));
+        self.post(from, PeerMessage::ShedConfirm(request.pool, request.round));
     }
 
     fn key_claimed(&mut self, from: &VmId, claim: &KeyClaim) {
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Refunds the charges of refused requests to their accounts. Without the refund, an account at its rate was
-    /// served 220,000 of the 324,000 units per second that it may use while its pool was overloaded (sums of the
-    /// log's costs over ten seconds): the rest was charged to requests that ran nowhere.
+    /// Refunds the charges of refused requests to their accounts. Without the refund, an account at its rate is
+    /// served 220,000 of the 324,000 units per second that it may use while its pool is overloaded: the rest is
+    /// charged to requests that run nowhere.
     fn return_unused(&mut self, actions: &[SchedulerAction]) {
         for charge in actions.iter().filter_map(|action| action.unused.as_ref()) {
             self.rates.refund(&charge.account, charge.cost);
@@ -225,12 +225,12 @@
         self.post_answers(step.answers);
         let Some((tier, round, peers)) = step.raise else { return };
         for peer in peers {
-            let raise = ShedRequest { pool: pool.clone(), tier, round };
-            self.post(&peer.vm, PeerMessage::ShedRequest(raise));
+            let request = ShedRequest { pool: pool.clone(), tier, round };
+            self.post(&peer.vm, PeerMessage::ShedRequest(request));
         }
     }
 
-    /// Returns the reachable daemons, other than this one, that may be asked for permits. They are few even in a
+    /// Returns the reachable daemons, other than this one, that may receive permit requests. They are few even in a
     /// large fleet: a refusal that waited for confirmation by hundreds of daemons would wait for the slowest of them.
     pub(super) fn other_schedulers(&self) -> Vec<DaemonId> {
         let others = self.all_pools_order.iter().filter(|daemon| **daemon != self.options.me);
--- a/crates/node/src/node/notices.rs
+++ b/crates/node/src/node/notices.rs
@@ -73,7 +73,7 @@
         self.send_answers(actions);
     }
 
-    /// Sends the notices that this daemon has received to daemons that may schedule as of now.
+    /// Sends the notices that this daemon has received to daemons that may schedule from now on.
     pub(super) fn send_notices_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let notices = self.notices.current(self.now);
         if notices.is_empty() {
@@ -93,7 +93,7 @@
     }
 
     /// Updates the share of the limits of each pool's targets that this daemon grants: none while another daemon is
-    /// asked first.
+    /// first in the order of schedulers.
     pub(super) fn update_rate_shares(&mut self) {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let (now, share) = (self.now, self.rate_share(&pool));
--- a/crates/node/src/node/platform.rs
+++ b/crates/node/src/node/platform.rs
@@ -141,7 +141,7 @@
         self.freshness.as_ref().is_some_and(|freshness| freshness.is_removal_uncertain(self.now))
     }
 
-    /// Asks the daemons that read the platform for the age of their reads.
+    /// Queries the daemons that read the platform for the age of their reads.
     pub(super) fn query_freshness(&mut self) {
         let proof_aging = self.is_proof_aging();
         let Some(freshness) = self.freshness.as_mut() else { return };
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns whether the proof is so old that more daemons have to be asked. While a configuration is being
+    /// Returns whether the proof is so old that more daemons have to be queried. While a configuration is being
     /// fetched, no daemon can prove the one in force, and each answer would advertise the new one again.
     fn is_proof_aging(&self) -> bool {
         let proof_aging =
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -26,7 +26,7 @@
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry advice of a daemon that is stopping. When all daemons are replaced one after the other, callers' connections
 /// stay with the stopping ones, while another daemon already has capacity, so that a wait only delays the answer.
-/// With no wait, credit of the requests of a day with such a series rose from .827 to .844 (mean of six seeds).
+/// Without the wait, the credit of the requests of a day with such a series rises from .827 to .844.
 const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
 
 /// Returns the time after which the caller of a request that is not admitted may retry.
@@ -95,7 +95,7 @@
     pub(super) fn rate_share(&self, pool: &str) -> RateShare {
         match self.own_rate_role(pool) {
             RateRole::Leader => self.members.reached_share(self.now),
-            // Another daemon grants the rates; this one was asked because that one seems unresponsive.
+            // Another daemon grants the rates; this one received the request because that one seems unresponsive.
             role => RateShare { reached: 1, all: self.members.fleet_size(), role },
         }
     }
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -28,9 +28,9 @@
 
 /// Interval between reports of observed answers to the schedulers.
 const ANSWER_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between reports of the stage of the orders, and the time for which it is reported after the order has
-/// ended.
+/// Interval between reports of the stage of the orders.
 const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which the stage of an order is reported after the order has ended.
 const ENDED_ROLLOUT_REPORT_TIME: Duration = Duration::from_secs(60);
 /// Interval between requests to read the orders again while a version is held back.
 const HELD_READ_INTERVAL: Duration = Duration::from_secs(1);
@@ -152,8 +152,8 @@
     fn step_rollout(&mut self, pool: &PoolId, limits: RolloutLimits) {
         let deciding_since = self.rollouts.deciding_since;
         let decides = self.rate_share(pool).role == RateRole::Leader;
-        let versions = self.rollouts.pools.get(pool).and_then(PoolVersions::rollout);
-        let open = versions.filter(|rollout| !rollout.is_stored());
+        let rollout = self.rollouts.pools.get(pool).and_then(PoolVersions::rollout);
+        let open = rollout.filter(|rollout| !rollout.is_stored());
         let (Some(deciding_since), Some(rollout), true) = (deciding_since, open, decides) else {
             return self.pool(pool).end_trial();
         };
@@ -175,8 +175,9 @@
         };
         let now = self.now;
         let versions = self.rollouts.pools.get_mut(pool);
-        let step =
-            versions.and_then(PoolVersions::rollout_mut).and_then(|known| known.step(now, &view));
+        let step = versions
+            .and_then(PoolVersions::rollout_mut)
+            .and_then(|rollout| rollout.step(now, &view));
         match step {
             Some(RolloutStep::Stage(_, reason)) => self.stage_decided(pool, reason),
             Some(RolloutStep::Write(stage)) => self.write_rollout(pool, stage),
@@ -236,20 +237,20 @@
         if self.options.rollout.is_none() {
             return false;
         }
-        let mut shown: BTreeMap<PoolId, BTreeMap<ReportedVersion, usize>> = BTreeMap::new();
+        let mut reported: BTreeMap<PoolId, BTreeMap<ReportedVersion, usize>> = BTreeMap::new();
         for target in &self.discovered {
             if self.store.active().pools.contains_key(&target.pool) {
-                let versions = shown.entry(target.pool.clone()).or_default();
+                let versions = reported.entry(target.pool.clone()).or_default();
                 *versions.entry(target.entry.version.clone()).or_default() += 1;
             }
         }
         let (now, read) = (self.now, self.rollouts.last_read);
         let mut changed = false;
-        for (pool, shown) in shown {
+        for (pool, reported) in reported {
             let versions = self.rollouts.pools.entry(pool.clone()).or_default();
-            let held = versions.held().count();
-            changed |= versions.update_reported(now, &shown, read);
-            if versions.held().count() != held {
+            let held_before = versions.held().count();
+            changed |= versions.update_reported(now, &reported, read);
+            if versions.held().count() != held_before {
                 let held = versions.held().flatten().cloned().collect();
                 self.actions.push(NodeAction::Note(NodeNote::VersionsHeld(pool, held)));
             }
--- a/crates/node/src/node/rollouts/answers.rs
+++ b/crates/node/src/node/rollouts/answers.rs
@@ -20,8 +20,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedAnswers {
     version: TargetVersion,
-    /// How many answers were dropped, and the position up to which they were sent.
+    /// Number of answers that were dropped.
     dropped: u64,
+    /// Position among all observed answers up to which they were sent.
     sent_until: u64,
     /// Answers of other versions since the last report.
     unsent_others: usize,
@@ -108,7 +109,7 @@
         ended.iter().for_each(|pool| drop(self.rollouts.observed.remove(pool)));
     }
 
-    /// Sends all kept answers to daemons that may schedule as of now.
+    /// Sends all kept answers to daemons that may schedule from now on.
     pub(in crate::node) fn send_answers_to_new_schedulers(&mut self, before: &[DaemonId]) {
         let observed = self.rollouts.observed.iter();
         let reports: Vec<RolloutAnswers> =
--- a/crates/node/src/node/stop.rs
+++ b/crates/node/src/node/stop.rs
@@ -12,7 +12,7 @@
 use crate::event::{NodeAction, NodeNote};
 
 /// First wait for the acknowledgement of key records. A link of 10 Mbit/s carries 20,000 keys in this time; sent
-/// again with each tick they filled it fifty times.
+/// again with each tick, they would fill it fifty times over.
 pub(super) const HAND_OVER_ACK_WAIT: Duration = Duration::from_secs(1);
 
 impl Node {
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -62,7 +62,7 @@
     pub late: usize,
     /// The share of the requested work that was granted here recently, for each urgency of each tier.
     pub granted: Vec<GrantedShare>,
-    /// Permits given here and in use.
+    /// Permits granted here and in use.
     pub in_flight: usize,
     /// Lowest tier that is admitted here, `None` for all.
     pub lowest_open: Option<TierRank>,
@@ -83,11 +83,13 @@
     pub age: Duration,
     /// Time within which the pool has to be moved to the version, `None` if the order names no usable one.
     pub time: Option<Duration>,
-    /// Requests granted by this daemon during the trial, and how many of them went to the version.
+    /// Requests granted by this daemon during the trial.
     pub requests: u64,
+    /// How many of these requests went to the version.
     pub trial_requests: u64,
-    /// Answers of the version and of other versions that are known here.
+    /// Answers of the version that are known here.
     pub answers: usize,
+    /// Answers of other versions that are known here.
     pub other_answers: usize,
     /// Answers of the version that failed or were interrupted.
     pub bad_answers: u64,
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -24,13 +24,16 @@
 impl VmView {
     /// Applies a list.
     pub fn read(&mut self, now: Uptime, list: &[ListedVm]) {
-        let listed: BTreeSet<VmId> = list.iter().map(|line| line.vm.clone()).collect();
+        let listed: BTreeSet<VmId> = list.iter().map(|listed_vm| listed_vm.vm.clone()).collect();
         for vm in self.listed.difference(&listed) {
             self.missing.entry(vm.clone()).or_insert(now);
         }
         self.missing.retain(|vm, _| !listed.contains(vm));
-        self.leaving =
-            list.iter().filter(|line| line.leaving).map(|line| line.vm.clone()).collect();
+        self.leaving = list
+            .iter()
+            .filter(|listed_vm| listed_vm.leaving)
+            .map(|listed_vm| listed_vm.vm.clone())
+            .collect();
         self.listed = listed;
     }
 
--- a/crates/node/tests/distribution.rs
+++ b/crates/node/tests/distribution.rs
@@ -146,9 +146,9 @@
 #[test]
 fn whole_configuration_is_not_sent_again_while_in_transit() {
     let mut fleet = Fleet::new(2);
-    let asker = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
+    let peer = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let pull = PeerMessage::StatePull(StatePull { generation: 0, table: 0 });
-    let frame = PeerFrame { from: asker, messages: vec![pull] };
+    let frame = PeerFrame { from: peer, messages: vec![pull] };
     let mut pushes = 0;
     for step in 0..20 {
         let now = fleet.now + Duration::from_millis(100) * step;
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -31,19 +31,19 @@
 #[test]
 fn daemon_with_a_stale_view_schedules_only_if_all_views_are_stale() {
     let mut fleet = Fleet::new(3);
-    let holder = fleet.leader();
-    fleet.daemons[holder].reaches_platform = false;
+    let leader = fleet.leader();
+    fleet.daemons[leader].reaches_platform = false;
     fleet.run(APPLY_LIMIT * 2);
     let after: Vec<String> = (0..3).map(|index| fleet.scheduler(index)).collect();
     assert!(after.iter().all(|scheduler| *scheduler == after[0]), "{after:?}");
-    assert_ne!(fleet.leader(), holder);
+    assert_ne!(fleet.leader(), leader);
     // The others prove its configuration; that makes it no better scheduler.
-    assert!(fleet.proof_age(holder) < APPLY_LIMIT);
+    assert!(fleet.proof_age(leader) < APPLY_LIMIT);
     for index in 0..3 {
         fleet.daemons[index].reaches_platform = false;
     }
     fleet.run(APPLY_LIMIT * 2);
-    assert!((0..3).all(|index| fleet.position(&fleet.scheduler(index)) == holder));
+    assert!((0..3).all(|index| fleet.position(&fleet.scheduler(index)) == leader));
 }
 
 #[test]
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn scheduler_that_was_briefly_unresponsive_is_asked_again() {
+fn scheduler_that_was_briefly_unresponsive_gets_requests_again() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
     let entry_daemon = (0..3).find(|index| *index != leader).expect("an entry daemon");
@@ -103,7 +103,7 @@
 /// grant and refuses as `rate_unknown`; the first works and keeps the rate. In a fleet that had just restarted, 105
 /// of 330 requests were refused this way within 1.5 s.
 #[test]
-fn scheduler_that_keeps_the_rate_is_asked_when_the_next_does_not_know_it() {
+fn scheduler_that_keeps_the_rate_gets_the_request_when_the_next_does_not_know_the_rate() {
     let mut fleet = Fleet::new(3);
     let leader = fleet.leader();
     let entry_daemon = (0..3).find(|index| *index != leader).expect("an entry daemon");
--- a/crates/node/tests/lethal.rs
+++ b/crates/node/tests/lethal.rs
@@ -1,4 +1,4 @@
-//! Tests requests that terminate their targets, in a fleet: interruptions seen by any daemon are counted together,
+//! Tests requests that terminate their targets, in a fleet: interruptions observed by any daemon are counted together,
 //! every daemon knows within the users' bound even if daemons end or are cut off, and the platform is called once.
 
 mod support;
@@ -20,7 +20,7 @@
 const SPREAD_LIMIT: Duration = Duration::from_secs(3);
 /// Time after which the list entry of a terminated target expires.
 const EXPIRY: Duration = Duration::from_millis(3_500);
-const MOMENT: Duration = Duration::from_millis(100);
+const SHORT_WAIT: Duration = Duration::from_millis(100);
 
 fn digest() -> RequestDigest {
     RequestIdentity { method: "POST", host: "h", path: "/p", caller: "a", body: b"lethal" }.digest()
@@ -44,14 +44,14 @@
 }
 
 /// Lists these targets at the platform.
-fn show(fleet: &mut Fleet, ids: &[String]) {
+fn list_targets(fleet: &mut Fleet, ids: &[String]) {
     fleet.targets = (ids.iter().map(|id| target(id, false)).collect(), fleet.targets.1 + 1);
 }
 
 /// Returns a fleet that knows twelve targets.
 fn fleet_of(daemons: usize) -> Fleet {
     let mut fleet = Fleet::new(daemons);
-    show(&mut fleet, &ids(12));
+    list_targets(&mut fleet, &ids(12));
     fleet.run(Duration::from_secs(3));
     fleet
 }
@@ -59,11 +59,11 @@
 /// Lets the list entries of the first `ended` targets expire.
 fn expire_entries(fleet: &mut Fleet, ended: usize) {
     fleet.run(EXPIRY);
-    show(fleet, &ids(12)[ended..]);
+    list_targets(fleet, &ids(12)[ended..]);
 }
 
 /// Sends the request to a daemon; returns the refusal, `None` if it is admitted.
-fn ask(fleet: &mut Fleet, index: usize, number: u128) -> Option<Refusal> {
+fn submit(fleet: &mut Fleet, index: usize, number: u128) -> Option<Refusal> {
     let spec = RequestSpec { digest: Some(digest()), ..spec(number) };
     fleet.event(index, NodeEvent::Admit(Box::new(spec)));
     match fleet.decision(number) {
@@ -78,7 +78,7 @@
 /// Returns the refusal reasons that the request gets at these daemons.
 fn reasons(fleet: &mut Fleet, daemons: &[usize], number: u128) -> Vec<Option<RefusalReason>> {
     let numbers = (number * 1_000..).zip(daemons);
-    numbers.map(|(number, index)| Some(ask(fleet, *index, number)?.reason)).collect()
+    numbers.map(|(number, index)| Some(submit(fleet, *index, number)?.reason)).collect()
 }
 
 fn assert_all_refuse(fleet: &mut Fleet, daemons: &[usize], number: u128) {
@@ -98,15 +98,15 @@
 fn interruptions_seen_by_three_daemons_are_counted_together() {
     let mut fleet = fleet_of(3);
     three_interruptions(&mut fleet, [0, 1, 2]);
-    fleet.run(MOMENT);
-    let held = ask(&mut fleet, 0, 1).expect("held until it is known what ended");
+    fleet.run(SHORT_WAIT);
+    let held = submit(&mut fleet, 0, 1).expect("held until it is known what ended");
     assert_eq!(held.reason, RefusalReason::RequestSuspect);
     assert!(held.retry_after.is_some_and(|wait| wait > Duration::ZERO), "{held:?}");
     assert!(!held.verdict.may_have_run());
     expire_entries(&mut fleet, 3);
     fleet.run(SPREAD_LIMIT);
     for index in 0..3 {
-        let refused = ask(&mut fleet, index, 10 + index as u128).expect("refused");
+        let refused = submit(&mut fleet, index, 10 + index as u128).expect("refused");
         assert_eq!(refused, Refusal::not_run(RefusalReason::RequestLethal, None));
     }
 }
@@ -153,7 +153,7 @@
     for id in &ids(2) {
         fleet.event(seen_by, interruption_event(id));
     }
-    fleet.run(MOMENT);
+    fleet.run(SHORT_WAIT);
     fleet.daemons[leader].cut = true;
     fleet.run(SPREAD_LIMIT);
     fleet.event(others[0], interruption_event("t2"));
@@ -246,13 +246,13 @@
 
 /// A target that announces that it leaves, or whose list entry was removed before, ends as planned.
 #[rstest]
-#[case::said(true)]
-#[case::gone_before(false)]
+#[case::announced(true)]
+#[case::removed_before(false)]
 fn interruption_at_a_leaving_or_unlisted_target_is_ignored(#[case] announces: bool) {
     let mut fleet = fleet_of(3);
-    let shown = if announces { ids(12) } else { ids(12)[3..].to_vec() };
+    let listed = if announces { ids(12) } else { ids(12)[3..].to_vec() };
     let leaves = |id: &str| ids(3).contains(&id.to_string());
-    fleet.targets = (shown.iter().map(|id| target(id, leaves(id))).collect(), fleet.targets.1 + 1);
+    fleet.targets = (listed.iter().map(|id| target(id, leaves(id))).collect(), fleet.targets.1 + 1);
     fleet.run(Duration::from_secs(2));
     three_interruptions(&mut fleet, [0, 1, 2]);
     expire_entries(&mut fleet, 3);
@@ -277,7 +277,7 @@
     let mut fleet = fleet_of(3);
     fleet.event(0, interruption_event("t0"));
     fleet.event(1, interruption_event("t1"));
-    fleet.run(MOMENT);
+    fleet.run(SHORT_WAIT);
     let served = RequestSpec { digest: Some(digest()), ..spec(1) };
     fleet.event(2, NodeEvent::Admit(Box::new(served)));
     fleet.finish(2, 1);
@@ -291,14 +291,14 @@
 #[test]
 fn waiting_request_is_refused_when_granted_after_it_became_suspect() {
     let mut fleet = fleet_of(3);
-    show(&mut fleet, &ids(1));
+    list_targets(&mut fleet, &ids(1));
     fleet.run(Duration::from_secs(2));
     // Four slots, all taken.
     for number in 1..=4 {
         fleet.admit(0, number);
     }
     fleet.event(1, NodeEvent::Admit(Box::new(RequestSpec { digest: Some(digest()), ..spec(5) })));
-    fleet.run(MOMENT);
+    fleet.run(SHORT_WAIT);
     assert_eq!(fleet.decision(5), None);
     // The other targets belong to another pool.
     let others = ids(4)[1..].iter().map(|id| target(id, false)).collect::<Vec<_>>();
@@ -368,7 +368,7 @@
         now,
         NodeEvent::PeerFrameReceived(PeerFrame { from, messages }),
     );
-    let mut asked = Vec::new();
+    let mut message_counts = Vec::new();
     for step in 0..200 {
         let now = now + Duration::from_millis(20) * step;
         for action in fleet.daemons[2].node.handle(now, now, NodeEvent::Tick) {
@@ -378,11 +378,14 @@
                 .iter()
                 .any(|message| matches!(message, PeerMessage::SuspectsPull(_)));
             if pulls {
-                asked.push(frame.messages.len());
+                message_counts.push(frame.messages.len());
             }
         }
     }
-    assert!(!asked.is_empty() && asked.iter().all(|messages| *messages == 1), "{asked:?}");
+    assert!(
+        !message_counts.is_empty() && message_counts.iter().all(|messages| *messages == 1),
+        "{message_counts:?}"
+    );
 }
 
 /// A peer that knows all reports gets no answer, and its pulls need no separate frames.
@@ -391,18 +394,18 @@
     let mut fleet = fleet_of(3);
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let now = fleet.now;
-    let mut ask = |known| {
+    let mut pull = |known| {
         let pull = PeerMessage::SuspectsPull(SuspectsPull { known });
         let event =
             NodeEvent::PeerFrameReceived(PeerFrame { from: from.clone(), messages: vec![pull] });
         fleet.daemons[0].node.handle(now, now, event).len()
     };
-    assert_eq!(ask(0), 1, "the first pull is answered");
-    assert_eq!(ask(1), 0);
+    assert_eq!(pull(0), 1, "the first pull is answered");
+    assert_eq!(pull(1), 0);
 }
 
 /// Returns the digest of one of many different requests.
-fn many(number: usize) -> RequestDigest {
+fn numbered_digest(number: usize) -> RequestDigest {
     let body = number.to_string();
     let identity = RequestIdentity {
         method: "POST",
@@ -414,7 +417,7 @@
     identity.digest()
 }
 
-/// Returns the first daemon's answer to a peer that knows the reports up to revision `known`.
+/// Returns the first daemon's answer to a peer that knows the first `known` changes.
 fn answer_to_pull(fleet: &mut Fleet, known: u64) -> SuspectsPush {
     let from = DaemonId { vm: "vm-1".to_string(), incarnation: 1 };
     let pull = PeerMessage::SuspectsPull(SuspectsPull { known });
@@ -446,7 +449,7 @@
         fleet.daemons[0].node.handle(
             now,
             now,
-            NodeEvent::RequestInterrupted(many(number), interruption),
+            NodeEvent::RequestInterrupted(numbered_digest(number), interruption),
         );
     }
     // One of the last requests is interrupted twice.
@@ -455,16 +458,20 @@
         kind: InterruptionKind::Closed,
         begun: false,
     };
-    fleet.daemons[0].node.handle(now, now, NodeEvent::RequestInterrupted(many(299), interruption));
-    let mut ask = |known| answer_to_pull(&mut fleet, known);
-    let first = ask(0);
+    fleet.daemons[0].node.handle(
+        now,
+        now,
+        NodeEvent::RequestInterrupted(numbered_digest(299), interruption),
+    );
+    let mut pull = |known| answer_to_pull(&mut fleet, known);
+    let first = pull(0);
     let sent: Vec<RequestDigest> = first.requests.iter().map(|report| report.digest).collect();
     assert!(sent.len() <= 32, "{}", sent.len());
-    assert!(sent.contains(&many(299)), "the request near its limit is sent at once");
+    assert!(sent.contains(&numbered_digest(299)), "the request near its limit is sent at once");
     let mut all: std::collections::BTreeSet<RequestDigest> = sent.into_iter().collect();
     let mut known = first.at;
     for _ in 0..40 {
-        let next = ask(known);
+        let next = pull(known);
         all.extend(next.requests.iter().map(|report| report.digest));
         if next.at == known || all.len() == 300 {
             break;
--- a/crates/node/tests/membership.rs
+++ b/crates/node/tests/membership.rs
@@ -18,7 +18,7 @@
 /// since the next daemons in the order may have ended too, and some heartbeats.
 const AGREEMENT_LIMIT: Duration = Duration::from_secs(8);
 
-/// Returns the schedulers that the connected daemons ask first.
+/// Returns the first daemons in the orders of schedulers of the connected daemons.
 fn schedulers(fleet: &Fleet) -> BTreeSet<String> {
     let reached = (0..fleet.daemons.len()).filter(|index| !fleet.daemons[*index].cut);
     let first = |index: usize| fleet.daemons[index].node.scheduler_order()[0].vm.clone();
@@ -168,18 +168,19 @@
     #[case] refuses: bool,
 ) {
     const DAEMONS: usize = 60;
-    let drawn = {
+    let selected = {
         let mut fleet = Fleet::mixed(DAEMONS);
         fleet.run(Duration::from_secs(1));
         fleet.leader()
     };
     let mut fleet = Fleet::mixed(DAEMONS);
-    fleet.daemons[drawn].cut = true;
+    fleet.daemons[selected].cut = true;
     fleet.run(Duration::from_millis(300));
     let weak: Vec<usize> = (0..DAEMONS).filter(|index| mixed_fleet_capacity(*index) < 50).collect();
-    fleet.blocked = weak.iter().flat_map(|index| [(*index, drawn), (drawn, *index)]).collect();
-    fleet.daemons[drawn] = mixed_fleet_daemon(drawn, Vec::new(), 1, younger_by);
-    fleet.event(drawn, mixed_fleet_records(DAEMONS));
+    fleet.blocked =
+        weak.iter().flat_map(|index| [(*index, selected), (selected, *index)]).collect();
+    fleet.daemons[selected] = mixed_fleet_daemon(selected, Vec::new(), 1, younger_by);
+    fleet.event(selected, mixed_fleet_records(DAEMONS));
     fleet.run(Duration::from_millis(200));
     for (number, index) in weak.iter().enumerate() {
         fleet.admit_for(*index, number as u128, 10);
--- a/crates/node/tests/nodes.rs
+++ b/crates/node/tests/nodes.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn full_entry_refuses_the_lowest_tier_first() {
+fn full_entry_daemon_refuses_the_lowest_tier_first() {
     let mut node = node(100);
     let mut refused_at = [None; 3];
     for number in 0..120 {
@@ -77,10 +77,10 @@
         // entry daemon further.
         for tier in [2u8, 1, 0] {
             let reason = admit(&mut node, number * 10 + u128::from(tier), tier);
-            let place = &mut refused_at[usize::from(tier)];
-            if reason.is_some() && place.is_none() {
+            let first_refused = &mut refused_at[usize::from(tier)];
+            if reason.is_some() && first_refused.is_none() {
                 assert_eq!(reason, Some(RefusalReason::EntryFull));
-                *place = Some(number);
+                *first_refused = Some(number);
             }
             let lower_open = refused_at[usize::from(tier) + 1..].iter().any(Option::is_none);
             assert!(reason.is_none() || !lower_open, "tier {tier} was refused before a lower one");
--- a/crates/node/tests/pull_faults.rs
+++ b/crates/node/tests/pull_faults.rs
@@ -41,13 +41,14 @@
     let mut world = ScriptedWorld::new(vec![newest, behind], Duration::from_millis(20));
     // After the loss, the heartbeat of the peer that is behind always comes first.
     world.run(Duration::from_secs(30));
-    let asked = |peer: usize| world.pulls.iter().filter(|(_, index, _)| *index == peer).count();
+    let pull_count =
+        |peer: usize| world.pulls.iter().filter(|(_, index, _)| *index == peer).count();
     assert_eq!(
         world.generation(),
         3,
-        "after 30 s; the up-to-date peer was asked {} times, the other {}",
-        asked(1),
-        asked(2)
+        "after 30 s; the up-to-date peer was pulled from {} times, the other {}",
+        pull_count(1),
+        pull_count(2)
     );
 }
 
@@ -95,11 +96,11 @@
         let event = NodeEvent::PeerFrameReceived(PeerFrame { from: from.clone(), messages });
         let now = fleet.now;
         let actions = fleet.daemons[0].node.handle(now, now, event);
-        let goes_on = actions.iter().any(|action| {
+        let requests_more = actions.iter().any(|action| {
             matches!(action, NodeAction::Send(_, frame)
                 if frame.messages.iter().any(|message| matches!(message, PeerMessage::ConfigPartPull(_))))
         });
-        gathered += if goes_on { 1 } else { 0 };
+        gathered += if requests_more { 1 } else { 0 };
     }
     assert!(gathered <= 16, "{gathered} MiB gathered and more requested");
 }
@@ -124,7 +125,7 @@
     assert_eq!(world.generation(), 8, "after 60 s, {} pulls", world.pulls.len());
 }
 
-/// One peer's archive of a generation is unusable; another peer's archive of it has another name and is usable.
+/// One peer's archive of a generation is unusable; another peer's archive of it has another id and is usable.
 #[test]
 fn unusable_archive_does_not_block_another_of_its_generation() {
     let bad = ConfigArchive::pack(&invalid(9)).expect("an archive");
@@ -132,8 +133,12 @@
     let other = Peer::new(2, archive(9, 7), Duration::from_millis(260));
     let mut world = ScriptedWorld::new(vec![one, other], Duration::from_millis(20));
     world.run(Duration::from_secs(60));
-    let asked = world.pulls.iter().filter(|(_, index, _)| *index == 2).count();
-    assert_eq!(world.generation(), 9, "after 60 s, the usable archive was requested {asked} times");
+    let pull_count = world.pulls.iter().filter(|(_, index, _)| *index == 2).count();
+    assert_eq!(
+        world.generation(),
+        9,
+        "after 60 s, the usable archive was requested {pull_count} times"
+    );
 }
 
 /// Pulls of earlier configurations had no answer, and each configuration came by the daemon's own read of the
--- a/crates/node/tests/support/link.rs
+++ b/crates/node/tests/support/link.rs
@@ -6,12 +6,12 @@
 use curlewcleat_core::PeerFrame;
 use curlewcleat_peers::encode_frame;
 
-/// Bytes that one sender may put on the link before the next sender's turn: a packet.
+/// Bytes that one sender may put on the link before the next sender: a packet.
 const PACKET: usize = 1_460;
 
 /// A frame in transit.
 struct SentFrame {
-    bytes_left: usize,
+    remaining_bytes: usize,
     frame: PeerFrame,
 }
 
@@ -51,8 +51,8 @@
             return;
         }
         let queue = self.queues.entry(frame.from.vm.clone()).or_default();
-        queue.push_back(SentFrame { bytes_left: bytes, frame });
-        let waiting = self.queues.values().flatten().map(|sent| sent.bytes_left).sum();
+        queue.push_back(SentFrame { remaining_bytes: bytes, frame });
+        let waiting = self.queues.values().flatten().map(|sent| sent.remaining_bytes).sum();
         self.most_waiting = self.most_waiting.max(waiting);
     }
 
@@ -64,10 +64,10 @@
         while bytes > 0 && !self.queues.is_empty() {
             for queue in self.queues.values_mut() {
                 let Some(first) = queue.front_mut() else { continue };
-                let served = first.bytes_left.min(PACKET).min(bytes);
-                first.bytes_left -= served;
+                let served = first.remaining_bytes.min(PACKET).min(bytes);
+                first.remaining_bytes -= served;
                 bytes -= served;
-                if first.bytes_left == 0 {
+                if first.remaining_bytes == 0 {
                     frames.extend(queue.pop_front().map(|sent| sent.frame));
                 }
             }
--- a/crates/node/tests/support/uplink.rs
+++ b/crates/node/tests/support/uplink.rs
@@ -6,7 +6,7 @@
 use curlewcleat_core::PeerFrame;
 use curlewcleat_peers::encode_frame;
 
-/// Bytes for one receiver before the next receiver's turn: a packet.
+/// Bytes sent to one receiver before the next receiver gets any: a packet.
 const PACKET: usize = 1_460;
 
 /// The link with the frames that one daemon is sending.
--- a/crates/peers/src/pending.rs
+++ b/crates/peers/src/pending.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns whether a peer that is alive always answers a message. `recent` says whether its heartbeats are due.
+/// Returns whether a peer that is alive always answers a message. `recent` states whether its heartbeats are due.
 fn is_always_answered(message: &PeerMessage, recent: bool) -> bool {
     match message {
         PeerMessage::Heartbeat(heartbeat) => heartbeat.answer_wanted || recent,
