--- a/crates/core/src/model.rs
+++ b/crates/core/src/model.rs
@@ -160,7 +160,7 @@
 }
 
 impl TargetEntry {
-    /// Returns the target instance that this entry describes.
+    /// Returns the instance of this target.
     pub fn instance(&self) -> TargetInstance {
         TargetInstance { id: self.id.clone(), start: self.start }
     }
@@ -178,9 +178,9 @@
 }
 
 impl DiscoveredTarget {
-    /// Creates an entry without a usable target. It belongs to no pool, so that nothing is sent to it. It is listed, so
-    /// that it replaces the target that had this id before. If the target were only missing from the list after an
-    /// outage, it would be used until it was listed again.
+    /// Creates a list entry without a usable target. It belongs to no pool, so that nothing is sent to it. It is
+    /// listed, so that it replaces the target that had this id before. If the target were only missing from the list
+    /// after an outage, it would be used until it was listed again.
     pub fn unusable(id: TargetId) -> DiscoveredTarget {
         let entry = TargetEntry { vm: id.clone(), id, ..TargetEntry::default() };
         DiscoveredTarget { pool: PoolId::new(), entry, leaving: false }
--- a/crates/node/src/node/rollouts.rs
+++ b/crates/node/src/node/rollouts.rs
@@ -1,9 +1,9 @@
-//! Handles rollouts: the orders on the platform, what targets of each version may get, and the decisions.
+//! Handles rollouts: the orders on the platform, which requests targets of each version may get, and the decisions.
 //!
 //! The daemon that schedules decides. Daemons that read the platform pass it the orders, all daemons pass it the
-//! answers of the targets, and it reports the stage of each order to all of them. Every grant passes
-//! [`Node::is_blocked`] before it is used, so that a grant that was given earlier, or by a scheduler that knows less,
-//! is discarded.
+//! answers of the targets, and it reports the stage of each order to all of them. Every grant is checked by
+//! [`Node::is_blocked`] before it is used, so that a grant of a blocked target is discarded if it was given earlier, or
+//! by a scheduler that knows less.
 //!
 //! Owns: nothing; these are methods of `Node`. Relies on: [`PoolVersions`] for the rules.
 
@@ -225,14 +225,15 @@
         }
     }
 
-    /// Evaluates anew what the targets of each version may get, and rebuilds the configuration if that has changed.
+    /// Evaluates anew which requests targets of each version may get, and rebuilds the configuration if that has
+    /// changed.
     fn apply_version_changes(&mut self, changed: bool) {
         if self.review_versions() || changed {
             self.rebuild_active();
         }
     }
 
-    /// Checks which versions the targets report; returns whether what any of them may get has changed.
+    /// Checks which versions the targets report; returns whether the requests that any of them may get have changed.
     pub(super) fn review_versions(&mut self) -> bool {
         if self.options.rollout.is_none() {
             return false;
@@ -258,7 +259,7 @@
         changed
     }
 
-    /// Passes what each version may get to the schedulers.
+    /// Passes to the schedulers which requests each version may get.
     pub(super) fn apply_versions(&mut self) {
         for (pool, versions) in &self.rollouts.pools {
             if let Some(scheduler) = self.pools.get_mut(pool) {
--- a/crates/peers/tests/hearing.rs
+++ b/crates/peers/tests/hearing.rs
@@ -1,8 +1,8 @@
 //! Checks when a connection to a peer is redialed.
 //!
-//! The failure: connections between daemons died without a reset. Each daemon continued to send on them, the
-//! `curlewcleat_peer` frames were counted as sent, and no daemon received a frame again, because nothing redials a
-//! connection that looks open.
+//! The failure: connections between daemons died without a reset. Each daemon continued to send on them, the metric
+//! `curlewcleat_peer_frames` counted the frames as sent, and no daemon received a frame again, because nothing redialed
+//! a connection that looked open.
 
 use std::time::Duration;
 
