--- a/crates/core/src/message/instances.rs
+++ b/crates/core/src/message/instances.rs
@@ -1,6 +1,6 @@
 //! Target lists with the start of each target instance.
 //!
-//! The wire format of [`DiscoveredTarget`](crate::DiscoveredTarget) has no start and cannot gain a field, because the
+//! The wire format of [`DiscoveredTarget`] has no start and cannot gain a field, because the
 //! codec is positional. The starts are therefore sent as a separate list.
 //!
 //! Owns: the format of these messages. Relies on: nothing.
