--- a/crates/acceptance/tests/births.rs
+++ b/crates/acceptance/tests/births.rs
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-/// Returns the number of calls of this kind between two tallies.
+/// Returns the number of calls of this kind between two counts.
 fn calls_between(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, call: &str) -> u64 {
     let count =
         |call_counts: &BTreeMap<String, u64>| call_counts.get(call).copied().unwrap_or_default();
--- a/crates/acceptance/tests/callers.rs
+++ b/crates/acceptance/tests/callers.rs
@@ -36,8 +36,8 @@
 }
 
 /// Returns status, reason and "may have run" of a refusal.
-fn reason(end: &CallerOutcome) -> (u16, String, bool) {
-    match end {
+fn refusal(outcome: &CallerOutcome) -> (u16, String, bool) {
+    match outcome {
         CallerOutcome::Refused { status, reason, may_have_run, .. } => {
             (*status, reason.clone(), *may_have_run)
         }
@@ -57,7 +57,7 @@
     let call =
         CallerCall::service("/v1/sessions/unlock", DRIVERS, "n").header("Idempotency-Key", "k");
     let record = call.header(name, value).send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(reason(&record.outcome), (400, "bad_header".to_string(), false));
+    assert_eq!(refusal(&record.outcome), (400, "bad_header".to_string(), false));
     still_serves(&fleet).await
 }
 
@@ -68,7 +68,7 @@
     let call =
         CallerCall::engine("/v1/assistant/ask", DEPOTS, "n", "x", 2_000).header("Prefer", "wait=1");
     let record = call.send(&caller_client(), &fleet.daemons[0].callers).await;
-    assert_eq!(reason(&record.outcome), (503, "deadline_unreachable".to_string(), false));
+    assert_eq!(refusal(&record.outcome), (503, "deadline_unreachable".to_string(), false));
     assert!(read_ledgers(&fleet).await?.is_empty(), "the engine does not process its prompt");
     Ok(())
 }
--- a/crates/acceptance/tests/fleet.rs
+++ b/crates/acceptance/tests/fleet.rs
@@ -94,11 +94,11 @@
     async fn send(&self, daemon: &str) -> Result<Answer> {
         let (head, mut body) = self.begin(daemon).await?;
         let mut bytes = Vec::new();
-        let mut whole = true;
+        let mut complete = true;
         while let Some(part) = body.next().await {
             match part {
                 Ok(part) => bytes.extend_from_slice(&part),
-                Err(_) => whole = false,
+                Err(_) => complete = false,
             }
         }
         let header = |name: &str| {
@@ -107,7 +107,7 @@
         Ok(Answer {
             status: head.status.as_u16(),
             text: String::from_utf8_lossy(&bytes).to_string(),
-            whole,
+            complete,
             seal: header(SEAL_HEADER),
             echo: header(WIRE_PROFILE.attempt_id),
             retry_after: header("retry-after").and_then(|text| text.parse().ok()),
@@ -120,7 +120,7 @@
 struct Answer {
     status: u16,
     text: String,
-    whole: bool,
+    complete: bool,
     seal: Option<String>,
     echo: Option<String>,
     retry_after: Option<f64>,
@@ -229,7 +229,7 @@
     fleet.engines.iter().for_each(|engine| engine.set_default_step(EngineStep::Serve));
     fleet.engines[0].queue_step(step);
     let answer = Call::new("/resumed/stream/a", "t").send(&entry).await?;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
     assert_eq!(answer.text, FleetEngine::expected_stream("t", EVENTS));
     Ok(())
 }
@@ -246,7 +246,7 @@
     let entry = &fleet.daemons[0].callers;
     fleet.engines.iter().for_each(|engine| engine.set_default_step(step));
     let answer = Call::new("/plain/stream/a", "t").send(entry).await?;
-    assert!(!answer.whole || answer.status == 502, "{answer:?}");
+    assert!(!answer.complete || answer.status == 502, "{answer:?}");
     assert_eq!(runs(&fleet, "t"), 1);
     Ok(())
 }
@@ -277,7 +277,7 @@
     Ok(())
 }
 
-/// The timeout for the first byte ends at the deadline of the request here, so both limits pass at the same time.
+/// The timeout for the first byte ends at the deadline of the request, so both limits pass at the same time.
 #[actix_rt::test]
 async fn timeout_of_the_first_byte_at_the_deadline_is_the_reason_of_the_refusal() -> Result<()> {
     let fleet = ready("silent-together", 1, 2, 0).await?;
@@ -405,7 +405,7 @@
 }
 
 /// Guards against an unreadable list entry that is left out of the changes of a watch: when another writer had
-/// overwritten the entry of an engine, the engine was still used as before.
+/// overwritten the list entry of an engine, the engine was still used as before.
 #[rstest]
 #[case::fields("fields", json!({"backend": 7}))]
 #[case::state("state", json!({"backend": "records", "address": "127.0.0.1:1", "zone": "z", "slots": 4,
@@ -529,7 +529,7 @@
     let (answer, stopped) = tokio::join!(stream, stop);
     stopped?;
     let answer = answer?;
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.complete, "{answer:?}");
     assert_eq!(answer.text, FleetEngine::expected_stream("t", 60));
     let process = &mut fleet.daemons[0].process;
     let end = Instant::now() + Duration::from_secs(5);
@@ -610,7 +610,8 @@
     }
 }
 
-/// As version 0 it would count as already read, and prove a configuration that was never read.
+/// Guards against a missing revision that is taken for revision 0: to a daemon that has read nothing, the configuration
+/// would seem unchanged, which proves a configuration that was never read.
 #[actix_rt::test]
 async fn configuration_without_a_revision_is_rejected() -> Result<()> {
     let address = serve_here(Rc::new(UnversionedStore)).await?;
--- a/crates/acceptance/tests/last_bytes.rs
+++ b/crates/acceptance/tests/last_bytes.rs
@@ -25,7 +25,7 @@
 /// Bytes of an event besides the attempt id.
 const EVENT_BYTES: usize = 27;
 /// Bytes by which the answer is shorter than what fits between a target and a caller that does not read, so that its
-/// end is in the daemon.
+/// end is buffered in the daemon.
 const SHORTER_BY: usize = 40_000;
 /// Longer than a target needs to send all its events.
 const SEND_TIME: Duration = Duration::from_millis(2_500);
@@ -60,8 +60,8 @@
     }
 }
 
-/// Starts a planned stop of a daemon while a caller has not read its answer, the end of which is still in the daemon.
-/// Returns the caller's connection and the time of the stop.
+/// Starts a planned stop of a daemon while a caller has not read its answer, the end of which is still buffered in the
+/// daemon. Returns the caller's connection and the time of the stop.
 async fn stop_with_unread_answer(
     name: &str,
     bounds: &str,
@@ -78,12 +78,12 @@
         read_all(stream).await.1
     })
     .await?;
-    // A longer answer is cut at its deadline; its caller receives the bytes that fit between the target and the
+    // A longer answer is interrupted at its deadline; its caller receives the bytes that fit between the target and the
     // caller.
     let longer = send_request(&entry, &"l".repeat(6_000), 1_500).await?;
     tokio::time::sleep(SEND_TIME).await;
-    let (capacity, whole) = read_all(longer).await;
-    assert!(!whole);
+    let (capacity, complete) = read_all(longer).await;
+    assert!(!complete);
     let attempt = "t".repeat((capacity - SHORTER_BY) / EVENTS as usize - EVENT_BYTES);
     let stream = send_request(&entry, &attempt, 12_000).await?;
     wait_until("the request runs", || async {
@@ -99,8 +99,8 @@
 #[actix_rt::test]
 async fn slow_caller_receives_its_whole_answer_from_a_stopping_daemon() -> Result<()> {
     let (mut fleet, stream, _) = stop_with_unread_answer("slow-caller", "").await?;
-    let (count, whole) = read_all(stream).await;
-    assert!(whole, "cut after {count} bytes");
+    let (count, complete) = read_all(stream).await;
+    assert!(complete, "cut after {count} bytes");
     let process = &mut fleet.daemons[0].process;
     let read = Instant::now();
     while process.ended().is_none() && read.elapsed() < Duration::from_secs(1) {
@@ -110,7 +110,6 @@
     Ok(())
 }
 
-/// A caller that never reads does not delay the exit of the daemon beyond the stop limit.
 #[actix_rt::test]
 async fn caller_that_does_not_read_delays_no_exit_beyond_the_stop_limit() -> Result<()> {
     let (mut fleet, stream, stopped) =
--- a/crates/acceptance/tests/lethal_requests.rs
+++ b/crates/acceptance/tests/lethal_requests.rs
@@ -4,7 +4,7 @@
 //! request, and 29 under another. The callers repeated it with the same path, account and body at different daemons,
 //! and each daemon forwarded it as a new request, because the closed connection counted only as a failure of the
 //! engine. Every attempt reached one engine, terminated it some 80 ms after it began to run there, and was answered
-//! with a 502 at once. The first case below then logged the following three times in a row and then three
+//! with a 502 at once. The first case below then logged the following three consecutive times and then three
 //! times more, each time with the same digest:
 //!
 //! ```text
--- a/crates/acceptance/tests/pairs.rs
+++ b/crates/acceptance/tests/pairs.rs
@@ -55,21 +55,21 @@
     Ok(report)
 }
 
-fn entries(fleet: &Deployment) -> Vec<String> {
+fn entry_daemons(fleet: &Deployment) -> Vec<String> {
     fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect()
 }
 
 /// Starts a load without waiting for it.
 fn begin(plan: &LoadPlan, fleet: &Deployment) -> actix_rt::task::JoinHandle<Vec<CallerRecord>> {
-    let (plan, entries) = (plan.clone(), entries(fleet));
-    actix_rt::spawn(async move { plan.run(&entries).await })
+    let (plan, entry_daemons) = (plan.clone(), entry_daemons(fleet));
+    actix_rt::spawn(async move { plan.run(&entry_daemons).await })
 }
 
 #[actix_rt::test]
 async fn burst_at_three_times_capacity_sheds_only_the_lowest_tier() -> Result<()> {
     let fleet = ready_fleet("burst", 2, 1, 3).await?;
     let plan = plan(145.0);
-    let records = plan.run(&entries(&fleet)).await;
+    let records = plan.run(&entry_daemons(&fleet)).await;
     let report = check_and_report(&fleet, &plan, &records).await?;
     for tier in ["start-stop", "roadside"] {
         assert_eq!(
--- a/crates/acceptance/tests/platform.rs
+++ b/crates/acceptance/tests/platform.rs
@@ -108,7 +108,7 @@
 async fn concurrent_applies_conflict_on_one_file_only() -> Result<()> {
     let fleet = ready_fleet("race", 1, 1, 1).await?;
     let path = fleet.write_file("extra.ini", &extra_account("one"))?;
-    // An operator who read generation 1 is told that extra.ini has changed since then.
+    // The apply of an operator who read generation 1 is refused, because extra.ini has changed since then.
     fleet.apply("extra.ini", &extra_account("three"))?;
     std::fs::write(&path, extra_account("one"))?;
     let (code, output) =
--- a/crates/acceptance/tests/rollouts.rs
+++ b/crates/acceptance/tests/rollouts.rs
@@ -17,7 +17,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use support::{entries, load, wait_served, CallerResult};
+use support::{entry_daemons, load, wait_served, CallerResult};
 
 const POOL: &str = "records";
 /// Requests to this path may run more than once, so that callers are served although an engine fails.
@@ -103,10 +103,10 @@
     #[case] step: EngineStep,
 ) -> Result<()> {
     let mut fleet = ready(&format!("rollout-{name}")).await?;
-    load(entries(&fleet), PATH, WARM_UP).await;
+    load(entry_daemons(&fleet), PATH, WARM_UP).await;
     let since = Instant::now();
     order(&mut fleet, step).await?;
-    let results = load(entries(&fleet), PATH, Duration::from_secs(ORDER_SECONDS)).await;
+    let results = load(entry_daemons(&fleet), PATH, Duration::from_secs(ORDER_SECONDS)).await;
     let (old, new) = arrivals_by_version(&fleet, since);
     let all = old.len() + new.len();
     assert_eq!(
@@ -130,11 +130,11 @@
 #[actix_rt::test]
 async fn good_version_is_completed_while_no_request_runs_at_the_old_one() -> Result<()> {
     let mut fleet = ready("rollout-good").await?;
-    load(entries(&fleet), PATH, WARM_UP).await;
+    load(entry_daemons(&fleet), PATH, WARM_UP).await;
     let since = Instant::now();
     order(&mut fleet, EngineStep::Serve).await?;
     let running = wait_until("running", || async { state(&fleet) == RUNNING });
-    let calls = load(entries(&fleet), PATH, Duration::from_secs(ORDER_SECONDS + 2));
+    let calls = load(entry_daemons(&fleet), PATH, Duration::from_secs(ORDER_SECONDS + 2));
     let completed = async {
         wait_until("completed", || async { state(&fleet) == COMPLETED }).await?;
         let elapsed = since.elapsed();
@@ -154,23 +154,23 @@
     for index in 0..OLD_ENGINES {
         fleet.terminate_engine(index).await;
     }
-    let after = load(entries(&fleet), PATH, Duration::from_secs(1)).await;
+    let after = load(entry_daemons(&fleet), PATH, Duration::from_secs(1)).await;
     assert!(served(&results) > 0.99, "served share {}", served(&results));
     assert!(served(&after) > 0.99, "served share {}", served(&after));
     Ok(())
 }
 
-/// The store stops answering once the order is known: the version receives no more requests all the same, and the
-/// daemons write its status when the store answers again.
+/// The store stops answering once the order is known. The version still receives no more requests, and the daemons
+/// write its status when the store answers again.
 #[actix_rt::test]
 async fn bad_version_is_rolled_back_while_the_store_is_unresponsive() -> Result<()> {
     let mut fleet = ready("rollout-silent").await?;
-    load(entries(&fleet), PATH, WARM_UP).await;
+    load(entry_daemons(&fleet), PATH, WARM_UP).await;
     let since = Instant::now();
     order(&mut fleet, EngineStep::Fail(500)).await?;
     wait_until("running", || async { state(&fleet) == RUNNING }).await?;
     fleet.store.set_outage(Some(StoreOutage::Unresponsive));
-    load(entries(&fleet), "/once/open/a", Duration::from_secs(ORDER_SECONDS)).await;
+    load(entry_daemons(&fleet), "/once/open/a", Duration::from_secs(ORDER_SECONDS)).await;
     let (_, new) = arrivals_by_version(&fleet, since);
     let late = new.iter().filter(|at| **at > since + LAST_REQUEST_LIMIT * 2).count();
     assert_eq!(late, 0, "late requests of {}", new.len());
@@ -178,20 +178,20 @@
     wait_until("rolled back", || async { state(&fleet) == ROLLED_BACK }).await
 }
 
-/// Engines of a version for which there is no order serve as a planned replacement does.
+/// Engines of a version without an order serve requests, as in a planned replacement.
 #[actix_rt::test]
 async fn version_without_an_order_serves() -> Result<()> {
     let mut fleet = ready("rollout-none").await?;
     let since = Instant::now();
     fleet.engine_with_version(POOL, "v2", 3, RECORD_TIME).await?;
-    load(entries(&fleet), PATH, Duration::from_secs(5)).await;
+    load(entry_daemons(&fleet), PATH, Duration::from_secs(5)).await;
     let (_, new) = arrivals_by_version(&fleet, since);
     assert!(!new.is_empty());
     // The other engines are stopped, so that only the new one remains.
     for index in 0..OLD_ENGINES {
         fleet.terminate_engine(index).await;
     }
-    let results = load(entries(&fleet), PATH, Duration::from_secs(1)).await;
+    let results = load(entry_daemons(&fleet), PATH, Duration::from_secs(1)).await;
     assert!(served(&results) > 0.95, "served share {}", served(&results));
     Ok(())
 }
--- a/crates/acceptance/tests/silent_targets.rs
+++ b/crates/acceptance/tests/silent_targets.rs
@@ -65,14 +65,14 @@
     }
     let connection = ConnectionPool::default().connect(entry, Duration::from_secs(2)).await?;
     let answer = connection.exchange(head, Bytes::from_static(b"b")).await?;
-    let (mut body, mut bytes, mut whole) = (answer.body, Vec::new(), true);
+    let (mut body, mut bytes, mut complete) = (answer.body, Vec::new(), true);
     while let Some(part) = body.next().await {
         match part {
             Ok(part) => bytes.extend_from_slice(&part),
-            Err(_) => whole = false,
+            Err(_) => complete = false,
         }
     }
-    Ok((answer.head.status.as_u16(), String::from_utf8_lossy(&bytes).to_string(), whole))
+    Ok((answer.head.status.as_u16(), String::from_utf8_lossy(&bytes).to_string(), complete))
 }
 
 /// Starts one daemon and its targets, and waits until each target has served a request.
@@ -164,8 +164,8 @@
 async fn late_record_of_the_only_target_is_delivered() -> Result<()> {
     let fleet = ready("late-record", "records", 1, RETRIES).await?;
     fleet.engines[0].set_default_step(EngineStep::Delay(LONG_PAUSE));
-    let (status, _, whole) = call(&fleet.daemons[0].callers, "/again/a", "t").await?;
-    assert_eq!((status, whole), (200, true));
+    let (status, _, complete) = call(&fleet.daemons[0].callers, "/again/a", "t").await?;
+    assert_eq!((status, complete), (200, true));
     Ok(())
 }
 
--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -54,7 +54,7 @@
 
 /// Starts daemons and three engines for records. The platform holds a copy from before the last `lost` changes, which
 /// a restore loses.
-async fn with_copy(name: &str, daemons: usize, lost: usize) -> Result<FleetDeployment> {
+async fn with_backup(name: &str, daemons: usize, lost: usize) -> Result<FleetDeployment> {
     let mut fleet = FleetDeployment::start(name).await?;
     fleet.store_config()?;
     for _ in 0..ENGINES {
@@ -76,7 +76,7 @@
 }
 
 /// Stops the platform for a moment and restores it from its copy.
-async fn restore_from_copy(fleet: &FleetDeployment) {
+async fn restore_from_backup(fleet: &FleetDeployment) {
     fleet.store.set_outage(Some(StoreOutage::Closed));
     tokio::time::sleep(OUTAGE).await;
     fleet.store.restore_backup();
@@ -110,8 +110,8 @@
     #[case] lost: usize,
     #[case] written: usize,
 ) -> Result<()> {
-    let fleet = with_copy(&format!("era-{name}"), 2, lost).await?;
-    restore_from_copy(&fleet).await;
+    let fleet = with_backup(&format!("era-{name}"), 2, lost).await?;
+    restore_from_backup(&fleet).await;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     fleet.store.remove(SERVERS, "i-1");
     for change in 0..written {
@@ -130,10 +130,10 @@
 /// A second restore follows immediately.
 #[actix_rt::test]
 async fn engine_that_leaves_after_two_restores_receives_no_requests() -> Result<()> {
-    let fleet = with_copy("era-twice", 2, 12).await?;
-    restore_from_copy(&fleet).await;
+    let fleet = with_backup("era-twice", 2, 12).await?;
+    restore_from_backup(&fleet).await;
     tokio::time::sleep(OUTAGE).await;
-    restore_from_copy(&fleet).await;
+    restore_from_backup(&fleet).await;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     tokio::time::sleep(LEAVE_LIMIT).await;
     send_all(&fleet, "late").await?;
@@ -141,13 +141,13 @@
     Ok(())
 }
 
-/// The copy holds the entry of the engine from before it announced that it is leaving.
+/// The copy holds the list entry of the engine from before it announced that it is leaving.
 #[actix_rt::test]
 async fn engine_that_announced_leaving_before_a_restore_receives_no_requests() -> Result<()> {
-    let fleet = with_copy("era-forward", 2, 2).await?;
+    let fleet = with_backup("era-forward", 2, 2).await?;
     fleet.announce("i-0", "records", "127.0.0.1:1", "draining")?;
     tokio::time::sleep(LEAVE_LIMIT).await;
-    restore_from_copy(&fleet).await;
+    restore_from_backup(&fleet).await;
     tokio::time::sleep(LEAVE_LIMIT).await;
     send_all(&fleet, "late").await?;
     assert_eq!(runs(&fleet, 0, "late"), 0);
--- a/crates/acceptance/tests/support/mod.rs
+++ b/crates/acceptance/tests/support/mod.rs
@@ -56,12 +56,12 @@
 /// Sends requests to each of these daemons for `duration` and returns the results. Attempt ids begin with the number
 /// of the daemon.
 pub async fn load(
-    entries: Vec<(usize, String)>,
+    entry_daemons: Vec<(usize, String)>,
     path: &'static str,
     duration: Duration,
 ) -> Vec<CallerResult> {
     let end = Instant::now() + duration;
-    let callers = entries.into_iter().map(|(index, entry)| {
+    let callers = entry_daemons.into_iter().map(|(index, entry)| {
         actix_rt::spawn(async move {
             let mut results = Vec::new();
             for number in 0.. {
@@ -84,6 +84,6 @@
 }
 
 /// Returns the number of each daemon and the address at which it accepts callers.
-pub fn entries(fleet: &FleetDeployment) -> Vec<(usize, String)> {
+pub fn entry_daemons(fleet: &FleetDeployment) -> Vec<(usize, String)> {
     fleet.daemons.iter().map(|daemon| daemon.callers.clone()).enumerate().collect()
 }
--- a/crates/acceptance/tests/suspended.rs
+++ b/crates/acceptance/tests/suspended.rs
@@ -45,7 +45,7 @@
 /// Sends a request on a new connection; returns the status and the body.
 async fn call(entry: &str, path: &str, attempt: &str) -> Result<(u16, String)> {
     let head = fleet_head(path, attempt)?;
-    // No other request has used the connection.
+    // A new pool, so that no other request has used the connection.
     let connection = ConnectionPool::default().connect(entry, Duration::from_secs(2)).await?;
     let answer = connection.exchange(head, Bytes::from_static(b"b")).await?;
     let status = answer.head.status.as_u16();
@@ -54,15 +54,15 @@
 }
 
 /// Starts a daemon in a thread of this process.
-fn run_here(place: &DaemonEndpoint) -> Result<()> {
-    let path = place.settings.clone();
+fn run_here(endpoint: &DaemonEndpoint) -> Result<()> {
+    let path = endpoint.settings.clone();
     let text = std::fs::read_to_string(&path)?;
     let settings = check_settings("settings", &text).map_err(|_| anyhow::anyhow!("settings"))?;
     std::thread::spawn(move || {
         let (address, limit) = (&settings.platform_address, settings.platform_limit);
         let platform = std::rc::Rc::new(FleetClient::new(address, limit));
-        let parts = FleetAdapter::new(platform, settings.clone(), &path);
-        run_daemon(settings, Box::new(parts))
+        let adapter = FleetAdapter::new(platform, settings.clone(), &path);
+        run_daemon(settings, Box::new(adapter))
     });
     Ok(())
 }
@@ -75,29 +75,29 @@
     fleet.store_config()?;
     fleet.engine("records", 0, Duration::from_millis(5)).await?;
     let peer = free_address()?;
-    let place = fleet.write_settings(0, &peer, &peer, AGE_LIMIT)?;
-    run_here(&place)?;
+    let endpoint = fleet.write_settings(0, &peer, &peer, AGE_LIMIT)?;
+    run_here(&endpoint)?;
     wait_until("served", || async {
-        call(&place.callers, "/again/1", "warm").await.is_ok_and(|(status, _)| status == 200)
+        call(&endpoint.callers, "/again/1", "warm").await.is_ok_and(|(status, _)| status == 200)
     })
     .await?;
-    key_is_refused_when_the_proof_is_too_old(&fleet, &place).await?;
-    expired_request_is_answered_when_the_machine_resumes(&fleet, &place).await
+    key_is_refused_when_the_proof_is_too_old(&fleet, &endpoint).await?;
+    expired_request_is_answered_when_the_machine_resumes(&fleet, &endpoint).await
 }
 
 /// The store stops answering before the suspension, so that the configuration cannot be proved again.
 async fn key_is_refused_when_the_proof_is_too_old(
     fleet: &FleetDeployment,
-    place: &DaemonEndpoint,
+    endpoint: &DaemonEndpoint,
 ) -> Result<()> {
     fleet.store.set_outage(Some(StoreOutage::Unresponsive));
     suspend(Duration::from_secs(2));
-    let (status, text) = call(&place.callers, "/again/1", "stale").await?;
+    let (status, text) = call(&endpoint.callers, "/again/1", "stale").await?;
     assert_eq!(status, 503, "{text}");
     assert!(text.contains("configuration_stale"), "{text}");
     fleet.store.set_outage(None);
     wait_until("served again", || async {
-        call(&place.callers, "/again/1", "fresh").await.is_ok_and(|(status, _)| status == 200)
+        call(&endpoint.callers, "/again/1", "fresh").await.is_ok_and(|(status, _)| status == 200)
     })
     .await
 }
@@ -105,10 +105,10 @@
 /// The engine does not answer, and the deadline of the request passes while the machine is suspended.
 async fn expired_request_is_answered_when_the_machine_resumes(
     fleet: &FleetDeployment,
-    place: &DaemonEndpoint,
+    endpoint: &DaemonEndpoint,
 ) -> Result<()> {
     fleet.engines[0].queue_step(EngineStep::Stall);
-    let entry = place.callers.clone();
+    let entry = endpoint.callers.clone();
     let held = actix_rt::spawn(async move { call(&entry, "/once/1", "held").await });
     wait_until("the request runs", || async {
         fleet.engines[0].runs().iter().any(|run| run.attempt == "held" && run.ran)
--- a/crates/acceptance/tests/target_leaving.rs
+++ b/crates/acceptance/tests/target_leaving.rs
@@ -24,7 +24,7 @@
 use curlewcleat_standins::fleet::{EngineStep, FleetDeployment, FleetEngine, StoreOutage};
 use rstest::rstest;
 
-use support::{call, entries, load, wait_served, OBJECTIVE};
+use support::{call, entry_daemons, load, wait_served, OBJECTIVE};
 
 /// Time that an engine takes for an event of a stream or for a record.
 const EVENT_INTERVAL: Duration = Duration::from_millis(5);
@@ -80,9 +80,9 @@
     let engine = &fleet.engines[0];
     engine.set_default_step(step);
     engine.set_notices(&[(WIRE_PROFILE.leaving, "1")]);
-    load(entries(&fleet), path, LEAVE_LIMIT).await;
+    load(entry_daemons(&fleet), path, LEAVE_LIMIT).await;
     let since = Instant::now();
-    let results = load(entries(&fleet), path, Duration::from_secs(3)).await;
+    let results = load(entry_daemons(&fleet), path, Duration::from_secs(3)).await;
     for daemon in 0..DAEMONS {
         let reported = arrived(engine, daemon).first().copied();
         let late = arrived(engine, daemon).into_iter().filter(|at| *at >= since).count();
@@ -123,7 +123,7 @@
             engine.queue_step(EngineStep::Serve);
         }
     }
-    load(entries(&fleet), path, REST * 2).await;
+    load(entry_daemons(&fleet), path, REST * 2).await;
     for engine in &fleet.engines {
         for daemon in 0..DAEMONS {
             let most = most_in_rest(engine, daemon);
@@ -133,13 +133,13 @@
     Ok(())
 }
 
-/// All engines rest: callers are told when to retry, and are served when the rest is over.
+/// All engines rest: refusals state when to retry, and callers are served when the rest is over.
 #[actix_rt::test]
 async fn callers_learn_when_to_retry_where_all_engines_rest() -> Result<()> {
     let path = "/again/a";
     let fleet = ready("rest-all", "records", path, 2).await?;
     fleet.engines.iter().for_each(|engine| engine.set_default_step(EngineStep::Rest(REST)));
-    let results = load(entries(&fleet), path, REST - IN_FLIGHT_LIMIT).await;
+    let results = load(entry_daemons(&fleet), path, REST - IN_FLIGHT_LIMIT).await;
     for result in &results {
         assert_eq!(result.status, 503, "{result:?}");
         assert!(result.elapsed < OBJECTIVE, "held: {result:?}");
--- a/crates/acceptance/tests/target_limits.rs
+++ b/crates/acceptance/tests/target_limits.rs
@@ -21,7 +21,7 @@
 use curlewcleat_standins::fleet::{FleetDeployment, FleetEngine};
 use rstest::rstest;
 
-use support::{entries, load, wait_served, OBJECTIVE};
+use support::{entry_daemons, load, wait_served, OBJECTIVE};
 
 /// Time that an engine takes for a record.
 const RECORD_TIME: Duration = Duration::from_millis(5);
@@ -29,7 +29,7 @@
 const PATH: &str = "/again/a";
 /// Requests a second that the engine accepts.
 const LIMIT: f64 = 2.0;
-/// Time from the first report of a limit within which the daemons keep to it; the required bound, three seconds, is
+/// Time after the first report of a limit from which the daemons respect it; the required bound, three seconds, is
 /// longer.
 const LIMIT_KNOWN_AFTER: Duration = Duration::from_secs(2);
 /// Length of the intervals in which requests are counted.
@@ -70,7 +70,8 @@
     let reported = Instant::now();
     report_limit(engine, LIMIT);
     let results =
-        load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER + INTERVAL + Duration::from_secs(1)).await;
+        load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER + INTERVAL + Duration::from_secs(1))
+            .await;
     let most = most_in_interval(engine, reported + LIMIT_KNOWN_AFTER);
     assert!(most <= ALLOWED, "{most} requests in four seconds");
     let refused = results.iter().filter(|result| result.status != 200).count();
@@ -84,11 +85,12 @@
     let mut fleet = ready("limit-election", 2).await?;
     let engine = Rc::clone(&fleet.engines[0]);
     report_limit(&engine, LIMIT);
-    load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
+    load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
     let since = Instant::now();
     // Each daemon is killed once, the scheduler among them.
     for index in 0..DAEMONS {
-        let others = entries(&fleet).into_iter().filter(|(other, _)| *other != index).collect();
+        let others =
+            entry_daemons(&fleet).into_iter().filter(|(other, _)| *other != index).collect();
         fleet.daemons[index].process.kill();
         load(others, PATH, Duration::from_millis(1_500)).await;
         fleet.restart(index).await?;
@@ -104,11 +106,11 @@
     let fleet = ready("limit-ends", 1).await?;
     let engine = &fleet.engines[0];
     report_limit(engine, LIMIT);
-    load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
+    load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
     engine.set_notices(&[]);
-    load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
+    load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
     let since = Instant::now();
-    load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
+    load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER).await;
     let most = most_in_interval(engine, since);
     assert!(most > ALLOWED, "{most} requests: the limit is still kept");
     Ok(())
@@ -128,7 +130,7 @@
     let engine = &fleet.engines[0];
     let reported = Instant::now();
     report_limit(engine, limit);
-    let results = load(entries(&fleet), PATH, LIMIT_KNOWN_AFTER + INTERVAL).await;
+    let results = load(entry_daemons(&fleet), PATH, LIMIT_KNOWN_AFTER + INTERVAL).await;
     let most = most_in_interval(engine, reported + LIMIT_KNOWN_AFTER);
     let allowed = (1.5 * limit * 4.0) as usize + 5;
     assert!(most <= allowed, "{most} requests in four seconds, {allowed} allowed");
--- a/crates/acceptance/tests/targets.rs
+++ b/crates/acceptance/tests/targets.rs
@@ -48,22 +48,23 @@
     let fleet = ready_fleet(reason, 0, 2, 1).await?;
     fleet.apply("all.ini", &configuration(&fleet, "reuse_connections = yes", ""))?;
     let client = caller_client();
-    let entry = &fleet.daemons[0].callers;
+    let daemon = &fleet.daemons[0].callers;
     // Connections to both targets are pooled before the fault.
     for nonce in ["warm-1", "warm-2", "warm-3", "warm-4"] {
-        assert_eq!(unlock(nonce).send(&client, entry).await.outcome, CallerOutcome::Complete);
+        assert_eq!(unlock(nonce).send(&client, daemon).await.outcome, CallerOutcome::Complete);
     }
     for target in &fleet.targets {
         fleet.fault(&target.address, faults.clone()).await?;
     }
     let record =
-        unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
+        unlock("victim").header("Idempotency-Key", "victim-key").send(&client, daemon).await;
     assert_eq!(refusal(&record), (reason.to_string(), true));
     let actual_runs =
         read_ledgers(&fleet).await?.iter().filter(|entry| entry.nonce == "victim").count();
     assert_eq!(actual_runs, expected_runs);
     // The same key again, while the fault of the other target is still set.
-    let again = unlock("victim").header("Idempotency-Key", "victim-key").send(&client, entry).await;
+    let again =
+        unlock("victim").header("Idempotency-Key", "victim-key").send(&client, daemon).await;
     assert_eq!(refusal(&again), ("key_may_have_run".to_string(), true));
     check_agreement(&fleet, &[record, again]).await
 }
@@ -85,7 +86,7 @@
 #[actix_rt::test]
 async fn cut_stream_is_resumed_where_allowed(
     #[case] lines: &str,
-    #[case] end: CallerOutcome,
+    #[case] expected: CallerOutcome,
 ) -> Result<()> {
     let fleet = ready_fleet("cut-stream", 1, 1, 1).await?;
     if !lines.is_empty() {
@@ -95,7 +96,7 @@
     let client = caller_client();
     fleet.fault(&fleet.targets[0].address, json!({"cuts": 1, "cut_bytes": 100})).await?;
     let record = ask("cut").send(&client, &fleet.daemons[0].callers).await;
-    assert_eq!(record.outcome, end);
+    assert_eq!(record.outcome, expected);
     assert_eq!(runs(&fleet).await?, 1, "a resumed stream does not run again");
     check_agreement(&fleet, &[record]).await
 }
--- a/crates/soak/src/entries.rs
+++ b/crates/soak/src/entries.rs
@@ -24,9 +24,9 @@
             return Ok(());
         };
         tokio::time::sleep(time).await;
-        let is_present = Rc::ptr_eq(&self.engines.borrow()[index].engine, &ended);
+        let is_current = Rc::ptr_eq(&self.engines.borrow()[index].engine, &ended);
         // Another fault has replaced the engine in the meantime.
-        if !is_present {
+        if !is_current {
             return Ok(());
         }
         let address = match restart_address {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -18,7 +18,7 @@
 
 impl SoakFleet {
     /// Injects one fault and records its start and end, unless it is planned work.
-    pub async fn play(self: Rc<Self>, step: FaultStep) {
+    pub async fn run_step(self: Rc<Self>, step: FaultStep) {
         self.active_faults.set(self.active_faults.get() + 1);
         let begun = Instant::now();
         if let Err(error) = self.inject(step).await {
@@ -220,9 +220,10 @@
     async fn revoke_key(&self, time: Duration) -> Result<()> {
         let remove_key = |config: &mut Config| {
             let keys = config.tenants.iter_mut().map(|tenant| &mut tenant.api_keys);
-            let with = keys.filter(|keys| keys.iter().any(|key| key == DRIVERS_SECOND_KEY));
+            let lists_with_key =
+                keys.filter(|keys| keys.iter().any(|key| key == DRIVERS_SECOND_KEY));
             let mut dropped = 0;
-            for keys in with {
+            for keys in lists_with_key {
                 keys.retain(|key| key != DRIVERS_SECOND_KEY);
                 dropped += 1;
             }
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -168,15 +168,17 @@
 
 fn check_rest(evidence: &SoakEvidence, arrived: &[Arrival<'_>]) -> Option<SoakViolation> {
     let declined = arrived.iter().filter(|arrival| !arrival.run.ran);
-    let violated = declined.into_iter().find_map(|rested| {
-        let rest = rested.at + IN_FLIGHT..rested.at + REST;
-        let late =
-            arrived.iter().filter(|late| late.daemon == rested.daemon && rest.contains(&late.at));
+    let violated = declined.into_iter().find_map(|declined_run| {
+        let rest = declined_run.at + IN_FLIGHT..declined_run.at + REST;
+        let late = arrived
+            .iter()
+            .filter(|late| late.daemon == declined_run.daemon && rest.contains(&late.at));
         let count = late.count();
-        let sound = evidence.ran_uninterrupted(rested.daemon, rested.at, rest.end);
-        (count > REST_SLACK && sound).then_some((rested, count))
+        let is_uninterrupted =
+            evidence.ran_uninterrupted(declined_run.daemon, declined_run.at, rest.end);
+        (count > REST_SLACK && is_uninterrupted).then_some((declined_run, count))
     });
-    let (rested, count) = violated?;
-    let detail = format!("{count} requests from daemon {} during a rest", rested.daemon);
+    let (declined_run, count) = violated?;
+    let detail = format!("{count} requests from daemon {} during a rest", declined_run.daemon);
     Some(SoakViolation { invariant: "a target that requests a rest receives no requests", detail })
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -62,7 +62,7 @@
     ForgetHistory,
     /// An engine fails.
     Engine(usize, EngineStep),
-    /// A new engine replaces one whose list entry says that it is leaving and is removed later.
+    /// A new engine replaces one whose list entry is marked as leaving and removed later.
     Leave(usize),
     /// An engine's list entry is removed while the engine still serves; a new engine replaces it.
     RemoveEntry(usize),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -58,7 +58,7 @@
     let begun = Instant::now();
     for step in &steps {
         tokio::time::sleep((begun + step.at).saturating_duration_since(Instant::now())).await;
-        actix_rt::spawn(Rc::clone(&fleet).play(*step));
+        actix_rt::spawn(Rc::clone(&fleet).run_step(*step));
     }
     wait_until("the faults have ended", || async { fleet.active_faults.get() == 0 }).await?;
     fleet.evidence.borrow_mut().faults_ended = Some(Instant::now());
--- a/crates/standins/src/bin/demo.rs
+++ b/crates/standins/src/bin/demo.rs
@@ -62,8 +62,9 @@
         burst: 3.0,
         streams: user.streams.clone(),
     };
-    let entries: Vec<String> = fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect();
-    let records = plan.run(&entries).await;
+    let entry_daemons: Vec<String> =
+        fleet.daemons.iter().map(|daemon| daemon.callers.clone()).collect();
+    let records = plan.run(&entry_daemons).await;
     let runs = read_ledgers(&fleet).await?;
     report(&plan, &records, &runs).print();
     let found = disagreements(&runs, &records);
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -133,16 +133,16 @@
     }
 
     /// Sends the request to an entry daemon and compares the answer with the expected one.
-    pub async fn send(&self, client: &ConnectionPool, entry: &str) -> CallerRecord {
+    pub async fn send(&self, client: &ConnectionPool, entry_daemon: &str) -> CallerRecord {
         let begun = Instant::now();
         let mut first_byte = None;
-        let exchange = self.exchange(client, entry, begun, &mut first_byte);
-        let end =
+        let exchange = self.exchange(client, entry_daemon, begun, &mut first_byte);
+        let outcome =
             tokio::time::timeout(self.limit, exchange).await.unwrap_or(CallerOutcome::Interrupted);
         CallerRecord {
             nonce: self.nonce.clone(),
             tier: self.tier.clone(),
-            outcome: end,
+            outcome,
             first_byte,
             duration: begun.elapsed(),
         }
@@ -151,11 +151,11 @@
     async fn exchange(
         &self,
         client: &ConnectionPool,
-        entry: &str,
+        entry_daemon: &str,
         begun: Instant,
         first_byte: &mut Option<Duration>,
     ) -> CallerOutcome {
-        let Ok(connection) = client.connect(entry, self.limit).await else {
+        let Ok(connection) = client.connect(entry_daemon, self.limit).await else {
             return CallerOutcome::Interrupted;
         };
         let Ok(mut answer) = connection.exchange(self.head(), self.body().to_string()).await else {
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -29,7 +29,7 @@
 }
 
 impl ChildProcess {
-    /// Process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/crates/standins/src/fleet/deployment.rs
+++ b/crates/standins/src/fleet/deployment.rs
@@ -151,8 +151,8 @@
         Ok(())
     }
 
-    /// Makes every engine terminate when it begins to run a request with this body. Its list entry is removed after the
-    /// time `removal_delay`.
+    /// Makes every engine terminate when it begins to run a request with this body. Its list entry is removed
+    /// `removal_delay` later.
     pub fn terminate_engines_on(&self, body: &[u8], removal_delay: Duration) {
         for (index, engine) in self.engines.iter().enumerate() {
             let (served, store) = (Rc::clone(&self.engines_served), Rc::clone(&self.store));
@@ -208,9 +208,10 @@
     pub async fn daemons(&mut self, count: usize, bounds: &str) -> Result<()> {
         let peers: Vec<String> = (0..count).map(|_| free_address()).collect::<Result<_>>()?;
         for (index, peer) in peers.iter().enumerate() {
-            let place = self.write_settings(index, peer, &peers[0], bounds)?;
-            let process = self.spawn(&format!("vm-{index}"), &place.callers, &place.settings)?;
-            let DaemonEndpoint { callers, operators, settings } = place;
+            let endpoint = self.write_settings(index, peer, &peers[0], bounds)?;
+            let process =
+                self.spawn(&format!("vm-{index}"), &endpoint.callers, &endpoint.settings)?;
+            let DaemonEndpoint { callers, operators, settings } = endpoint;
             self.daemons.push(FleetDaemon { process, callers, operators, settings });
         }
         for daemon in &self.daemons {
--- a/crates/standins/src/fleet/engine.rs
+++ b/crates/standins/src/fleet/engine.rs
@@ -1,5 +1,5 @@
 //! Stand-in of an engine: answers with records and event streams, identifies itself, records the requests that reach
-//! it, and plays faults.
+//! it, and simulates faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -219,12 +219,12 @@
                 self.runs.borrow_mut()[run.run_index].disconnected = true;
                 Ok(AfterAnswer::Close)
             }
-            EngineStep::WithoutLength => self.answer_unframed(run, connection).await,
+            EngineStep::WithoutLength => self.answer_without_length(run, connection).await,
             EngineStep::Interrupt(events) if run.is_stream => {
                 self.answer_interrupted(run, events, connection).await
             }
             EngineStep::AnswerTwice => self.answer_twice(run, connection).await,
-            EngineStep::Delay(time) => self.answer_late(run, time, connection).await,
+            EngineStep::Delay(time) => self.answer_delayed(run, time, connection).await,
             EngineStep::Pause(events, time) if run.is_stream => {
                 self.answer_with_pause(run, events, time, connection).await
             }
@@ -253,7 +253,7 @@
         Ok(AfterAnswer::KeepOpen)
     }
 
-    async fn answer_late(
+    async fn answer_delayed(
         &self,
         run: RunningRequest<'_>,
         time: Duration,
@@ -313,7 +313,7 @@
         Ok(first)
     }
 
-    async fn answer_unframed(
+    async fn answer_without_length(
         &self,
         run: RunningRequest<'_>,
         connection: &mut PlainConnection,
--- a/crates/standins/src/fleet/entry.rs
+++ b/crates/standins/src/fleet/entry.rs
@@ -58,7 +58,7 @@
         ForeignEntry::InvalidUtf8,
     ];
 
-    /// Returns the content of the entry, with this address if it has one.
+    /// Returns the content of the list entry, with this address if it has one.
     pub fn spec(self, backend: &str, address: &str) -> Value {
         match self {
             ForeignEntry::MissingFields => json!({ "address": address, "state": "ready" }),
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -45,7 +45,7 @@
     /// Whether watches without changes are answered at once.
     immediate_watches: Cell<bool>,
     /// Copy of the objects that [`FleetStore::restore_backup`] restores.
-    copy: RefCell<StoreState>,
+    backup: RefCell<StoreState>,
     /// Number of restores.
     era: Cell<u64>,
 }
@@ -104,12 +104,12 @@
 
     /// Takes a copy of all objects.
     pub fn take_backup(&self) {
-        *self.copy.borrow_mut() = self.state.borrow().clone();
+        *self.backup.borrow_mut() = self.state.borrow().clone();
     }
 
     /// Restores the latest copy. Running watches are closed without an answer.
     pub fn restore_backup(&self) {
-        *self.state.borrow_mut() = self.copy.borrow().clone();
+        *self.state.borrow_mut() = self.backup.borrow().clone();
         self.era.set(self.era.get() + 1);
         self.changed.notify_waiters();
     }
@@ -117,7 +117,7 @@
     /// Writes the list entry of an engine without the time of its start, as earlier engines do.
     ///
     /// # Errors
-    /// Fails if the entry cannot be serialized.
+    /// Fails if the list entry cannot be serialized.
     pub fn announce(
         &self,
         id: &str,
@@ -135,7 +135,7 @@
     /// Writes the list entry of an engine, as the engine does.
     ///
     /// # Errors
-    /// Fails if the entry cannot be serialized.
+    /// Fails if the list entry cannot be serialized.
     pub fn write_entry(&self, id: &str, entry: EngineEntry<'_>) -> Result<()> {
         self.put(SERVERS, id, serde_json::to_value(entry)?);
         Ok(())
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -27,7 +27,7 @@
 }
 
 impl RunLedger {
-    /// Records that a request begins to run and returns the index of its entry.
+    /// Records that a request begins to run and returns the index of its ledger entry.
     pub fn begin(&self, entry: LedgerEntry) -> usize {
         let mut entries = self.entries.borrow_mut();
         entries.push(entry);
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -102,18 +102,18 @@
     }
 
     /// Sends all calls, distributed over the entry daemons in round-robin order.
-    pub async fn run(&self, entries: &[String]) -> Vec<CallerRecord> {
+    pub async fn run(&self, entry_daemons: &[String]) -> Vec<CallerRecord> {
         let client = Rc::new(caller_client());
         let begun = tokio::time::Instant::now();
         let mut tasks = Vec::new();
         for (index, (at, call)) in self.schedule().into_iter().enumerate() {
             let client = Rc::clone(&client);
-            let entry = entries[index % entries.len()].clone();
+            let entry_daemon = entry_daemons[index % entry_daemons.len()].clone();
             tasks.push(actix_rt::spawn(async move {
                 let planned = begun + at;
                 tokio::time::sleep_until(planned).await;
                 let late = planned.elapsed();
-                let mut record = call.send(&client, &entry).await;
+                let mut record = call.send(&client, &entry_daemon).await;
                 record.duration += late;
                 record.first_byte = record.first_byte.map(|time| time + late);
                 record
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -15,7 +15,7 @@
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await?;
     let mut bytes = Vec::new();
-    // The stand-in keeps the connection open, so a silence of 200 ms ends the answer.
+    // The stand-in keeps the connection open, so the answer ends when no byte arrives for 200 ms.
     while tokio::time::timeout(Duration::from_millis(200), stream.read_buf(&mut bytes))
         .await
         .is_ok_and(|read| read.is_ok_and(|length| length > 0))
