--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -27,11 +27,11 @@
     /// A new holder claims to know the complete history of its keys.
     HistoryClaimed,
     /// A holder continues to grant keys while it hands its slot over.
-    GrantsWhilePassing,
+    GrantsDuringHandOver,
     /// A caller's clock is ahead by more than the allowed skew.
     ClockBeyondSkew,
     /// An attempt whose answer is lost is reported as not run.
-    LostToldNotRun,
+    LostAnswerReportedNotRun,
 }
 
 /// The specification and its bounds.
@@ -84,7 +84,7 @@
     repeats: u8,
     attempts: [AttemptPhase; 2],
     runs: u8,
-    /// Holders as they were before they began to hand over, from which the variant `GrantsWhilePassing` continues to
+    /// Holders as they were before they began to hand over, from which the variant `GrantsDuringHandOver` continues to
     /// grant keys.
     still_granting: BTreeMap<DaemonId, KeyHolder>,
 }
@@ -186,7 +186,7 @@
             next.attempts[attempt] = AttemptPhase::Ended;
             next.runs += u8::from(ran);
             let verdict = match verdict {
-                Some(Verdict::MayHaveRun) if self.fault == KeyFault::LostToldNotRun => {
+                Some(Verdict::MayHaveRun) if self.fault == KeyFault::LostAnswerReportedNotRun => {
                     Some(Verdict::NotRun)
                 }
                 verdict => verdict,
@@ -273,7 +273,7 @@
         let others: Vec<DaemonId> =
             state.daemons.keys().filter(|daemon| *daemon != id).cloned().collect();
         let mut next = state.clone();
-        if self.fault == KeyFault::GrantsWhilePassing {
+        if self.fault == KeyFault::GrantsDuringHandOver {
             next.still_granting.entry(id.clone()).or_insert_with(|| holder.clone());
         }
         let sends =
--- a/crates/model/src/lethal.rs
+++ b/crates/model/src/lethal.rs
@@ -30,15 +30,15 @@
     /// No fault.
     None,
     /// Daemons don't request unknown reports from other daemons.
-    NothingAsked,
+    NoReportsRequested,
     /// A daemon serves after its start before it has received any report.
-    ServesUnknowing,
+    ServesWithoutReports,
     /// Every interruption counts as a termination.
-    BreakTakenForEnd,
+    InterruptionTakenForTermination,
     /// A request that was served completely stays suspect.
     ServedStaysSuspect,
     /// A daemon that restarts doesn't read the stored report of a request that has to be refused.
-    StoredForgotten,
+    StoredReportIgnored,
 }
 
 /// The specification and its bounds.
@@ -143,7 +143,7 @@
     fn review(&self, state: &mut LethalState, index: usize) {
         let terminated: Vec<TargetInstance> =
             state.terminated.iter().map(|number| instance(*number)).collect();
-        let treats_all_as_terminated = self.fault == LethalFault::BreakTakenForEnd;
+        let treats_all_as_terminated = self.fault == LethalFault::InterruptionTakenForTermination;
         let presence = |instance: &TargetInstance| match treats_all_as_terminated
             || terminated.contains(instance)
         {
@@ -231,7 +231,7 @@
     }
 
     /// Interrupts the other request at a target that keeps running.
-    fn bystander_interruptions(&self, state: &LethalState, index: usize) -> Option<LethalState> {
+    fn interrupt_bystander(&self, state: &LethalState, index: usize) -> Option<LethalState> {
         let mut next = state.clone();
         next.bystander_interruptions = next.bystander_interruptions.checked_sub(1)?;
         next.daemons[index].record_interruption(
@@ -273,7 +273,7 @@
                     self.review(&mut next, index);
                 }
                 for from in 0..DAEMONS {
-                    let requests_reports = self.fault != LethalFault::NothingAsked;
+                    let requests_reports = self.fault != LethalFault::NoReportsRequested;
                     if requests_reports && from != index && LethalModel::reaches(&next, from, index)
                     {
                         LethalModel::deliver_reports(&mut next, from, index);
@@ -292,11 +292,11 @@
         // The target that had its request terminates, and no daemon observes it.
         next.terminated.extend(next.running_at[index].take());
         next.daemons[index] = LethalModel::new_daemon();
-        if self.fault == LethalFault::ServesUnknowing || next.partitioned == Some(index) {
+        if self.fault == LethalFault::ServesWithoutReports || next.partitioned == Some(index) {
             return Some(next);
         }
         let stored_report =
-            next.stored.clone().filter(|_| self.fault != LethalFault::StoredForgotten);
+            next.stored.clone().filter(|_| self.fault != LethalFault::StoredReportIgnored);
         next.daemons[index].merge(NOW, stored_report.into_iter().collect());
         for from in 0..DAEMONS {
             if from != index && LethalModel::reaches(&next, from, index) {
@@ -314,7 +314,8 @@
         next.running_at = [None; DAEMONS];
         next.partitioned = None;
         let stored_report = next.stored.clone().filter(|_| {
-            self.fault != LethalFault::StoredForgotten && self.fault != LethalFault::ServesUnknowing
+            self.fault != LethalFault::StoredReportIgnored
+                && self.fault != LethalFault::ServesWithoutReports
         });
         for daemon in &mut next.daemons {
             *daemon = LethalModel::new_daemon();
@@ -379,7 +380,7 @@
             }
             add_step(
                 format!("the other request of daemon {index} is interrupted"),
-                self.bystander_interruptions(state, index),
+                self.interrupt_bystander(state, index),
             );
             add_step(
                 format!("the other request arrives at daemon {index}"),
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -40,9 +40,9 @@
     /// Each daemon grants the whole limit.
     WholeLimitEach,
     /// A daemon that isn't the leader grants as much as the leader.
-    OutOfTurnGrants,
+    NonLeaderGrants,
     /// The daemon that receives the limit doesn't report it to the other daemons.
-    HeardAndKept,
+    LimitNotReported,
 }
 
 /// The specification and its bounds.
@@ -150,7 +150,7 @@
 
     /// Delivers the notice that a daemon has received to another daemon, if that one is reachable.
     fn deliver_report(&self, state: &mut LimitState, from: usize, to: usize) {
-        let withheld = self.fault == LimitFault::HeardAndKept && from != to;
+        let withheld = self.fault == LimitFault::LimitNotReported && from != to;
         let report = state.daemons[from].report.clone();
         let Some(report) = report.filter(|_| LimitModel::reaches(state, from, to) && !withheld)
         else {
@@ -166,7 +166,7 @@
         let is_leader = order.first() == Some(&index);
         let rate_share = if self.fault == LimitFault::WholeLimitEach {
             RateShare { reached: 1, all: 1, role: RateRole::Leader }
-        } else if is_leader || self.fault == LimitFault::OutOfTurnGrants {
+        } else if is_leader || self.fault == LimitFault::NonLeaderGrants {
             RateShare { reached: order.len(), all: DAEMONS, role: RateRole::Leader }
         } else {
             NO_SHARE
--- a/crates/model/src/rates.rs
+++ b/crates/model/src/rates.rs
@@ -30,7 +30,7 @@
     /// A partitioned daemon grants the whole rate.
     WholeRateAlone,
     /// A daemon that receives requests without being the leader has its share of the burst available.
-    BurstOutOfTurn,
+    NonLeaderBurst,
     /// A new deputy has its reserve at once, although an earlier deputy may have spent one.
     ReserveAtOnce,
 }
@@ -134,10 +134,10 @@
     /// the last resort.
     fn grant_demand(&self, state: &mut RateState) -> u64 {
         let mut granted = 0;
-        for entry in 0..DAEMONS {
-            let order = RateModel::believed_reachable(&state.daemons[entry], entry);
-            let reached = order.iter().find(|other| RateModel::reaches(state, entry, **other));
-            let scheduler = reached.copied().unwrap_or(entry);
+        for requester in 0..DAEMONS {
+            let order = RateModel::believed_reachable(&state.daemons[requester], requester);
+            let reached = order.iter().find(|other| RateModel::reaches(state, requester, **other));
+            let scheduler = reached.copied().unwrap_or(requester);
             granted += self.take_all(state, scheduler);
         }
         granted
@@ -155,7 +155,7 @@
             reached = DAEMONS;
         }
         let role = match self.fault {
-            RateFault::BurstOutOfTurn => RateRole::Leader,
+            RateFault::NonLeaderBurst => RateRole::Leader,
             _ => daemon.role,
         };
         let rate_share = RateShare { reached, all: DAEMONS, role };
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -32,20 +32,20 @@
     /// No fault.
     None,
     /// A connection that closes after the request was written is treated as one that was never established.
-    CutTakenForNotRun,
+    ClosedTakenForNotRun,
     /// The new instance of a target reports that it did not run a request that was written to the previous instance,
     /// and this is accepted as proof.
-    LaterLifeTakenForProof,
+    LaterInstanceTakenForProof,
     /// Every grant leads to a dispatch, also a repeated one.
     EveryGrantDispatches,
     /// A request that was sent and got no answer is reported as not run.
-    UnansweredToldNotRun,
+    UnansweredReportedNotRun,
     /// An unresponsive target is given up before another one is granted.
-    SilentTargetLeft,
+    UnresponsiveTargetAbandoned,
     /// A refusal of the permit for another target ends the request.
     RefusalEndsRequest,
     /// The permit of an unresponsive target that was replaced isn't returned.
-    KeptPermitLost,
+    ReplacedPermitLost,
 }
 
 /// The specification and its bounds.
@@ -209,7 +209,7 @@
             let mut closed = open.clone();
             closed.runs += u8::from(ran);
             match self.fault {
-                RequestFault::CutTakenForNotRun => self.not_run(&mut closed),
+                RequestFault::ClosedTakenForNotRun => self.not_run(&mut closed),
                 _ if self.unresponsive_count > 0 => self.interrupt(&mut closed),
                 _ => self.finish(&mut closed, Verdict::MayHaveRun),
             }
@@ -240,7 +240,7 @@
         let mut next = open.clone();
         next.runs += u8::from(ran);
         match self.fault {
-            RequestFault::LaterLifeTakenForProof => self.not_run(&mut next),
+            RequestFault::LaterInstanceTakenForProof => self.not_run(&mut next),
             _ => self.finish(&mut next, Verdict::MayHaveRun),
         }
         let when = if ran { "after" } else { "before" };
@@ -265,7 +265,7 @@
         let actions = state.entry.finished(request(), verdict, end, None);
         self.perform_actions(state, actions);
         let is_false =
-            self.fault == RequestFault::UnansweredToldNotRun && verdict == Verdict::MayHaveRun;
+            self.fault == RequestFault::UnansweredReportedNotRun && verdict == Verdict::MayHaveRun;
         state.reported_verdict = Some(if is_false { Verdict::NotRun } else { verdict });
     }
 
--- a/crates/model/src/request/silence.rs
+++ b/crates/model/src/request/silence.rs
@@ -59,7 +59,7 @@
     fn stop_responding(&self, state: &RequestState, current_permit: PermitId) -> RequestState {
         let mut next = state.clone();
         next.unresponsive_count += 1;
-        if self.fault == RequestFault::SilentTargetLeft {
+        if self.fault == RequestFault::UnresponsiveTargetAbandoned {
             next.exchanges.remove(&current_permit);
             next.left_working_target = true;
             self.interrupt(&mut next);
@@ -95,7 +95,7 @@
     fn report_step(&self, state: &mut RequestState, step: ReplacementStep) {
         let order = Self::order(state);
         let mut actions = state.entry.replacement(state.now, request(), step, &|_| order.clone());
-        if self.fault == RequestFault::KeptPermitLost && step == ReplacementStep::Accepted {
+        if self.fault == RequestFault::ReplacedPermitLost && step == ReplacementStep::Accepted {
             actions.retain(|action| !matches!(action, EntryAction::ReturnPermit(..)));
         }
         self.perform_actions(state, actions);
--- a/crates/model/tests/models.rs
+++ b/crates/model/tests/models.rs
@@ -43,7 +43,7 @@
 
 #[rstest]
 #[case::left_before_another_is_granted(
-    RequestFault::SilentTargetLeft,
+    RequestFault::UnresponsiveTargetAbandoned,
     "the request was given up while its target was working",
     3
 )]
@@ -52,7 +52,7 @@
     "the request was refused while a target had it",
     3
 )]
-#[case::kept_permit_lost(RequestFault::KeptPermitLost, "a permit was not returned", 5)]
+#[case::replaced_permit_lost(RequestFault::ReplacedPermitLost, "a permit was not returned", 5)]
 fn broken_replacement_is_detected(
     #[case] fault: RequestFault,
     #[case] invariant: &str,
@@ -70,19 +70,19 @@
 }
 
 #[rstest]
-#[case::cut_taken_for_not_run(
-    RequestFault::CutTakenForNotRun,
+#[case::closed_taken_for_not_run(
+    RequestFault::ClosedTakenForNotRun,
     "the request was reported as not run and it ran",
     3
 )]
-#[case::later_life_taken_for_proof(
-    RequestFault::LaterLifeTakenForProof,
+#[case::later_instance_taken_for_proof(
+    RequestFault::LaterInstanceTakenForProof,
     "the request was reported as not run and it ran",
     3
 )]
 #[case::every_grant_dispatches(RequestFault::EveryGrantDispatches, "one permit was used twice", 2)]
-#[case::unanswered_told_not_run(
-    RequestFault::UnansweredToldNotRun,
+#[case::unanswered_reported_not_run(
+    RequestFault::UnansweredReportedNotRun,
     "the request was reported as not run and it ran",
     2
 )]
@@ -112,11 +112,11 @@
 #[rstest]
 #[case::moved_by_time_out(KeyModel { stops: 0, ..keys(KeyFault::MoveByTimeOut, true) }, 11)]
 #[case::history_claimed(keys(KeyFault::HistoryClaimed, false), 12)]
-#[case::grants_while_passing(
-    KeyModel { stops: 0, hand_overs: true, ..keys(KeyFault::GrantsWhilePassing, false) },
+#[case::grants_during_hand_over(
+    KeyModel { stops: 0, hand_overs: true, ..keys(KeyFault::GrantsDuringHandOver, false) },
     13
 )]
-#[case::lost_told_not_run(KeyModel { stops: 0, ..keys(KeyFault::LostToldNotRun, false) }, 9)]
+#[case::lost_answer_reported_not_run(KeyModel { stops: 0, ..keys(KeyFault::LostAnswerReportedNotRun, false) }, 9)]
 #[case::clock_beyond_skew(keys(KeyFault::ClockBeyondSkew, true), 13)]
 fn broken_key_holder_is_detected(#[case] model: KeyModel, #[case] steps: usize) {
     assert_detected(&format!("keys, {:?}", model.fault), &model, "one key ran twice", steps);
@@ -240,7 +240,7 @@
 #[rstest]
 #[case::saved_burst(RateFault::SavedBurst, 6)]
 #[case::whole_rate_alone(RateFault::WholeRateAlone, 5)]
-#[case::burst_out_of_turn(RateFault::BurstOutOfTurn, 6)]
+#[case::non_leader_burst(RateFault::NonLeaderBurst, 6)]
 fn broken_rates_are_detected(#[case] fault: RateFault, #[case] steps: usize) {
     let invariant = "more was granted in a window than rate and burst";
     assert_detected(&format!("rates, {fault:?}"), &rates(fault), invariant, steps);
@@ -280,10 +280,15 @@
 }
 
 #[rstest]
-#[case::nothing_asked(LethalFault::NothingAsked, LETHAL, SENT_AGAIN, 8)]
-#[case::serves_unknowing(LethalFault::ServesUnknowing, RESTART, SENT_AGAIN, 9)]
-#[case::stored_forgotten(LethalFault::StoredForgotten, RESTART, SENT_AGAIN, 9)]
-#[case::break_taken_for_end(LethalFault::BreakTakenForEnd, BYSTANDER, REFUSED, 5)]
+#[case::no_reports_requested(LethalFault::NoReportsRequested, LETHAL, SENT_AGAIN, 8)]
+#[case::serves_without_reports(LethalFault::ServesWithoutReports, RESTART, SENT_AGAIN, 9)]
+#[case::stored_report_ignored(LethalFault::StoredReportIgnored, RESTART, SENT_AGAIN, 9)]
+#[case::interruption_taken_for_termination(
+    LethalFault::InterruptionTakenForTermination,
+    BYSTANDER,
+    REFUSED,
+    5
+)]
 #[case::served_stays_suspect(LethalFault::ServedStaysSuspect, BYSTANDER, REFUSED, 9)]
 fn broken_lethal_is_detected(
     #[case] fault: LethalFault,
@@ -317,8 +322,8 @@
 
 #[rstest]
 #[case::whole_limit_each(LimitFault::WholeLimitEach, 5)]
-#[case::out_of_turn(LimitFault::OutOfTurnGrants, 5)]
-#[case::heard_and_kept(LimitFault::HeardAndKept, 6)]
+#[case::non_leader_grants(LimitFault::NonLeaderGrants, 5)]
+#[case::limit_not_reported(LimitFault::LimitNotReported, 6)]
 fn broken_limit_is_detected(#[case] fault: LimitFault, #[case] steps: usize) {
     let invariant = "more requests reached the target than the users allow";
     assert_detected(&format!("limits, {fault:?}"), &limits(fault), invariant, steps);
