--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -6,7 +6,7 @@
 //! request may arrive from either scheduler at any time, any number of times. That covers loss, repetition, delay, two
 //! schedulers at once and a scheduler that resumes after a pause. The entry daemon is the product's state machine.
 
-mod silence;
+mod replacement;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -111,10 +111,12 @@
                     state.requested_permits.insert(request.permit);
                 }
                 EntryAction::ClaimKey(_) => state.claimed = true,
-                EntryAction::Dispatch { permit, target } => silence::offer(state, permit, target),
-                EntryAction::Refuse(_, refusal) => silence::refuse(state, refusal.verdict),
+                EntryAction::Dispatch { permit, target } => {
+                    replacement::offer(state, permit, target)
+                }
+                EntryAction::Refuse(_, refusal) => replacement::refuse(state, refusal.verdict),
                 EntryAction::ReturnPermit(_, permit_return) => {
-                    silence::return_permit(state, permit_return.permit)
+                    replacement::return_permit(state, permit_return.permit)
                 }
                 EntryAction::HoldPermit(..)
                 | EntryAction::Replay(..)
@@ -135,7 +137,7 @@
     ) -> RequestState {
         let mut next = state.clone();
         if self.ends_at_refusal(&next, permit, decision) {
-            silence::refuse(&mut next, Verdict::NotRun);
+            replacement::refuse(&mut next, Verdict::NotRun);
             return next;
         }
         if let (RequestFault::EveryGrantDispatches, PermitDecision::Granted(target)) =
@@ -256,7 +258,7 @@
         let actions = state.entry.not_run(state.now, request(), end, retry, &|_| order.clone());
         state.is_unresponsive = false;
         self.perform_actions(state, actions);
-        silence::follow_offer(state);
+        replacement::follow_offer(state);
     }
 
     fn finish(&self, state: &mut RequestState, verdict: Verdict) {
@@ -369,7 +371,7 @@
         }
         match self.unresponsive_count {
             0 => None,
-            _ => silence::violation(state, self.attempts).map(str::to_string),
+            _ => replacement::violation(state, self.attempts).map(str::to_string),
         }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::lethal::{terminate_on_lethal, TerminationFlag};
 use crate::link::FaultyLink;
 use crate::options::SoakOptions;
-use crate::settings::{DaemonSettings, AGE_LIMIT, APPLY_LIMIT};
+use crate::settings::{SoakSettings, AGE_LIMIT, APPLY_LIMIT};
 
 /// Number of events of a complete stream.
 pub const EVENTS: u64 = 6;
@@ -48,7 +48,7 @@
     /// The running server, `None` after the engine has terminated.
     pub served: Option<ServedHandler>,
     /// Whether the engine has terminated while running a request.
-    pub ended: TerminationFlag,
+    pub terminated: TerminationFlag,
 }
 
 /// A daemon with its addresses, links and process.
@@ -185,7 +185,7 @@
         let store_link = FaultyLink::start(store, None).await?;
         let (callers, operators) = (free_address()?, free_address()?);
         let name = format!("vm-{index}");
-        let text = DaemonSettings {
+        let text = SoakSettings {
             name: &name,
             callers: &callers,
             operators: &operators,
@@ -257,11 +257,12 @@
             _ => None,
         };
         let address = link.as_ref().map_or(address, |link| &link.address).to_string();
-        let ended = TerminationFlag::default();
+        let terminated = TerminationFlag::default();
         if self.options.extra == Some(ExtraKind::Lethal) {
-            terminate_on_lethal(&engine, &ended);
+            terminate_on_lethal(&engine, &terminated);
         }
-        let handle = EngineHandle { engine, backend, address, link, served: Some(served), ended };
+        let handle =
+            EngineHandle { engine, backend, address, link, served: Some(served), terminated };
         self.write_entry(&handle, READY)?;
         Ok(handle)
     }
--- a/crates/soak/src/lethal.rs
+++ b/crates/soak/src/lethal.rs
@@ -30,11 +30,11 @@
 pub type TerminationFlag = Rc<std::cell::Cell<bool>>;
 
 /// Makes an engine terminate as soon as it begins to run the lethal request.
-pub fn terminate_on_lethal(engine: &FleetEngine, ended: &TerminationFlag) {
-    let ended = Rc::clone(ended);
+pub fn terminate_on_lethal(engine: &FleetEngine, terminated: &TerminationFlag) {
+    let terminated = Rc::clone(terminated);
     engine.set_lethal(LethalBody {
         body: LETHAL.to_vec(),
-        terminate: Box::new(move || ended.set(true)),
+        terminate: Box::new(move || terminated.set(true)),
     });
 }
 
@@ -65,8 +65,9 @@
     pub async fn replace_terminated_engines(self: Rc<Self>) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            let ended = self.engines.borrow().iter().position(|handle| handle.ended.take());
-            if let Some(index) = ended {
+            let terminated =
+                self.engines.borrow().iter().position(|handle| handle.terminated.take());
+            if let Some(index) = terminated {
                 let served = self.engines.borrow_mut()[index].served.take();
                 actix_rt::spawn(Rc::clone(&self).replace_terminated(index, served));
             }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -10,7 +10,7 @@
 pub const STOP_LIMIT: Duration = Duration::from_secs(5);
 
 /// The settings that differ between the daemons of a run.
-pub struct DaemonSettings<'a> {
+pub struct SoakSettings<'a> {
     /// Name of the daemon's VM.
     pub name: &'a str,
     /// Address for callers.
@@ -29,7 +29,7 @@
     pub link_mbps: Option<u64>,
 }
 
-impl DaemonSettings<'_> {
+impl SoakSettings<'_> {
     /// Returns the text of the settings file.
     pub fn to_ini(&self) -> String {
         let link = self.link_mbps.map(|mbps| format!("link_mbps = {mbps}\n")).unwrap_or_default();
