--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -6,7 +6,7 @@
 //! request may arrive from either scheduler at any time, any number of times. That covers loss, repetition, delay, two
 //! schedulers at once and a scheduler that resumes after a pause. The entry daemon is the product's state machine.
 
-mod silence;
+mod replacement;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,20 +32,20 @@
     /// No fault.
     None,
     /// A connection that closes after the request was written is treated as one that was never established.
-    CutTakenForNotRun,
+    ClosedTakenForNotRun,
     /// The new instance of a target reports that it did not run a request that was written to the previous instance,
     /// and this is accepted as proof.
-    LaterLifeTakenForProof,
+    LaterInstanceTakenForProof,
     /// Every grant leads to a dispatch, also a repeated one.
     EveryGrantDispatches,
     /// A request that was sent and got no answer is reported as not run.
-    UnansweredToldNotRun,
+    UnansweredReportedNotRun,
     /// An unresponsive target is given up before another one is granted.
-    SilentTargetLeft,
+    UnresponsiveTargetAbandoned,
     /// A refusal of the permit for another target ends the request.
     RefusalEndsRequest,
     /// The permit of an unresponsive target that was replaced isn't returned.
-    KeptPermitLost,
+    ReplacedPermitLost,
 }
 
 /// The specification and its bounds.
@@ -111,10 +111,12 @@
                     state.requested_permits.insert(request.permit);
                 }
                 EntryAction::ClaimKey(_) => state.claimed = true,
-                EntryAction::Dispatch { permit, target } => silence::offer(state, permit, target),
-                EntryAction::Refuse(_, refusal) => silence::refuse(state, refusal.verdict),
+                EntryAction::Dispatch { permit, target } => {
+                    replacement::offer(state, permit, target)
+                }
+                EntryAction::Refuse(_, refusal) => replacement::refuse(state, refusal.verdict),
                 EntryAction::ReturnPermit(_, permit_return) => {
-                    silence::return_permit(state, permit_return.permit)
+                    replacement::return_permit(state, permit_return.permit)
                 }
                 EntryAction::HoldPermit(..)
                 | EntryAction::Replay(..)
@@ -135,7 +137,7 @@
     ) -> RequestState {
         let mut next = state.clone();
         if self.ends_at_refusal(&next, permit, decision) {
-            silence::refuse(&mut next, Verdict::NotRun);
+            replacement::refuse(&mut next, Verdict::NotRun);
             return next;
         }
         if let (RequestFault::EveryGrantDispatches, PermitDecision::Granted(target)) =
@@ -209,7 +211,7 @@
             let mut closed = open.clone();
             closed.runs += u8::from(ran);
             match self.fault {
-                RequestFault::CutTakenForNotRun => self.not_run(&mut closed),
+                RequestFault::ClosedTakenForNotRun => self.not_run(&mut closed),
                 _ if self.unresponsive_count > 0 => self.interrupt(&mut closed),
                 _ => self.finish(&mut closed, Verdict::MayHaveRun),
             }
@@ -240,7 +242,7 @@
         let mut next = open.clone();
         next.runs += u8::from(ran);
         match self.fault {
-            RequestFault::LaterLifeTakenForProof => self.not_run(&mut next),
+            RequestFault::LaterInstanceTakenForProof => self.not_run(&mut next),
             _ => self.finish(&mut next, Verdict::MayHaveRun),
         }
         let when = if ran { "after" } else { "before" };
@@ -256,7 +258,7 @@
         let actions = state.entry.not_run(state.now, request(), end, retry, &|_| order.clone());
         state.is_unresponsive = false;
         self.perform_actions(state, actions);
-        silence::follow_offer(state);
+        replacement::follow_offer(state);
     }
 
     fn finish(&self, state: &mut RequestState, verdict: Verdict) {
@@ -265,7 +267,7 @@
         let actions = state.entry.finished(request(), verdict, end, None);
         self.perform_actions(state, actions);
         let is_false =
-            self.fault == RequestFault::UnansweredToldNotRun && verdict == Verdict::MayHaveRun;
+            self.fault == RequestFault::UnansweredReportedNotRun && verdict == Verdict::MayHaveRun;
         state.reported_verdict = Some(if is_false { Verdict::NotRun } else { verdict });
     }
 
@@ -369,7 +371,7 @@
         }
         match self.unresponsive_count {
             0 => None,
-            _ => silence::violation(state, self.attempts).map(str::to_string),
+            _ => replacement::violation(state, self.attempts).map(str::to_string),
         }
     }
 }
