--- a/crates/acceptance/tests/store_eras.rs
+++ b/crates/acceptance/tests/store_eras.rs
@@ -198,7 +198,7 @@
     #[case] expected: Option<(u16, u64)>,
 ) -> Result<()> {
     let list = client_of(eras).await?.list_targets(ListAge::Newest).await;
-    let position = list.ok().map(|list| StorePosition::from_version(list.revision));
+    let position = list.ok().map(|list| StorePosition::from_version(list.version));
     assert_eq!(position.map(|position| (position.era, position.revision)), expected);
     Ok(())
 }
@@ -219,8 +219,8 @@
 async fn old_list_has_the_previous_era() -> Result<()> {
     let client = client_of(&["2"]).await?;
     let list = client.list_targets(ListAge::SecondsOld).await?;
-    assert_eq!(StorePosition::from_version(list.revision).era, 1);
-    let watch = client.watch_targets(list.revision, Duration::from_millis(10)).await?;
+    assert_eq!(StorePosition::from_version(list.version).era, 1);
+    let watch = client.watch_targets(list.version, Duration::from_millis(10)).await?;
     assert_eq!(watch, TargetWatch::HistoryUnavailable);
     Ok(())
 }
--- a/crates/daemon/src/files/follow.rs
+++ b/crates/daemon/src/files/follow.rs
@@ -97,7 +97,7 @@
             continue;
         }
         let object = store.get(&content_key(hash)).await?;
-        let object = object.ok_or(curlewcleat_store::Error::Unclear(format!(
+        let object = object.ok_or(curlewcleat_store::Error::OutcomeUnknown(format!(
             "content {hash} is not in the store yet"
         )))?;
         let text = String::from_utf8(object.bytes).ok().filter(|text| content_hash(text) == *hash);
--- a/crates/daemon/src/fleet/follow/rollouts.rs
+++ b/crates/daemon/src/fleet/follow/rollouts.rs
@@ -42,11 +42,11 @@
                     let sent = self.context.uptime_at(sent);
                     self.context.send_event(NodeEvent::RolloutsListed {
                         rollouts: list.rollouts,
-                        at: list.revision,
+                        at: list.version,
                         sent,
                     });
                     tokio::select! {
-                        () = self.wait_for_rollout_change(list.revision) => {}
+                        () = self.wait_for_rollout_change(list.version) => {}
                         () = self.wait_for_recovery() => {}
                         () = self.signals.rollout_read_requested() => {}
                     }
--- a/crates/daemon/src/fleet/follow/targets.rs
+++ b/crates/daemon/src/fleet/follow/targets.rs
@@ -45,11 +45,11 @@
                     back_off.reset();
                     self.record_list_faults(&list);
                     info!("targets_listed", kv: {
-                        at = list.revision, targets = list.targets.len(), faults = list.faults.len()
+                        at = list.version, targets = list.targets.len(), faults = list.faults.len()
                     });
-                    self.context.send_event(NodeEvent::TargetsListed(list.targets, list.revision));
+                    self.context.send_event(NodeEvent::TargetsListed(list.targets, list.version));
                     tokio::select! {
-                        _ = self.watch_targets(list.revision) => {}
+                        _ = self.watch_targets(list.version) => {}
                         _ = wait_until_idle(&mut role) => {}
                     }
                 }
--- a/crates/daemon/src/request/profile.rs
+++ b/crates/daemon/src/request/profile.rs
@@ -46,8 +46,8 @@
 /// Minimum time to connect: many round trips between data centres.
 const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
 /// Number of latency objectives after which an unresponsive target counts as stalled, so that another one is
-/// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each, no processor time charged), the
-/// mean value is .535 with 2, .533 with 1 and .529 with 4.
+/// requested. Over 12 days of overload and faults on six daemons (4 days, 3 seeds each), the mean value is .535 with 2,
+/// .533 with 1 and .529 with 4.
 const STALL_OBJECTIVES: u32 = 2;
 /// Bounds of the time after which a target counts as stalled. A working target pauses for 0.6 to 2 s while it reads a
 /// long prompt (in a fleet of 78 daemons).
--- a/crates/node/src/node/lethal.rs
+++ b/crates/node/src/node/lethal.rs
@@ -176,13 +176,13 @@
 
     /// Answers a pull if the peer has not pulled before or lacks any report.
     pub(super) fn suspects_pulled(&mut self, from: &VmId, pull: SuspectsPull) {
-        let change_count = self.lethal.requests.change_count();
-        if pull.known >= change_count {
+        let next_change = self.lethal.requests.next_change();
+        if pull.known >= next_change {
             return;
         }
-        let SuspectUpdates { change_count, requests } =
+        let SuspectUpdates { next_change, requests } =
             self.lethal.requests.updates(self.now, pull.known);
-        self.post(from, PeerMessage::SuspectsPush(SuspectsPush { at: change_count, requests }));
+        self.post(from, PeerMessage::SuspectsPush(SuspectsPush { at: next_change, requests }));
     }
 
     pub(super) fn suspects_pushed(&mut self, from: &DaemonId, push: SuspectsPush) {
--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -226,7 +226,7 @@
     }
 
     /// Returns the number of the next change. It is at least 1, so that 0 marks a daemon that has never pulled changes.
-    pub fn change_count(&self) -> u64 {
+    pub fn next_change(&self) -> u64 {
         self.latest_change + 1
     }
 
--- a/crates/sched/src/lethal/updates.rs
+++ b/crates/sched/src/lethal/updates.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectUpdates {
     /// Number of the first change that these updates may lack.
-    pub change_count: u64,
+    pub next_change: u64,
     /// Reports about the changed requests.
     pub requests: Vec<SuspectReport>,
 }
@@ -45,7 +45,7 @@
         let report =
             |(digest, suspect): (&RequestDigest, &SuspectRequest)| suspect.report(now, *digest);
         let requests = urgent.into_iter().chain(ordinary).map(report).collect();
-        SuspectUpdates { change_count: first_omitted.unwrap_or(self.change_count()), requests }
+        SuspectUpdates { next_change: first_omitted.unwrap_or(self.next_change()), requests }
     }
 
     fn changed_after(&self, known: u64) -> impl Iterator<Item = (&RequestDigest, &SuspectRequest)> {
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -117,7 +117,7 @@
     /// Makes one call. Its connection is reused only after a complete answer.
     ///
     /// # Errors
-    /// Returns [`Error::Unclear`] if no complete answer arrives in time; the call may have taken effect.
+    /// Returns [`Error::OutcomeUnknown`] if no complete answer arrives in time; the call may have taken effect.
     pub async fn call(&self, request: StoreRequest) -> Result<StoreReply> {
         let limits = CallLimits { pause: self.limit, total: self.limit * TOTAL_LIMIT_FACTOR };
         self.call_within(request, limits).await
@@ -141,11 +141,12 @@
     }
 
     async fn begin(&self, request: StoreRequest, limit: Duration) -> Result<TargetAnswer> {
-        let connection = self.connections.connect(&self.address, limit).await.map_err(unclear)?;
+        let connection =
+            self.connections.connect(&self.address, limit).await.map_err(outcome_unknown)?;
         let head = request.head()?;
         // Reads are sent with an empty body.
         let body = request.body.map(Bytes::from).unwrap_or_default();
-        connection.exchange(head, body).await.map_err(unclear)
+        connection.exchange(head, body).await.map_err(outcome_unknown)
     }
 }
 
@@ -155,7 +156,7 @@
     let TargetAnswer { head, mut body } = answer;
     let mut bytes = Vec::new();
     while let Some(part) = within(pause, async { Ok(body.next().await) }).await? {
-        bytes.extend_from_slice(&part.map_err(unclear)?);
+        bytes.extend_from_slice(&part.map_err(outcome_unknown)?);
         if bytes.len() > ANSWER_LIMIT {
             return Err(Error::Protocol("the answer exceeds the size limit".to_string()));
         }
@@ -167,7 +168,7 @@
 async fn within<T>(limit: Duration, step: impl Future<Output = Result<T>>) -> Result<T> {
     match tokio::time::timeout(limit, step).await {
         Ok(result) => result,
-        Err(_) => Err(Error::Unclear(format!("no answer within {limit:?}"))),
+        Err(_) => Err(Error::OutcomeUnknown(format!("no answer within {limit:?}"))),
     }
 }
 
@@ -176,13 +177,13 @@
     match status {
         StatusCode::TOO_MANY_REQUESTS => Error::RateLimited,
         // The store may have made the write before it failed.
-        status if status.is_server_error() => Error::Unclear(format!("status {status}")),
+        status if status.is_server_error() => Error::OutcomeUnknown(format!("status {status}")),
         status => Error::Refused(status.as_u16()),
     }
 }
 
-fn unclear(error: impl std::fmt::Display) -> Error {
-    Error::Unclear(error.to_string())
+fn outcome_unknown(error: impl std::fmt::Display) -> Error {
+    Error::OutcomeUnknown(error.to_string())
 }
 
 fn unreadable(error: impl std::fmt::Display) -> Error {
--- a/crates/store/src/fleet.rs
+++ b/crates/store/src/fleet.rs
@@ -38,7 +38,7 @@
     /// The targets. An unusable entry with a name is included as [`DiscoveredTarget::unusable`].
     pub targets: Vec<DiscoveredTarget>,
     /// Revision of the list, from which a watch can continue.
-    pub revision: ObjectVersion,
+    pub version: ObjectVersion,
     /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
@@ -88,7 +88,7 @@
     /// The orders.
     pub rollouts: Vec<RolloutRecord>,
     /// Revision of the list, from which a watch can continue.
-    pub revision: ObjectVersion,
+    pub version: ObjectVersion,
     /// The unusable entries.
     pub faults: Vec<EntryFault>,
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -14,7 +14,7 @@
 pub enum Error {
     /// No complete answer arrived; a write may have taken effect.
     #[error("platform: no answer: {0}")]
-    Unclear(String),
+    OutcomeUnknown(String),
     /// The platform accepts no more calls for now.
     #[error("platform: rate limit reached")]
     RateLimited,
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -70,7 +70,7 @@
 async fn stalled_answer_is_abandoned_after_the_limit() -> IoResult<()> {
     let address = store(2, 10, Duration::ZERO).await?;
     let (result, took) = read(&address).await;
-    assert!(matches!(result, Err(Error::Unclear(_))), "{result:?}");
+    assert!(matches!(result, Err(Error::OutcomeUnknown(_))), "{result:?}");
     assert!(took < LIMIT * 3, "{took:?}");
     Ok(())
 }
@@ -79,7 +79,7 @@
 async fn endless_answer_is_abandoned() -> IoResult<()> {
     let address = store(1_000, 1_000, LIMIT / 4).await?;
     let (result, took) = read(&address).await;
-    assert!(matches!(result, Err(Error::Unclear(_))), "{result:?}");
+    assert!(matches!(result, Err(Error::OutcomeUnknown(_))), "{result:?}");
     assert!(took < LIMIT * 12, "{took:?}");
     Ok(())
 }
