--- a/crates/sched/src/lethal.rs
+++ b/crates/sched/src/lethal.rs
@@ -1,16 +1,14 @@
 //! Decides which requests are refused because targets terminate while running them.
 //!
 //! Inputs: for each request (identified by the digest of what its caller sends again on a repeat), the target instances
-//! at which it was interrupted; whether the platform still lists those instances; whether the request has been served
-//! whole since.
+//! at which it was interrupted; whether the platform still lists them; whether the request has been served whole since.
 //!
 //! The rule: a request is refused once [`LethalOptions::limit`] instances have terminated while running it, until
 //! [`LethalOptions::refused_for`] after its latest repeat. Until it is known whether they terminated, the request is
 //! held once that many instances have closed their connections while running it. An instance that is still listed
 //! [`LethalOptions::listing_expiry`] after the interruption has not terminated, so a cut link, a reset connection or an
-//! invalid answer is ignored. Terminations before the request was served whole are ignored too, and so are those
-//! explained by another refused request ([`blame`]): a target runs several requests at once, and its termination makes
-//! all of them suspect.
+//! invalid answer is ignored. So are terminations before the request was served whole and those explained by another
+//! refused request ([`blame`]): a target runs several requests at once, and its termination makes them all suspect.
 //!
 //! The limit is one higher where targets often terminate for other reasons ([`terminations`]), and one higher still
 //! where an answer had begun at any of the instances: a request that terminates its target does so as it begins to run.
@@ -19,13 +17,12 @@
 //! one in ten seconds none.
 //!
 //! Load pattern: a caller repeats a request, at any daemon, and every engine that begins to run it terminates. Where
-//! only the targets were blamed, 12 and 20 more engines terminated under two such requests after the third.
+//! only the targets were blamed, 12 and 20 more engines terminated under two such requests after the third. Every
+//! daemon keeps the same set of suspect requests and merges the reports of the others, so that it survives the loss of
+//! any daemon.
 //!
-//! Every daemon keeps the same set and merges the reports of the others, so that it survives the loss of any daemon.
-//! Memory is bounded by [`REQUEST_LIMIT`] and [`INSTANCE_LIMIT`].
-//!
-//! Owns: the suspect requests. Relies on: entry daemons that report only interruptions at targets that had not
-//! announced that they were leaving.
+//! Owns: the suspect requests, bounded by [`REQUEST_LIMIT`] and [`INSTANCE_LIMIT`]. Relies on: entry daemons that
+//! report only interruptions at targets that had not announced that they were leaving.
 
 mod blame;
 mod options;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -16,6 +16,9 @@
 //! targets), [`entry`] the events at the daemon that holds a caller's connection, [`drain`] the planned stop.
 //!
 //! The caller passes the time in. The daemon, the tests, the benchmarks and the model checker run this code.
+//!
+//! Owns: the rules of these decisions and the state they need. Relies on: the caller for the time, for input and
+//! output, and for carrying out the returned actions.
 
 mod admission;
 mod decaying_ratio;
